--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -11,7 +11,7 @@
 
 use crate::board::Snapshot;
 use crate::calls::dialect::Dialect;
-use crate::calls::handover::{Handover, write_handover};
+use crate::calls::metadata::{Handover, write_handover};
 use crate::calls::outcome::Reason;
 use crate::calls::patience;
 use crate::calls::route::Plan;
--- a/src/calls/experience.rs
+++ b/src/calls/experience.rs
@@ -6,10 +6,10 @@
 use http::{Response, header};
 use volo_http::body::Body;
 
-use crate::calls::gate::Load;
 use crate::calls::outcome::Reason;
 use crate::calls::pace::Typical;
 use crate::calls::patience::Patience;
+use crate::calls::sidecar::Load;
 use crate::membership::roster::Upstream;
 use crate::units::Millis;
 
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -8,9 +8,9 @@
 
 pub mod connections;
 pub mod dialect;
-pub mod handover;
 pub mod limit;
 pub mod lines;
+pub mod metadata;
 pub mod origins;
 pub mod outcome;
 pub mod pace;
@@ -26,10 +26,10 @@
 pub(crate) mod callers;
 pub(crate) mod choice;
 pub(crate) mod dispatch;
-pub(crate) mod entry;
+pub(crate) mod executor;
 pub(crate) mod experience;
-pub(crate) mod gate;
 pub(crate) mod http_server;
+pub(crate) mod ingress;
 pub(crate) mod line;
+pub(crate) mod sidecar;
 pub(crate) mod stream;
-pub(crate) mod work;
--- a/src/calls/gate.rs
+++ b/src/calls/sidecar.rs
@@ -14,10 +14,10 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::handover::Handover;
+use crate::calls::executor::{Received, Waited, Work};
+use crate::calls::metadata::Handover;
 use crate::calls::origins::Origins;
 use crate::calls::outcome::{self, Reason};
-use crate::calls::work::{Received, Waited, Work};
 use crate::idempotency::guard::Keys;
 use crate::units::{Millis, Service};
 
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -13,9 +13,9 @@
 
 use crate::board::Board;
 use crate::calls::callers::Callers;
-use crate::calls::entry::Entry;
-use crate::calls::gate::Gate;
 use crate::calls::http_server::{self, Phase};
+use crate::calls::ingress::Entry;
+use crate::calls::sidecar::Gate;
 use crate::configuration::config::Store;
 use crate::configuration::document::Bounds;
 use crate::configuration::log::Log;
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/guard.rs
@@ -11,8 +11,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
+use crate::calls::executor::{Received, Work};
 use crate::calls::outcome::{Fate, Reason};
-use crate::calls::work::{Received, Work};
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
 use crate::idempotency::claim::Claims;
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -13,7 +13,7 @@
 use volo_http::server::route::{get, post};
 
 use crate::board::Board;
-use crate::calls::gate::Gate;
+use crate::calls::sidecar::Gate;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
 use crate::configuration::fold::Proposal;
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::board::{Board, Target};
-use crate::calls::gate::Gate;
+use crate::calls::sidecar::Gate;
 use crate::configuration::reader;
 use crate::idempotency::guard::Keys;
 use crate::membership::member::{Health, Member, Stage};
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -14,8 +14,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::gate::Gate;
-use crate::calls::handover::{HANDOVER, read_handover};
+use crate::calls::metadata::{HANDOVER, read_handover};
+use crate::calls::sidecar::Gate;
 use crate::calls::stream::{self, HeldBack, Incoming, REQUEST_WINDOW};
 use crate::calls::transit::Transit;
 use crate::clock;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{fixed, numbered, route};
-use jackdawpulley::calls::handover::Handover;
+use jackdawpulley::calls::metadata::Handover;
 use jackdawpulley::configuration::delta::Delta;
 use jackdawpulley::configuration::exchange::{Body, Packed, Pull, Reply, Update};
 use jackdawpulley::idempotency::keys::Note;
