--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -9,9 +9,9 @@
 use volo_http::body::Body;
 
 use crate::calls::dialect::Dialect;
-use crate::calls::dispatch::{Dispatcher, Lease};
+use crate::calls::dispatch::{Connection, Dispatcher};
 use crate::calls::outcome::Reason;
-use crate::calls::stream::{self, Gathered, Held};
+use crate::calls::stream::{self, Buffered, Guarded};
 
 /// Largest answer that is taken in whole before its head goes on, in bytes.
 ///
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Answer<'a> {
     response: Response<Incoming>,
-    lease: Lease,
+    lease: Connection,
     dialect: &'a Dialect,
     id: &'a str,
 }
@@ -32,7 +32,7 @@
     /// The response to the call `id`, over the connection of `lease`.
     pub const fn new(
         response: Response<Incoming>,
-        lease: Lease,
+        lease: Connection,
         dialect: &'a Dialect,
         id: &'a str,
     ) -> Self {
@@ -58,13 +58,13 @@
             && self.response.status() == StatusCode::MISDIRECTED_REQUEST;
         let refused = self.response.headers().contains_key(&self.dialect.refused);
         let (parts, body) = self.response.into_parts();
-        let gathered = stream::gather(Body::from_incoming(body), GATHERED).await;
+        let gathered = stream::buffer(Body::from_incoming(body), GATHERED).await;
         let body = match gathered.map_err(|_| Reason::Broken)? {
-            Gathered::Whole(bytes) => {
+            Buffered::Whole(bytes) => {
                 self.lease.keep(&parts.headers);
                 Body::from_body(Full::new(bytes))
             }
-            Gathered::Partly(body) => Held::wrap(body, self.lease),
+            Buffered::Partly(body) => Guarded::wrap(body, self.lease),
         };
         if misdirected {
             return Err(Reason::Misdirected);
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -15,8 +15,8 @@
 use crate::calls::choice::Chooser;
 use crate::calls::outcome::{Fate, OUTCOME, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
-use crate::calls::sidecar::{Gate, Load};
-use crate::calls::stream::Held;
+use crate::calls::sidecar::{Load, Sidecar};
+use crate::calls::stream::Guarded;
 use crate::configuration::document::{Ejection, Retry};
 use crate::membership::roster::Upstream;
 use crate::settings::{Retries, Settings};
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Attempts {
     board: Arc<Board>,
-    gate: Arc<Gate>,
+    gate: Arc<Sidecar>,
     budgets: Budgets,
     /// Who gets them.
     pub chooser: Chooser,
@@ -46,7 +46,7 @@
 impl Attempts {
     /// Attempts that hand local work to `gate`.
     #[must_use]
-    pub fn new(board: Arc<Board>, gate: Arc<Gate>) -> Self {
+    pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
         let Settings {
             retry_reserve,
             shared_reserve,
@@ -154,7 +154,7 @@
         match attempt {
             Attempt::Answered(response) => {
                 let (parts, body) = response.into_parts();
-                Attempt::Answered(Response::from_parts(parts, Held::wrap(body, own)))
+                Attempt::Answered(Response::from_parts(parts, Guarded::wrap(body, own)))
             }
             failed @ Attempt::Failed(_) => failed,
         }
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -11,7 +11,7 @@
 
 use crate::board::Snapshot;
 use crate::calls::dialect::Dialect;
-use crate::calls::metadata::{Handover, write_handover};
+use crate::calls::metadata::{Metadata, write_metadata};
 use crate::calls::outcome::Reason;
 use crate::calls::patience;
 use crate::calls::route::Plan;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Call {
     /// What its gate needs to know.
-    pub handover: Handover,
+    pub handover: Metadata,
     /// Its route and retry rule.
     pub plan: Arc<Plan>,
     /// The group that serves it.
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Part {
     /// What the gate needs to know.
-    pub handover: Handover,
+    pub handover: Metadata,
     /// The request, with its body.
     pub request: Request<Body>,
     /// When the head of the answer is due.
@@ -109,7 +109,7 @@
         // Callers of different services may choose the same key.
         let scoped = |key| CallKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
-        let handover = Handover {
+        let handover = Metadata {
             id: id.to_owned(),
             service: group.service.clone(),
             group: group.name.clone(),
@@ -136,7 +136,7 @@
         let body = body.map_err(|_| Reason::Expired)??;
         let fingerprint = body.fingerprint(&head);
         Ok(Call {
-            handover: Handover {
+            handover: Metadata {
                 fingerprint,
                 ..handover
             },
@@ -216,7 +216,7 @@
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
         let remaining = Millis::from(self.left());
-        let handover = Handover {
+        let handover = Metadata {
             sent_ms: clock::boot_ms(),
             remaining,
             tolerance,
@@ -243,7 +243,7 @@
         let mut request = Request::builder().method(parts.method).uri(uri);
         if let Some(headers) = request.headers_mut() {
             std::mem::swap(headers, &mut parts.headers);
-            write_handover(headers, self.handover);
+            write_metadata(headers, self.handover);
             if stream::is_large(headers, &body) {
                 // The gate asks for it when its turn has come.
                 headers.insert(header::EXPECT, HeaderValue::from_static("100-continue"));
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -47,13 +47,13 @@
 #[derive(Debug, Default)]
 struct Pool {
     /// The one that was used last comes last.
-    kept: Vec<Kept>,
+    kept: Vec<IdleConnection>,
     /// Until when the target counts as one that sends what nobody asked for.
     suspect_until: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     target: SocketAddr,
     sender: SendRequest<Body>,
     since: Instant,
@@ -63,7 +63,7 @@
 
 /// A connection that carries one exchange; it is closed unless it is given back.
 #[derive(Debug)]
-pub struct Lease {
+pub struct Connection {
     target: SocketAddr,
     sender: SendRequest<Body>,
     idle: Duration,
@@ -94,7 +94,7 @@
         target: SocketAddr,
         request: Request<Body>,
         repeatable: bool,
-    ) -> Result<(Response<Incoming>, Lease), Reason> {
+    ) -> Result<(Response<Incoming>, Connection), Reason> {
         let mut request = origin_form(request);
         while let Some(mut sender) = self.kept(target, repeatable) {
             match sender.try_send_request(request).await {
@@ -129,8 +129,8 @@
         pool.kept.clear();
     }
 
-    fn lease(&self, target: SocketAddr, sender: SendRequest<Body>) -> Lease {
-        Lease {
+    fn lease(&self, target: SocketAddr, sender: SendRequest<Body>) -> Connection {
+        Connection {
             target,
             sender,
             idle: self.idle,
@@ -179,7 +179,7 @@
     }
 }
 
-impl Lease {
+impl Connection {
     /// Keeps the connection for the next request, once it is free, for as long as an answer with
     /// these headers says.
     pub fn keep(self, headers: &HeaderMap) {
@@ -218,7 +218,7 @@
     let mut pool = lock(pool);
     if pool.kept.len() < IDLE_CONNECTIONS {
         let since = Instant::now();
-        pool.kept.push(Kept {
+        pool.kept.push(IdleConnection {
             target,
             sender,
             since,
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -15,10 +15,10 @@
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
 use crate::calls::line::{Bid, Line, Permit};
-use crate::calls::metadata::Handover;
+use crate::calls::metadata::Metadata;
 use crate::calls::outcome::{Fate, OUTCOME, Reason};
 use crate::calls::patience;
-use crate::calls::stream::{self, Gathered, Held, HeldBack};
+use crate::calls::stream::{self, Buffered, Continue, Guarded};
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
 use crate::quarantine::inspect::Inspector;
@@ -43,7 +43,7 @@
 /// A request that has reached its gate.
 #[derive(Debug)]
 pub struct Received {
-    handover: Handover,
+    handover: Metadata,
     request: Request<Body>,
     deadline: Instant,
     in_flight: InFlight,
@@ -60,11 +60,11 @@
 
 /// Time that a request spent in the line, kept with its answer inside the daemon.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Waited(pub Duration);
+pub struct QueueTime(pub Duration);
 
 /// Bounds and dispatches the work of the target.
 #[derive(Debug)]
-pub struct Work {
+pub struct Executor {
     board: Arc<Board>,
     dispatcher: Dispatcher,
     inspector: Inspector,
@@ -73,7 +73,7 @@
     bodies: Arc<Line>,
 }
 
-impl Work {
+impl Executor {
     /// The work of whatever target the board names.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
@@ -106,7 +106,7 @@
     }
 
     /// The target to dispatch to, checked at this very moment.
-    fn target(&self, handover: &Handover) -> Result<Arc<Target>, Reason> {
+    fn target(&self, handover: &Metadata) -> Result<Arc<Target>, Reason> {
         if self.board.stage() == Stage::Draining {
             return Err(Reason::Draining);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Slots and places to wait for a group.
-    fn sizes(&self, handover: &Handover) -> (u32, u32) {
+    fn sizes(&self, handover: &Metadata) -> (u32, u32) {
         if self.board.settings.limits == Limits::Off {
             return (UNLIMITED, UNLIMITED);
         }
@@ -157,7 +157,7 @@
 impl Received {
     /// A request that has just come.
     #[must_use]
-    pub fn new(handover: Handover, request: Request<Body>, in_flight: InFlight) -> Self {
+    pub fn new(handover: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
         Self {
             deadline: Instant::now() + handover.remaining.duration(),
             handover,
@@ -195,7 +195,7 @@
     /// # Errors
     ///
     /// Why the request was refused; it has provably not run.
-    pub async fn admit(mut self, work: &Work) -> Result<Admitted, Reason> {
+    pub async fn admit(mut self, work: &Executor) -> Result<Admitted, Reason> {
         work.target(&self.handover)?;
         let left = self.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -208,7 +208,7 @@
         };
         let (slots, queue) = work.sizes(&self.handover);
         let mut waited = Duration::ZERO;
-        if let Some(held_back) = self.request.extensions_mut().remove::<HeldBack>() {
+        if let Some(held_back) = self.request.extensions_mut().remove::<Continue>() {
             waited = self.take_body(&held_back, work, queue, bid).await?;
             // What the body has cost the link would be lost with a refusal.
             let left = self.deadline.saturating_duration_since(Instant::now());
@@ -242,8 +242,8 @@
     /// head alone.
     async fn take_body(
         &mut self,
-        held_back: &HeldBack,
-        work: &Work,
+        held_back: &Continue,
+        work: &Executor,
         queue: u32,
         bid: Bid,
     ) -> Result<Duration, Reason> {
@@ -252,12 +252,12 @@
         let waited = began.elapsed();
         held_back.ask();
         let body = std::mem::take(self.request.body_mut());
-        let taking = stream::gather(body, WHOLE_BODY);
+        let taking = stream::buffer(body, WHOLE_BODY);
         let taken = tokio::time::timeout_at(self.deadline.into(), taking).await;
         let taken = taken.map_err(|_| Reason::Expired)?;
         *self.request.body_mut() = match taken.map_err(|_| Reason::CallerGone)? {
-            Gathered::Whole(bytes) => Body::from_body(Full::new(bytes)),
-            Gathered::Partly(body) => body,
+            Buffered::Whole(bytes) => Body::from_body(Full::new(bytes)),
+            Buffered::Partly(body) => body,
         };
         Ok(waited)
     }
@@ -269,7 +269,7 @@
     /// # Errors
     ///
     /// Why there is no answer, and with it whether the request may have run.
-    pub async fn dispatch(self, work: &Work) -> Result<Response<Body>, Reason> {
+    pub async fn dispatch(self, work: &Executor) -> Result<Response<Body>, Reason> {
         let Received {
             handover,
             mut request,
@@ -293,7 +293,7 @@
             began,
         });
         let watched = watched?;
-        let mut counted = Counted::begin(&work.board, &handover.route, deadline);
+        let mut counted = Recorder::begin(&work.board, &handover.route, deadline);
         let exchange = async {
             let sending = work
                 .dispatcher
@@ -320,11 +320,11 @@
         let answered = HeaderValue::from_static("answered");
         debug_assert_eq!(Fate::Answered.to_string(), "answered");
         headers.insert(OUTCOME, answered);
-        response.extensions_mut().insert(Waited(self.waited));
+        response.extensions_mut().insert(QueueTime(self.waited));
         let (parts, body) = response.into_parts();
         Ok(Response::from_parts(
             parts,
-            Held::wrap(body, (self.permit, in_flight)),
+            Guarded::wrap(body, (self.permit, in_flight)),
         ))
     }
 }
@@ -343,7 +343,7 @@
 fn address(
     headers: &mut HeaderMap,
     dialect: &Dialect,
-    handover: &Handover,
+    handover: &Metadata,
     target: &Target,
     left: Duration,
 ) {
@@ -362,7 +362,7 @@
 }
 
 /// A run that is counted for the roll-out of its target's revision when it is over.
-struct Counted<'a> {
+struct Recorder<'a> {
     board: &'a Board,
     route: &'a str,
     began: Instant,
@@ -370,7 +370,7 @@
     is_over: bool,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> Recorder<'a> {
     fn begin(board: &'a Board, route: &'a str, deadline: Instant) -> Self {
         board.rollouts.arrive();
         Self {
@@ -396,7 +396,7 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for Recorder<'_> {
     fn drop(&mut self) {
         // Guards against a target that is silent until its callers have gone: its runs are dropped here
         // and would count as nothing. A caller that leaves early says nothing of the target.
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -25,7 +25,7 @@
 
 use crate::board::Board;
 use crate::calls::callers::{self, Callers};
-use crate::calls::stream::Held;
+use crate::calls::stream::Guarded;
 use crate::configuration::document::Bounds;
 use crate::units::Version;
 
@@ -48,14 +48,14 @@
 
 /// What callers may send, which may change.
 #[derive(Debug, Clone)]
-pub enum Limits {
+pub enum BoundsSource {
     /// Always the same.
     Fixed(Bounds),
     /// Those of the version in force.
     InForce(Arc<Board>),
 }
 
-impl Limits {
+impl BoundsSource {
     fn now(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
@@ -84,7 +84,7 @@
     listener: TcpListener,
     callers: Arc<Callers>,
     phases: watch::Receiver<Phase>,
-    limits: Limits,
+    limits: BoundsSource,
     handler: H,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -116,7 +116,7 @@
     stream: TcpStream,
     mut admitted: callers::Connection,
     mut phases: watch::Receiver<Phase>,
-    limits: Limits,
+    limits: BoundsSource,
     handler: Arc<H>,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -129,7 +129,7 @@
         let answer = handler(request.map(Body::from_incoming));
         async move {
             let (parts, body) = answer.await.into_parts();
-            Ok::<_, Infallible>(Response::from_parts(parts, Held::wrap(body, under_way)))
+            Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, under_way)))
         }
     });
     let bounds = limits.now();
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -18,8 +18,8 @@
 use crate::calls::call::Call;
 use crate::calls::outcome::{self, OUTCOME, REASON, Reason};
 use crate::calls::retry;
-use crate::calls::sidecar::{Gate, LOAD};
-use crate::calls::stream::Held;
+use crate::calls::sidecar::{LOAD, Sidecar};
+use crate::calls::stream::Guarded;
 use crate::configuration::document::Retry;
 use crate::membership::member::Stage;
 use crate::membership::roster::Upstream;
@@ -48,16 +48,16 @@
 
 /// Takes callers' requests.
 #[derive(Debug)]
-pub struct Entry {
+pub struct Ingress {
     board: Arc<Board>,
     calls: AtomicU64,
     attempts: Attempts,
 }
 
-impl Entry {
+impl Ingress {
     /// An entry that hands local work to `gate`.
     #[must_use]
-    pub fn new(board: Arc<Board>, gate: Arc<Gate>) -> Self {
+    pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
         Self {
             attempts: Attempts::new(Arc::clone(&board), gate),
             board,
@@ -118,7 +118,7 @@
         metrics::counter!("jackdaw_calls_total", "outcome" => fate).increment(1);
         metrics::histogram!("jackdaw_call_seconds").record(began.elapsed().as_secs_f64());
         let (parts, body) = response.into_parts();
-        Response::from_parts(parts, Held::wrap(body, in_flight))
+        Response::from_parts(parts, Guarded::wrap(body, in_flight))
     }
 
     /// Waits a while for a daemon that is starting to be able to serve.
--- a/src/calls/metadata.rs
+++ b/src/calls/metadata.rs
@@ -16,7 +16,7 @@
 use crate::wire;
 
 /// Header that carries a [`Handover`].
-pub const HANDOVER: &str = "x-jackdaw-handover";
+pub const METADATA: &str = "x-jackdaw-handover";
 /// Header with the service that is called.
 const SERVICE: &str = "x-jackdaw-service";
 /// Header with the upstream group of the route.
@@ -29,7 +29,7 @@
 
 /// What a gate needs to know of a call, beside the HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handover {
+pub struct Metadata {
     /// Identifier of the call.
     pub id: String,
     /// Service that is called.
@@ -61,7 +61,7 @@
 }
 
 /// Writes what the gate needs to know.
-pub fn write_handover(headers: &mut HeaderMap, mut handover: Handover) {
+pub fn write_metadata(headers: &mut HeaderMap, mut handover: Metadata) {
     let names = [
         (SERVICE, &mut handover.service.0),
         (GROUP, &mut handover.group),
@@ -77,7 +77,7 @@
             name.clear();
         }
     }
-    headers.insert(HANDOVER, wire::to_header(&handover));
+    headers.insert(METADATA, wire::to_header(&handover));
 }
 
 /// Takes what the gate needs to know out of the headers of a call.
@@ -85,12 +85,12 @@
 /// # Errors
 ///
 /// [`Error::Frame`](crate::Error::Frame) when it does not decode.
-pub fn read_handover(headers: &mut HeaderMap) -> Result<Handover> {
+pub fn read_metadata(headers: &mut HeaderMap) -> Result<Metadata> {
     let mut take = |name| {
         let value: Option<HeaderValue> = headers.remove(name);
         value.and_then(|value| value.to_str().ok().map(str::to_owned))
     };
-    let mut handover: Handover = wire::from_header(&take(HANDOVER).unwrap_or_default())?;
+    let mut handover: Metadata = wire::from_header(&take(METADATA).unwrap_or_default())?;
     if let Some(service) = take(SERVICE) {
         handover.service = Service(service);
     }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -14,8 +14,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::executor::{Received, Waited, Work};
-use crate::calls::metadata::Handover;
+use crate::calls::executor::{Executor, QueueTime, Received};
+use crate::calls::metadata::Metadata;
 use crate::calls::origins::Origins;
 use crate::calls::outcome::{self, Reason};
 use crate::idempotency::guard::Keys;
@@ -26,9 +26,9 @@
 
 /// Bounds and dispatches the work of the co-located target.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Sidecar {
     board: Arc<Board>,
-    work: Arc<Work>,
+    work: Arc<Executor>,
     keys: Arc<Keys>,
     /// Held for a few instructions.
     origins: Mutex<Origins>,
@@ -74,11 +74,11 @@
     }
 }
 
-impl Gate {
+impl Sidecar {
     /// A gate to whatever target the board names.
     #[must_use]
     pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
-        let work = Arc::new(Work::new(Arc::clone(&board)));
+        let work = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
             work,
@@ -94,7 +94,7 @@
     }
 
     /// Runs a request, or says why not.
-    pub async fn run(&self, handover: Handover, request: Request<Body>) -> Response<Body> {
+    pub async fn run(&self, handover: Metadata, request: Request<Body>) -> Response<Body> {
         let (id, key) = (handover.id.clone(), handover.key.clone());
         let nested = self.is_nested(&handover);
         let received = Received::new(handover, request, self.board.begin());
@@ -117,7 +117,7 @@
                 outcome::notice(reason)
             }
         };
-        let waited = response.extensions().get::<Waited>().copied();
+        let waited = response.extensions().get::<QueueTime>().copied();
         let load = self.report(waited.unwrap_or_default(), nested);
         if let Ok(load) = HeaderValue::from_str(&load.to_string()) {
             response.headers_mut().insert(LOAD, load);
@@ -126,7 +126,7 @@
     }
 
     /// Whether only targets call the route of a request, which is noted.
-    fn is_nested(&self, handover: &Handover) -> bool {
+    fn is_nested(&self, handover: &Metadata) -> bool {
         if handover.from == Service::default() {
             return false;
         }
@@ -135,7 +135,7 @@
         origins.note(&handover.route, &handover.from, &roster.fleet)
     }
 
-    fn report(&self, waited: Waited, nested: bool) -> Load {
+    fn report(&self, waited: QueueTime, nested: bool) -> Load {
         let (running, waiting) = self.load();
         Load {
             in_flight: running + u32::try_from(waiting).unwrap_or(u32::MAX),
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -22,25 +22,25 @@
 /// on its way at once.
 ///
 /// Small calls that go to the same host wait behind what is on its way.
-pub const REQUEST_WINDOW: u32 = 8 << 10;
+pub const REQUEST_WINDOW_BYTES: u32 = 8 << 10;
 /// Bodies up to this many bytes go along with their heads, for all the difference that they make to a
 /// link.
-const SMALL_BODY: u64 = REQUEST_WINDOW as u64;
+const SMALL_BODY_BYTES: u64 = REQUEST_WINDOW_BYTES as u64;
 
 /// Whether a body takes a link its time, and is better asked for than sent along.
 #[must_use]
 pub fn is_large(headers: &HeaderMap, body: &Body) -> bool {
     let length = headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    let small = length.is_some_and(|length| length <= SMALL_BODY);
+    let small = length.is_some_and(|length| length <= SMALL_BODY_BYTES);
     !small && !http_body::Body::is_end_stream(body)
 }
 
 /// A body that a peer holds back until it is asked for; kept with its request inside the daemon.
 #[derive(Debug, Clone, Default)]
-pub struct HeldBack(Arc<Notify>);
+pub struct Continue(Arc<Notify>);
 
-impl HeldBack {
+impl Continue {
     /// Asks for it.
     pub fn ask(&self) {
         self.0.notify_one();
@@ -134,12 +134,12 @@
 
 /// A body that keeps a value, such as a slot, until it ends or is dropped.
 #[derive(Debug)]
-pub struct Held<T> {
+pub struct Guarded<T> {
     body: Body,
     _value: T,
 }
 
-impl<T: Send + Sync + Unpin + 'static> Held<T> {
+impl<T: Send + Sync + Unpin + 'static> Guarded<T> {
     /// A body that keeps `value`.
     #[must_use]
     pub fn wrap(body: Body, value: T) -> Body {
@@ -150,7 +150,7 @@
     }
 }
 
-impl<T: Unpin> http_body::Body for Held<T> {
+impl<T: Unpin> http_body::Body for Guarded<T> {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -172,7 +172,7 @@
 
 /// A body that was taken in.
 #[derive(Debug)]
-pub enum Gathered {
+pub enum Buffered {
     /// All of it.
     Whole(Bytes),
     /// More than was allowed: what came, and the rest when it comes.
@@ -184,34 +184,34 @@
 /// # Errors
 ///
 /// What broke before the end.
-pub async fn gather(mut body: Body, limit: usize) -> Result<Gathered, BoxError> {
+pub async fn buffer(mut body: Body, limit: usize) -> Result<Buffered, BoxError> {
     let mut taken = BytesMut::new();
     while taken.len() <= limit {
         let Some(frame) = body.frame().await else {
-            return Ok(Gathered::Whole(taken.freeze()));
+            return Ok(Buffered::Whole(taken.freeze()));
         };
         if let Ok(data) = frame?.into_data() {
             if taken.is_empty() && http_body::Body::is_end_stream(&body) {
-                return Ok(Gathered::Whole(data));
+                return Ok(Buffered::Whole(data));
             }
             taken.extend_from_slice(&data);
         }
     }
-    let begun = Begun {
+    let begun = Prefixed {
         taken: Some(taken.freeze()),
         rest: body,
     };
-    Ok(Gathered::Partly(Body::from_body(begun)))
+    Ok(Buffered::Partly(Body::from_body(begun)))
 }
 
 /// A body whose first part has been taken in.
 #[derive(Debug)]
-struct Begun {
+struct Prefixed {
     taken: Option<Bytes>,
     rest: Body,
 }
 
-impl http_body::Body for Begun {
+impl http_body::Body for Prefixed {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -231,7 +231,7 @@
 /// # Errors
 ///
 /// What broke; the stream is reset, so that the receiver sees a body cut short.
-pub async fn pump(mut body: Body, mut stream: SendStream<Bytes>) -> Result<(), BoxError> {
+pub async fn send_body(mut body: Body, mut stream: SendStream<Bytes>) -> Result<(), BoxError> {
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
@@ -260,7 +260,7 @@
 /// # Errors
 ///
 /// What broke.
-pub async fn send_whole(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), BoxError> {
+pub async fn send_message(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), BoxError> {
     send(stream, data, true).await
 }
 
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -14,8 +14,8 @@
 use crate::board::Board;
 use crate::calls::callers::Callers;
 use crate::calls::http_server::{self, Phase};
-use crate::calls::ingress::Entry;
-use crate::calls::sidecar::Gate;
+use crate::calls::ingress::Ingress;
+use crate::calls::sidecar::Sidecar;
 use crate::configuration::config::Store;
 use crate::configuration::document::Bounds;
 use crate::configuration::log::Log;
@@ -157,7 +157,7 @@
         Arc::clone(&links),
         log.clone(),
     ));
-    let gate = Arc::new(Gate::new(Arc::clone(&board), Arc::clone(&keys)));
+    let gate = Arc::new(Sidecar::new(Arc::clone(&board), Arc::clone(&keys)));
     let server = Arc::new(Server {
         board: Arc::clone(&board),
         gate: Arc::clone(&gate),
@@ -197,7 +197,7 @@
         archive: archive.clone(),
         desk: Arc::clone(&desk),
     };
-    let entry = Arc::new(Entry::new(Arc::clone(&board), gate));
+    let entry = Arc::new(Ingress::new(Arc::clone(&board), gate));
     let refresher = Refresher::new(&board, &membership, &reader);
 
     let listener = server.listen().await?;
@@ -251,7 +251,7 @@
 fn operator(
     board: &Arc<Board>,
     publisher: Publisher,
-    gate: &Arc<Gate>,
+    gate: &Arc<Sidecar>,
     keys: &Arc<Keys>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
@@ -322,7 +322,7 @@
             listener,
             Callers::new(OTHERS),
             phases,
-            http_server::Limits::Fixed(Bounds::default()),
+            http_server::BoundsSource::Fixed(Bounds::default()),
             routed,
         ));
     }
@@ -337,7 +337,7 @@
 
 /// Serves callers. A host that another daemon can stand in for refuses them until this one is
 /// ready; where callers know no other daemon, each is told to come back.
-async fn serve_calls(board: Arc<Board>, entry: Arc<Entry>, phases: watch::Receiver<Phase>) {
+async fn serve_calls(board: Arc<Board>, entry: Arc<Ingress>, phases: watch::Receiver<Phase>) {
     if board.settings.accept_ms == Millis(0) {
         let mut stages = board.stages();
         let ready = stages.wait_for(|stage| *stage != Stage::Starting).await;
@@ -354,7 +354,7 @@
         }
     };
     let callers = Callers::new(board.settings.callers);
-    let limits = http_server::Limits::InForce(board);
+    let limits = http_server::BoundsSource::InForce(board);
     let handler = move |request| {
         let entry = Arc::clone(&entry);
         async move { entry.serve(request).await }
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/guard.rs
@@ -11,7 +11,7 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::executor::{Received, Work};
+use crate::calls::executor::{Executor, Received};
 use crate::calls::outcome::{Fate, Reason};
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
@@ -108,7 +108,7 @@
         self: &Arc<Self>,
         key: CallKey,
         received: Received,
-        work: &Arc<Work>,
+        work: &Arc<Executor>,
     ) -> Result<Response<Body>, Reason> {
         let service = received.service().clone();
         *self.service.lock().unwrap_or_else(PoisonError::into_inner) = Some(service);
@@ -147,7 +147,7 @@
         &self,
         key: &CallKey,
         received: Received,
-        work: &Work,
+        work: &Executor,
     ) -> Result<Response<Body>, Reason> {
         self.prove(&received, key).await?;
         work.run(received).await
@@ -157,7 +157,7 @@
         &self,
         key: &CallKey,
         received: Received,
-        work: &Work,
+        work: &Executor,
     ) -> Result<Response<Body>, Reason> {
         let claims = self.claims(received.service());
         let patience = received
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -13,7 +13,7 @@
 use volo_http::server::route::{get, post};
 
 use crate::board::Board;
-use crate::calls::sidecar::Gate;
+use crate::calls::sidecar::Sidecar;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
 use crate::configuration::fold::Proposal;
@@ -81,7 +81,7 @@
     /// Publishes edits.
     pub publisher: Publisher,
     /// Read for the state dump.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<Sidecar>,
     /// Read for the state dump.
     pub keys: Arc<Keys>,
     /// Renders metrics.
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::board::{Board, Target};
-use crate::calls::sidecar::Gate;
+use crate::calls::sidecar::Sidecar;
 use crate::configuration::reader;
 use crate::idempotency::guard::Keys;
 use crate::membership::member::{Health, Member, Stage};
@@ -143,7 +143,7 @@
 impl Dump {
     /// Reads a daemon.
     #[must_use]
-    pub fn of(board: &Board, gate: &Gate, keys: &Keys) -> Self {
+    pub fn of(board: &Board, gate: &Sidecar, keys: &Keys) -> Self {
         let now = Instant::now();
         let config = board.config();
         let roster = board.roster();
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -144,7 +144,7 @@
             let request = request.map_err(|e| self.unreachable(&e.to_string()))?;
             let sent = sender.send_request(request, false);
             let (response, mut stream) = sent.map_err(|e| self.unreachable(&e.to_string()))?;
-            stream::send_whole(&mut stream, body)
+            stream::send_message(&mut stream, body)
                 .await
                 .map_err(|e| self.failed(&e.to_string()))?;
             let response = response.await.map_err(|e| self.failed(&e.to_string()))?;
@@ -270,7 +270,7 @@
             return response.await;
         }
     }
-    let mut pumping = Box::pin(stream::pump(body, stream));
+    let mut pumping = Box::pin(stream::send_body(body, stream));
     tokio::select! {
         biased;
         answer = &mut response => {
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -14,9 +14,9 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::metadata::{HANDOVER, read_handover};
-use crate::calls::sidecar::Gate;
-use crate::calls::stream::{self, HeldBack, Incoming, REQUEST_WINDOW};
+use crate::calls::metadata::{METADATA, read_metadata};
+use crate::calls::sidecar::Sidecar;
+use crate::calls::stream::{self, Continue, Incoming, REQUEST_WINDOW_BYTES};
 use crate::calls::transit::Transit;
 use crate::clock;
 use crate::configuration::exchange::{Pull, Reply};
@@ -44,7 +44,7 @@
     /// The blackboard.
     pub board: Arc<Board>,
     /// Takes calls.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<Sidecar>,
     /// Takes notes of keys.
     pub keys: Arc<Keys>,
     /// Takes and serves content.
@@ -89,7 +89,7 @@
         let calls = counted.calls();
         let transit = Arc::new(Transit::default());
         let mut connection = h2::server::Builder::new()
-            .initial_window_size(REQUEST_WINDOW)
+            .initial_window_size(REQUEST_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_concurrent_streams(MAX_STREAMS)
             .max_header_list_size(MAX_HEAD)
@@ -98,7 +98,7 @@
         while let Some(accepted) = connection.accept().await {
             let (request, respond) = accepted?;
             let server = Arc::clone(self);
-            if request.headers().contains_key(HANDOVER) {
+            if request.headers().contains_key(METADATA) {
                 calls.store(true, Ordering::Relaxed);
                 let transit = Arc::clone(&transit);
                 tokio::spawn(async move { server.call(request, respond, &transit).await });
@@ -122,7 +122,7 @@
         match answer {
             Ok(answer) => {
                 if let Ok(mut stream) = respond.send_response(Response::new(()), false) {
-                    let _ = stream::send_whole(&mut stream, answer).await;
+                    let _ = stream::send_message(&mut stream, answer).await;
                 }
             }
             Err(error) => {
@@ -167,7 +167,7 @@
         transit: &Transit,
     ) {
         let (mut parts, stream) = request.into_parts();
-        let Ok(mut handover) = read_handover(&mut parts.headers) else {
+        let Ok(mut handover) = read_metadata(&mut parts.headers) else {
             metrics::counter!("jackdaw_bad_frames_total").increment(1);
             respond.send_reset(H2Reason::REFUSED_STREAM);
             return;
@@ -178,7 +178,7 @@
         let late = Millis::from(transit.late(handover.sent_ms, clock::boot_ms()));
         handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
         handover.tolerance.0 = handover.tolerance.0.saturating_sub(late.0);
-        let held_back = HeldBack::default();
+        let held_back = Continue::default();
         if parts.headers.contains_key(header::EXPECT) {
             parts.extensions.insert(held_back.clone());
         }
@@ -210,6 +210,6 @@
     if let Ok(stream) = respond.send_response(Response::from_parts(parts, ()), empty)
         && !empty
     {
-        let _ = stream::pump(body, stream).await;
+        let _ = stream::send_body(body, stream).await;
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{fixed, numbered, route};
-use jackdawpulley::calls::metadata::Handover;
+use jackdawpulley::calls::metadata::Metadata;
 use jackdawpulley::configuration::delta::Delta;
 use jackdawpulley::configuration::exchange::{Body, Packed, Pull, Reply, Update};
 use jackdawpulley::idempotency::keys::Note;
@@ -22,7 +22,7 @@
     let _ = wire::decode::<Pull>(bytes);
     let _ = wire::decode::<Join>(bytes);
     let _ = wire::decode::<Note>(bytes);
-    let _ = wire::decode::<Handover>(bytes);
+    let _ = wire::decode::<Metadata>(bytes);
 }
 
 proptest! {
@@ -54,7 +54,7 @@
 
     #[test]
     fn any_header_text_is_survived(text in ".{0,80}") {
-        let _ = wire::from_header::<Handover>(&text);
+        let _ = wire::from_header::<Metadata>(&text);
     }
 }
 
