--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -13,7 +13,7 @@
 use crate::board::Board;
 use crate::calls::call::{Call, Part};
 use crate::calls::choice::Chooser;
-use crate::calls::outcome::{Fate, OUTCOME, REASON, Reason};
+use crate::calls::outcome::{OUTCOME, Outcome, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
 use crate::calls::sidecar::{Load, Sidecar};
 use crate::calls::stream::Guarded;
@@ -26,7 +26,7 @@
 
 /// What an attempt came to.
 #[derive(Debug)]
-pub enum Attempt {
+pub enum Reply {
     /// The target's own answer.
     Answered(Response<Body>),
     /// None, for this reason.
@@ -35,7 +35,7 @@
 
 /// Makes attempts on behalf of an entry.
 #[derive(Debug)]
-pub struct Attempts {
+pub struct Sender {
     board: Arc<Board>,
     gate: Arc<Sidecar>,
     budgets: Budgets,
@@ -43,7 +43,7 @@
     pub chooser: Chooser,
 }
 
-impl Attempts {
+impl Sender {
     /// Attempts that hand local work to `gate`.
     #[must_use]
     pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
@@ -79,7 +79,7 @@
     ///
     /// Guards against a gate or target that is frozen: it takes the request and is silent, and
     /// waiting for the deadline would lose a read that another target could have answered.
-    pub async fn race(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Attempt {
+    pub async fn race(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
         let typical = self.chooser.experience.typical(&call.plan.route.name);
@@ -106,21 +106,21 @@
         let needs = self.chooser.needs(&second, &typical);
         let second = Box::pin(self.attempt(&second, call.part(needs), ejection));
         let (earlier, other) = match select(first, second).await {
-            Either::Left((Attempt::Failed(reason), other)) => (reason, Either::Left(other)),
-            Either::Right((Attempt::Failed(reason), other)) => (reason, Either::Right(other)),
+            Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
+            Either::Right((Reply::Failed(reason), other)) => (reason, Either::Right(other)),
             Either::Left((answered, _)) | Either::Right((answered, _)) => return answered,
         };
         match other.await {
-            Attempt::Failed(reason) => Attempt::Failed(earlier.followed_by(reason)),
-            answered @ Attempt::Answered(_) => answered,
+            Reply::Failed(reason) => Reply::Failed(earlier.followed_by(reason)),
+            answered @ Reply::Answered(_) => answered,
         }
     }
 
-    async fn attempt(&self, upstream: &Arc<Upstream>, part: Part, rule: &Ejection) -> Attempt {
+    async fn attempt(&self, upstream: &Arc<Upstream>, part: Part, rule: &Ejection) -> Reply {
         let own = upstream.begin();
         let left = part.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Attempt::Failed(Reason::Expired);
+            return Reply::Failed(Reason::Expired);
         }
         let service = part.handover.service.clone();
         let route = part.handover.route.clone();
@@ -138,10 +138,10 @@
         };
         let load = result.as_ref().ok();
         let load = load.and_then(|response| Load::of(response.headers()));
-        let attempt = result.map_or_else(Attempt::Failed, judge);
+        let attempt = result.map_or_else(Reply::Failed, judge);
         let seen = match &attempt {
-            Attempt::Answered(response) => Ok(response),
-            Attempt::Failed(reason) => Err(*reason),
+            Reply::Answered(response) => Ok(response),
+            Reply::Failed(reason) => Err(*reason),
         };
         let experience = &self.chooser.experience;
         if experience.learn(upstream, seen, load, began, &route) {
@@ -152,28 +152,28 @@
             upstream.failed(now, rule, out, upstreams.len());
         }
         match attempt {
-            Attempt::Answered(response) => {
+            Reply::Answered(response) => {
                 let (parts, body) = response.into_parts();
-                Attempt::Answered(Response::from_parts(parts, Guarded::wrap(body, own)))
+                Reply::Answered(Response::from_parts(parts, Guarded::wrap(body, own)))
             }
-            failed @ Attempt::Failed(_) => failed,
+            failed @ Reply::Failed(_) => failed,
         }
     }
 }
 
 /// Reads a gate's answer: the target's own, or a reason.
-fn judge(response: Response<Body>) -> Attempt {
+fn judge(response: Response<Body>) -> Reply {
     let text = |name| {
         response
             .headers()
             .get(name)
             .and_then(|value: &HeaderValue| value.to_str().ok())
     };
-    let answered = text(OUTCOME).is_some_and(|fate| fate == Fate::Answered.to_string());
+    let answered = text(OUTCOME).is_some_and(|fate| fate == Outcome::Answered.to_string());
     if answered {
-        return Attempt::Answered(response);
+        return Reply::Answered(response);
     }
     let reason = text(REASON).and_then(|reason| reason.parse().ok());
     // A gate that gives no reason we know proves nothing.
-    Attempt::Failed(reason.unwrap_or(Reason::Broken))
+    Reply::Failed(reason.unwrap_or(Reason::Broken))
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -16,7 +16,7 @@
 use crate::calls::dispatch::Dispatcher;
 use crate::calls::line::{Bid, Line, Permit};
 use crate::calls::metadata::Metadata;
-use crate::calls::outcome::{Fate, OUTCOME, Reason};
+use crate::calls::outcome::{OUTCOME, Outcome as CallOutcome, Reason};
 use crate::calls::patience;
 use crate::calls::stream::{self, Buffered, Continue, Guarded};
 use crate::configuration::document::Guard;
@@ -318,7 +318,7 @@
         // The entry knows the call's identifier and writes it.
         headers.remove(&dialect.call);
         let answered = HeaderValue::from_static("answered");
-        debug_assert_eq!(Fate::Answered.to_string(), "answered");
+        debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
         headers.insert(OUTCOME, answered);
         response.extensions_mut().insert(QueueTime(self.waited));
         let (parts, body) = response.into_parts();
--- a/src/calls/experience.rs
+++ b/src/calls/experience.rs
@@ -59,15 +59,15 @@
         let response = match attempt {
             Ok(response) => response,
             Err(reason) => {
-                if reason.blames_upstream() || reason == Reason::Shed {
+                if reason.is_upstream_failure() || reason == Reason::Shed {
                     upstream.pace().failed(now);
                 }
                 // Guards against the time that news of a leaving daemon or target take: until then
                 // every call would go there, be refused and go on to another.
-                if reason.is_absence() && reason != Reason::Moved {
+                if reason.is_unavailable() && reason != Reason::Moved {
                     upstream.absent(now);
                 }
-                return reason.blames_upstream();
+                return reason.is_upstream_failure();
             }
         };
         let failed = response.status().is_server_error();
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -14,7 +14,7 @@
 use volo_http::body::Body;
 
 use crate::board::{Board, Snapshot};
-use crate::calls::attempt::{Attempt, Attempts};
+use crate::calls::attempt::{Reply, Sender};
 use crate::calls::call::Call;
 use crate::calls::outcome::{self, OUTCOME, REASON, Reason};
 use crate::calls::retry;
@@ -51,7 +51,7 @@
 pub struct Ingress {
     board: Arc<Board>,
     calls: AtomicU64,
-    attempts: Attempts,
+    attempts: Sender,
 }
 
 impl Ingress {
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
         Self {
-            attempts: Attempts::new(Arc::clone(&board), gate),
+            attempts: Sender::new(Arc::clone(&board), gate),
             board,
             calls: AtomicU64::new(0),
         }
@@ -84,7 +84,7 @@
         let id = id.unwrap_or_default();
         let mut response = match prepared {
             Ok(call) => self.complete(call).await,
-            Err(reason) => outcome::refusal(&id, reason),
+            Err(reason) => outcome::caller_refusal(&id, reason),
         };
         let quarantined = response.extensions_mut().remove::<Until>();
         let headers = response.headers_mut();
@@ -162,7 +162,7 @@
             let (own, reported) = upstream.load();
             info!(self.board.logger, "attempt failed"; "call" => &call.handover.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
-                "reason" => %reason, "fate" => %reason.fate(), "made" => call.made,
+                "reason" => %reason, "fate" => %reason.outcome(), "made" => call.made,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
                 "own" => own, "reported" => reported, "goes_on" => goes_on);
         }
@@ -257,13 +257,13 @@
                 break;
             };
             let reason = match self.attempts.race(&upstream, call).await {
-                Attempt::Answered(response) => return Some(response),
-                Attempt::Failed(reason) => reason,
+                Reply::Answered(response) => return Some(response),
+                Reply::Failed(reason) => reason,
             };
             call.failed(reason);
-            call.made += u32::from(!reason.is_absence() && reason != Reason::Overloaded);
+            call.made += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
             // A key belongs to one gate: it is asked again, unless it is not there.
-            if call.handover.key.is_none() || reason.is_absence() {
+            if call.handover.key.is_none() || reason.is_unavailable() {
                 call.tried.push(upstream.peer);
             }
             if matches!(reason, Reason::Draining | Reason::NoTarget) {
@@ -273,7 +273,7 @@
             let full = reason == Reason::Overloaded && call.handover.key.is_none();
             // Where no target was burdened, neither the rule's attempts nor the budget are
             // touched; each upstream is asked only once.
-            let free = reason.is_absence() || full;
+            let free = reason.is_unavailable() || full;
             refusals += u32::from(full);
             call.crowded |= full;
             // One that has to run apart is refused while another of its kind runs; the next target is
@@ -302,7 +302,7 @@
 
     fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
         let repeatable = call.handover.repeatable;
-        let allowed = retry::again(rule, call.made, repeatable, reason.fate(), call.left());
+        let allowed = retry::again(rule, call.made, repeatable, reason.outcome(), call.left());
         call.sendable() && allowed && self.attempts.afford(rule, call)
     }
 
@@ -310,7 +310,7 @@
         let reason = call.reason.unwrap_or(Reason::NoTarget);
         debug!(self.board.logger, "call given up";
             "call" => &call.handover.id, "reason" => %reason, "tried" => call.tried.len());
-        let mut response = outcome::refusal(&call.handover.id, reason);
+        let mut response = outcome::caller_refusal(&call.handover.id, reason);
         if let Some(until) = self
             .quarantined(call)
             .filter(|_| reason == Reason::Quarantined)
--- a/src/calls/outcome.rs
+++ b/src/calls/outcome.rs
@@ -23,7 +23,7 @@
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
-pub enum Fate {
+pub enum Outcome {
     /// The target's own answer.
     Answered,
     /// It was never dispatched, or was refused before it ran.
@@ -84,10 +84,10 @@
 impl Reason {
     /// Whether the reason proves that the request did not run.
     #[must_use]
-    pub const fn fate(self) -> Fate {
+    pub const fn outcome(self) -> Outcome {
         match self {
-            Self::Broken | Self::TimedOut | Self::CutShort | Self::KeyInDoubt => Fate::Unknown,
-            _ => Fate::NotRun,
+            Self::Broken | Self::TimedOut | Self::CutShort | Self::KeyInDoubt => Outcome::Unknown,
+            _ => Outcome::NotRun,
         }
     }
 
@@ -97,7 +97,7 @@
     /// refused must not be reported as not run.
     #[must_use]
     pub fn followed_by(self, later: Self) -> Self {
-        if self.fate() == Fate::Unknown {
+        if self.outcome() == Outcome::Unknown {
             self
         } else {
             later
@@ -106,7 +106,7 @@
 
     /// Whether the upstream was simply not there to take the request.
     #[must_use]
-    pub const fn is_absence(self) -> bool {
+    pub const fn is_unavailable(self) -> bool {
         matches!(
             self,
             Self::Draining | Self::Misdirected | Self::Moved | Self::NoTarget | Self::Unreachable
@@ -115,7 +115,7 @@
 
     /// Whether the reason speaks against the upstream.
     #[must_use]
-    pub const fn blames_upstream(self) -> bool {
+    pub const fn is_upstream_failure(self) -> bool {
         matches!(self, Self::Broken | Self::TimedOut | Self::Unreachable)
     }
 
@@ -152,7 +152,7 @@
     /// Identifier of the call.
     pub id: String,
     /// What is known.
-    pub outcome: Fate,
+    pub outcome: Outcome,
     /// Why.
     pub reason: Reason,
 }
@@ -162,7 +162,7 @@
 /// It has no body: the entry writes the caller's, and under overload a gate refuses several requests
 /// for each one that it runs.
 #[must_use]
-pub fn notice(reason: Reason) -> Response<Body> {
+pub fn sidecar_refusal(reason: Reason) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
@@ -172,10 +172,10 @@
 
 /// The response that tells a caller why there is no answer.
 #[must_use]
-pub fn refusal(id: &str, reason: Reason) -> Response<Body> {
+pub fn caller_refusal(id: &str, reason: Reason) -> Response<Body> {
     let report = Report {
         id: id.to_owned(),
-        outcome: reason.fate(),
+        outcome: reason.outcome(),
         reason,
     };
     let body = serde_json::to_vec(&report).unwrap_or_default();
@@ -189,7 +189,7 @@
         HeaderValue::from_static("application/json"),
     );
     headers.insert(REASON, value(&reason.to_string()));
-    headers.insert(OUTCOME, value(&reason.fate().to_string()));
+    headers.insert(OUTCOME, value(&reason.outcome().to_string()));
     if let Some(after) = reason.retry_after() {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs()));
     }
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -20,7 +20,7 @@
 
 use arc_swap::ArcSwap;
 
-use crate::calls::outcome::Fate;
+use crate::calls::outcome::Outcome;
 use crate::configuration::document::Retry;
 use crate::units::{Percent, Priority, Service};
 
@@ -182,13 +182,13 @@
 /// `made` attempts have been made, `left` is the time until the deadline, and `fate` is what is
 /// known of the last attempt.
 #[must_use]
-pub fn again(rule: &Retry, made: u32, repeatable: bool, fate: Fate, left: Duration) -> bool {
+pub fn again(rule: &Retry, made: u32, repeatable: bool, fate: Outcome, left: Duration) -> bool {
     // Guards the promise of at-most-once: a request whose fate is unknown may have run, and only
     // a repeatable one may run again.
     let harmless = match fate {
-        Fate::NotRun => true,
-        Fate::Unknown => repeatable,
-        Fate::Answered => false,
+        Outcome::NotRun => true,
+        Outcome::Unknown => repeatable,
+        Outcome::Answered => false,
     };
     harmless && made < rule.attempts && !left.is_zero()
 }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -114,7 +114,7 @@
                         "reason" => %reason, "running" => self.load().0,
                         "instance" => instance.map(|instance| instance.0));
                 }
-                outcome::notice(reason)
+                outcome::sidecar_refusal(reason)
             }
         };
         let waited = response.extensions().get::<QueueTime>().copied();
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/guard.rs
@@ -12,7 +12,7 @@
 
 use crate::board::Board;
 use crate::calls::executor::{Executor, Received};
-use crate::calls::outcome::{Fate, Reason};
+use crate::calls::outcome::{Outcome, Reason};
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
 use crate::idempotency::claim::Claims;
@@ -170,7 +170,7 @@
         let claim = claim.unwrap_or(Err(Reason::LogAway))?;
         let result = work.run(received).await;
         if let Err(reason) = &result
-            && reason.fate() == Fate::NotRun
+            && reason.outcome() == Outcome::NotRun
         {
             claims.release(claim);
         }
@@ -370,7 +370,7 @@
                 answered
             }
             Err(reason) => {
-                let state = (reason.fate() == Fate::Unknown).then_some(State::Doubt);
+                let state = (reason.outcome() == Outcome::Unknown).then_some(State::Doubt);
                 self.end(state);
                 Err(reason)
             }
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::fixed;
-use jackdawpulley::calls::outcome::{Fate, Reason};
+use jackdawpulley::calls::outcome::{Outcome, Reason};
 use jackdawpulley::calls::retry::{Budget, again, backoff};
 use jackdawpulley::configuration::document::Retry;
 use jackdawpulley::units::{Millis, Percent, Priority};
@@ -26,16 +26,16 @@
 /// to another target: the viewer is charged twice. Only a proof that it did not run allows that.
 #[test]
 fn unknown_fate_is_final_unless_repeatable() {
-    assert!(!again(&rule(), 1, false, Fate::Unknown, LEFT));
-    assert!(again(&rule(), 1, true, Fate::Unknown, LEFT));
-    assert!(again(&rule(), 1, false, Fate::NotRun, LEFT));
+    assert!(!again(&rule(), 1, false, Outcome::Unknown, LEFT));
+    assert!(again(&rule(), 1, true, Outcome::Unknown, LEFT));
+    assert!(again(&rule(), 1, false, Outcome::NotRun, LEFT));
 }
 
 #[test]
 fn attempts_and_deadline_bound_retries() {
-    assert!(!again(&rule(), 3, true, Fate::NotRun, LEFT));
-    assert!(!again(&rule(), 1, true, Fate::NotRun, Duration::ZERO));
-    assert!(!again(&rule(), 1, true, Fate::Answered, LEFT));
+    assert!(!again(&rule(), 3, true, Outcome::NotRun, LEFT));
+    assert!(!again(&rule(), 1, true, Outcome::NotRun, Duration::ZERO));
+    assert!(!again(&rule(), 1, true, Outcome::Answered, LEFT));
     assert_eq!(backoff(&rule(), LEFT, 1.0), LEFT / 4);
 }
 
@@ -104,7 +104,7 @@
 #[test]
 fn only_proofs_are_called_not_run() {
     for reason in [Reason::Broken, Reason::TimedOut, Reason::KeyInDoubt] {
-        assert_eq!(reason.fate(), Fate::Unknown, "{reason}");
+        assert_eq!(reason.outcome(), Outcome::Unknown, "{reason}");
     }
     for reason in [
         Reason::Draining,
@@ -112,7 +112,7 @@
         Reason::Expired,
         Reason::Unreachable,
     ] {
-        assert_eq!(reason.fate(), Fate::NotRun, "{reason}");
+        assert_eq!(reason.outcome(), Outcome::NotRun, "{reason}");
     }
 }
 
@@ -121,8 +121,8 @@
 fn doubt_is_not_lost_in_later_attempts() {
     assert_eq!(Reason::Broken.followed_by(Reason::NoTarget), Reason::Broken);
     assert_eq!(
-        Reason::Broken.followed_by(Reason::Overloaded).fate(),
-        Fate::Unknown
+        Reason::Broken.followed_by(Reason::Overloaded).outcome(),
+        Outcome::Unknown
     );
     assert_eq!(
         Reason::Draining.followed_by(Reason::TimedOut),
