--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -11,7 +11,7 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::call::{Call, Part};
+use crate::calls::call::{Attempt, Call};
 use crate::calls::choice::Chooser;
 use crate::calls::outcome::{OUTCOME, Outcome, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
@@ -84,11 +84,11 @@
         let ejection = &Arc::clone(&call.group).ejection;
         let typical = self.chooser.experience.typical(&call.plan.route.name);
         let needs = self.chooser.needs(upstream, &typical);
-        let mut first = Box::pin(self.attempt(upstream, call.part(needs), ejection));
+        let mut first = Box::pin(self.attempt(upstream, call.attempt(needs), ejection));
         let simple = self.board.settings.retries == Retries::Fixed;
         // The first one counts as made once it has failed or has company.
         let alone = simple || !call.may_hedge() || self.chooser.is_suspect(call);
-        if alone || call.made + 2 > rule.attempts {
+        if alone || call.attempts + 2 > rule.attempts {
             return first.await;
         }
         let patience = call.left() / HEDGE_SHARE;
@@ -102,9 +102,9 @@
         };
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
-        call.made += 1;
+        call.attempts += 1;
         let needs = self.chooser.needs(&second, &typical);
-        let second = Box::pin(self.attempt(&second, call.part(needs), ejection));
+        let second = Box::pin(self.attempt(&second, call.attempt(needs), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
             Either::Right((Reply::Failed(reason), other)) => (reason, Either::Right(other)),
@@ -116,7 +116,7 @@
         }
     }
 
-    async fn attempt(&self, upstream: &Arc<Upstream>, part: Part, rule: &Ejection) -> Reply {
+    async fn attempt(&self, upstream: &Arc<Upstream>, part: Attempt, rule: &Ejection) -> Reply {
         let own = upstream.begin();
         let left = part.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -129,7 +129,7 @@
             if upstream.peer == self.board.settings.identity() {
                 Ok(self.gate.run(part.handover, part.request).await)
             } else {
-                part.hand_over(upstream).await
+                part.forward(upstream).await
             }
         };
         let result = match tokio::time::timeout(left, exchange).await {
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -38,17 +38,17 @@
     /// Upstreams that are not asked again.
     pub tried: Vec<SocketAddr>,
     /// Attempts that an upstream may have begun to work on.
-    pub made: u32,
+    pub attempts: u32,
     /// Whether any of it has been handed to an upstream.
     pub sent: bool,
     /// Whether a gate had no room for it.
-    pub crowded: bool,
+    pub overloaded: bool,
     /// Why it has no answer yet.
     pub reason: Option<Reason>,
     /// Time that the caller still gives, by its own word.
-    pub given: Option<Millis>,
+    pub caller_timeout: Option<Millis>,
     /// When the answer is no longer of full use.
-    prompt: Instant,
+    soft_deadline: Instant,
     deadline: Instant,
     head: request::Parts,
     body: Payload,
@@ -56,7 +56,7 @@
 
 /// What one attempt sends.
 #[derive(Debug)]
-pub struct Part {
+pub struct Attempt {
     /// What the gate needs to know.
     pub handover: Metadata,
     /// The request, with its body.
@@ -119,7 +119,7 @@
             priority: plan.route.rank(),
             sent_ms: 0,
             remaining: timeout,
-            tolerance: timeout,
+            max_wait: timeout,
             repeatable: plan.route.repeatable,
             key: key.filter(|_| !plan.route.repeatable),
             guard: plan.route.guard,
@@ -131,7 +131,7 @@
             head.headers.remove(name);
         }
         let largest = config.document.bounds.max_body;
-        let keeping = Payload::keep(body, &head, limit, largest);
+        let keeping = Payload::buffer(body, &head, limit, largest);
         let body = tokio::time::timeout_at(deadline.into(), keeping).await;
         let body = body.map_err(|_| Reason::Expired)??;
         let fingerprint = body.fingerprint(&head);
@@ -142,14 +142,14 @@
             },
             plan,
             group,
-            given: wanted,
-            prompt,
+            caller_timeout: wanted,
+            soft_deadline: prompt,
             deadline,
             head,
             body,
             tried: Vec::new(),
-            crowded: false,
-            made: 0,
+            overloaded: false,
+            attempts: 0,
             sent: false,
             reason: None,
         })
@@ -163,7 +163,7 @@
 
     /// Whether there is a body to send once more.
     #[must_use]
-    pub const fn sendable(&self) -> bool {
+    pub const fn is_sendable(&self) -> bool {
         matches!(self.body, Payload::Kept(_) | Payload::Stream(Some(_)))
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Notes why an attempt failed.
-    pub fn failed(&mut self, reason: Reason) {
+    pub fn record_failure(&mut self, reason: Reason) {
         let earlier = self.reason.map(|earlier| earlier.followed_by(reason));
         self.reason = Some(earlier.unwrap_or(reason));
     }
@@ -182,8 +182,11 @@
     /// Notes for how long the caller had waited before it sent this request.
     ///
     /// What it got before is over, but its time has been running since then.
-    pub fn waited(&mut self, before: Duration) {
-        self.prompt = self.prompt.checked_sub(before).unwrap_or(self.prompt);
+    pub fn deduct_earlier_wait(&mut self, before: Duration) {
+        self.soft_deadline = self
+            .soft_deadline
+            .checked_sub(before)
+            .unwrap_or(self.soft_deadline);
     }
 
     /// Notes that a running request needs the answer.
@@ -191,15 +194,15 @@
     /// Guards against work in vain: a call that is refused because its answer would come later than
     /// usual fails the request that made it, with all that has been done for that one. Its answer is
     /// of full use until the deadline.
-    pub const fn nest(&mut self) {
-        self.prompt = self.deadline;
+    pub const fn extend_soft_deadline(&mut self) {
+        self.soft_deadline = self.deadline;
     }
 
     /// Longest wait for a slot with which the next attempt is still of use, when it takes `needs`.
     #[must_use]
     pub fn tolerance(&self, needs: Duration) -> Duration {
         let until = if self.plan.route.latency_ms.is_some() {
-            self.prompt.min(self.deadline)
+            self.soft_deadline.min(self.deadline)
         } else {
             self.deadline
         };
@@ -208,7 +211,7 @@
     }
 
     /// What the next attempt sends; a streamed body can be taken only once.
-    pub fn part(&mut self, needs: Duration) -> Part {
+    pub fn attempt(&mut self, needs: Duration) -> Attempt {
         self.sent = true;
         let tolerance = Millis::from(self.tolerance(needs));
         let mut request = Request::new(self.body.take());
@@ -219,10 +222,10 @@
         let handover = Metadata {
             sent_ms: clock::boot_ms(),
             remaining,
-            tolerance,
+            max_wait: tolerance,
             ..self.handover.clone()
         };
-        Part {
+        Attempt {
             handover,
             request,
             deadline: self.deadline,
@@ -230,13 +233,13 @@
     }
 }
 
-impl Part {
+impl Attempt {
     /// Hands a request to the gate of another host.
     ///
     /// # Errors
     ///
     /// [`Reason::Unreachable`] when the gate has provably not processed it, else [`Reason::Broken`].
-    pub async fn hand_over(self, upstream: &Upstream) -> Result<Response<Body>, Reason> {
+    pub async fn forward(self, upstream: &Upstream) -> Result<Response<Body>, Reason> {
         let (mut parts, body) = self.request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = format!("http://{}{path}", upstream.peer);
@@ -285,7 +288,7 @@
         )
     }
 
-    async fn keep(
+    async fn buffer(
         body: Body,
         head: &request::Parts,
         limit: usize,
--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -123,7 +123,7 @@
         if settings.pick == pick::Policy::Expected {
             // Guards against a data centre that refuses its callers while others have room: gates refuse a request
             // before its wait there is as dear as the way.
-            let far_ms = if call.crowded {
+            let far_ms = if call.overloaded {
                 0.0
             } else {
                 settings.far_ms_per_kb
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -203,7 +203,7 @@
         }
         let mut bid = Bid {
             priority: self.handover.priority,
-            tolerance: self.handover.tolerance.duration(),
+            tolerance: self.handover.max_wait.duration(),
             patience: left / QUEUE_SHARE,
         };
         let (slots, queue) = work.sizes(&self.handover);
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -162,7 +162,7 @@
             let (own, reported) = upstream.load();
             info!(self.board.logger, "attempt failed"; "call" => &call.handover.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
-                "reason" => %reason, "fate" => %reason.outcome(), "made" => call.made,
+                "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
                 "own" => own, "reported" => reported, "goes_on" => goes_on);
         }
@@ -221,10 +221,10 @@
         call.handover.from = settings.service.clone().unwrap_or_default();
         let (experience, route) = (&self.attempts.chooser.experience, &call.plan.route.name);
         if experience.is_nested(route) {
-            call.nest();
-        } else if let Some(given) = call.given {
+            call.extend_soft_deadline();
+        } else if let Some(given) = call.caller_timeout {
             let before = experience.waited(route, given);
-            call.waited(before);
+            call.deduct_earlier_wait(before);
         }
         Ok(call)
     }
@@ -233,14 +233,14 @@
     async fn complete(&self, mut call: Call) -> Response<Body> {
         if self.quarantined(&call).is_some() {
             // The gates refuse it as well; here it costs nobody a slot or a way.
-            call.failed(Reason::Quarantined);
+            call.record_failure(Reason::Quarantined);
             return self.give_up(&call);
         }
         let answered = tokio::select! {
             answered = self.pursue(&mut call) => answered,
             () = self.board.until_cut() => {
                 let reason = if call.sent { Reason::CutShort } else { Reason::Draining };
-                call.failed(reason);
+                call.record_failure(reason);
                 None
             }
         };
@@ -260,8 +260,8 @@
                 Reply::Answered(response) => return Some(response),
                 Reply::Failed(reason) => reason,
             };
-            call.failed(reason);
-            call.made += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
+            call.record_failure(reason);
+            call.attempts += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
             // A key belongs to one gate: it is asked again, unless it is not there.
             if call.handover.key.is_none() || reason.is_unavailable() {
                 call.tried.push(upstream.peer);
@@ -275,14 +275,14 @@
             // touched; each upstream is asked only once.
             let free = reason.is_unavailable() || full;
             refusals += u32::from(full);
-            call.crowded |= full;
+            call.overloaded |= full;
             // One that has to run apart is refused while another of its kind runs; the next target is
             // not to end beside that one's.
             let held = reason == Reason::Overloaded && self.attempts.chooser.is_suspect(call);
             let goes_on = if held || reason == Reason::Quarantined {
                 false
             } else if free {
-                call.sendable() && !call.left().is_zero() && refusals < REFUSALS
+                call.is_sendable() && !call.left().is_zero() && refusals < REFUSALS
             } else {
                 self.may_retry(rule, call, reason)
             };
@@ -302,8 +302,14 @@
 
     fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
         let repeatable = call.handover.repeatable;
-        let allowed = retry::again(rule, call.made, repeatable, reason.outcome(), call.left());
-        call.sendable() && allowed && self.attempts.afford(rule, call)
+        let allowed = retry::again(
+            rule,
+            call.attempts,
+            repeatable,
+            reason.outcome(),
+            call.left(),
+        );
+        call.is_sendable() && allowed && self.attempts.afford(rule, call)
     }
 
     fn give_up(&self, call: &Call) -> Response<Body> {
--- a/src/calls/metadata.rs
+++ b/src/calls/metadata.rs
@@ -49,7 +49,7 @@
     /// Time left then until the answer's head is due.
     pub remaining: Millis,
     /// Longest wait for a slot with which it is still of use.
-    pub tolerance: Millis,
+    pub max_wait: Millis,
     /// Whether running it twice does no harm.
     pub repeatable: bool,
     /// The caller's idempotency key.
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -177,7 +177,7 @@
         // same, and the target would get more time than there is. The gate refuses what came too late.
         let late = Millis::from(transit.late(handover.sent_ms, clock::boot_ms()));
         handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
-        handover.tolerance.0 = handover.tolerance.0.saturating_sub(late.0);
+        handover.max_wait.0 = handover.max_wait.0.saturating_sub(late.0);
         let held_back = Continue::default();
         if parts.headers.contains_key(header::EXPECT) {
             parts.extensions.insert(held_back.clone());
