--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -51,7 +51,7 @@
     /// What the answer proves, where it can't be passed on.
     pub async fn judge(self, dispatcher: &Dispatcher) -> Result<Response<Body>, Reason> {
         if !self.is_own() {
-            dispatcher.suspect();
+            dispatcher.mark_suspect();
             return Err(Reason::Broken);
         }
         let misdirected = self.dialect.expected.is_some()
@@ -61,7 +61,7 @@
         let gathered = stream::buffer(Body::from_incoming(body), GATHERED).await;
         let body = match gathered.map_err(|_| Reason::Broken)? {
             Buffered::Whole(bytes) => {
-                self.lease.keep(&parts.headers);
+                self.lease.release(&parts.headers);
                 Body::from_body(Full::new(bytes))
             }
             Buffered::Partly(body) => Guarded::wrap(body, self.lease),
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -22,7 +22,7 @@
 use crate::settings::{Retries, Settings};
 
 /// Part of the time left after which a repeatable call is also sent to a second upstream.
-const HEDGE_SHARE: u32 = 2;
+const HEDGE_DELAY_DIVISOR: u32 = 2;
 
 /// What an attempt came to.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     }
 
     /// Whether the budget pays for one more request to an upstream.
-    pub fn afford(&self, rule: &Retry, call: &Call) -> bool {
+    pub fn withdraw_retry(&self, rule: &Retry, call: &Call) -> bool {
         let fixed = self.board.settings.retries == Retries::Fixed;
         fixed
             || self
@@ -79,32 +79,32 @@
     ///
     /// Guards against a gate or target that is frozen: it takes the request and is silent, and
     /// waiting for the deadline would lose a read that another target could have answered.
-    pub async fn race(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
+    pub async fn attempt_hedged(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
         let typical = self.chooser.experience.typical(&call.plan.route.name);
         let needs = self.chooser.needs(upstream, &typical);
-        let mut first = Box::pin(self.attempt(upstream, call.attempt(needs), ejection));
+        let mut first = Box::pin(self.attempt(upstream, call.next_attempt(needs), ejection));
         let simple = self.board.settings.retries == Retries::Fixed;
         // The first one counts as made once it has failed or has company.
         let alone = simple || !call.may_hedge() || self.chooser.is_suspect(call);
         if alone || call.attempts + 2 > rule.attempts {
             return first.await;
         }
-        let patience = call.left() / HEDGE_SHARE;
+        let patience = call.left() / HEDGE_DELAY_DIVISOR;
         if let Ok(attempt) = tokio::time::timeout(patience, &mut first).await {
             return attempt;
         }
         call.tried.push(upstream.peer);
         let second = match self.chooser.choose(call) {
-            Some(second) if self.afford(rule, call) => second,
+            Some(second) if self.withdraw_retry(rule, call) => second,
             _ => return first.await,
         };
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
         call.attempts += 1;
         let needs = self.chooser.needs(&second, &typical);
-        let second = Box::pin(self.attempt(&second, call.attempt(needs), ejection));
+        let second = Box::pin(self.attempt(&second, call.next_attempt(needs), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
             Either::Right((Reply::Failed(reason), other)) => (reason, Either::Right(other)),
@@ -137,8 +137,8 @@
             Err(_) => Err(Reason::TimedOut),
         };
         let load = result.as_ref().ok();
-        let load = load.and_then(|response| Load::of(response.headers()));
-        let attempt = result.map_or_else(Reply::Failed, judge);
+        let load = load.and_then(|response| Load::from_headers(response.headers()));
+        let attempt = result.map_or_else(Reply::Failed, parse_reply);
         let seen = match &attempt {
             Reply::Answered(response) => Ok(response),
             Reply::Failed(reason) => Err(*reason),
@@ -162,7 +162,7 @@
 }
 
 /// Reads a gate's answer: the target's own, or a reason.
-fn judge(response: Response<Body>) -> Reply {
+fn parse_reply(response: Response<Body>) -> Reply {
     let text = |name| {
         response
             .headers()
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -200,7 +200,7 @@
 
     /// Longest wait for a slot with which the next attempt is still of use, when it takes `needs`.
     #[must_use]
-    pub fn tolerance(&self, needs: Duration) -> Duration {
+    pub fn max_wait(&self, needs: Duration) -> Duration {
         let until = if self.plan.route.latency_ms.is_some() {
             self.soft_deadline.min(self.deadline)
         } else {
@@ -211,9 +211,9 @@
     }
 
     /// What the next attempt sends; a streamed body can be taken only once.
-    pub fn attempt(&mut self, needs: Duration) -> Attempt {
+    pub fn next_attempt(&mut self, needs: Duration) -> Attempt {
         self.sent = true;
-        let tolerance = Millis::from(self.tolerance(needs));
+        let tolerance = Millis::from(self.max_wait(needs));
         let mut request = Request::new(self.body.take());
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -21,21 +21,21 @@
 
 /// Time to open a connection to the target: it is on the same host, so a later one means that it
 /// takes none.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Header in which a target says how long it keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Time before that end after which a connection is not used again.
-const MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 /// Idle connections that are kept to the target.
-const IDLE_CONNECTIONS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// Idle time after which a connection carries no request that must not be repeated.
 ///
 /// Guards against a target that forgets an idle connection: what is sent on it next is reset and
 /// may have run for all that is known. A connection that was in use a moment ago is still known.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_secs(1);
 /// Time for which a target that sent bytes nobody asked for gets a fresh connection for each
 /// request that must not be repeated.
-const SUSPICION: Duration = Duration::from_secs(10);
+const SUSPECT_PERIOD: Duration = Duration::from_secs(10);
 
 /// Sends requests to the target, one at a time on each connection.
 #[derive(Debug)]
@@ -96,9 +96,9 @@
         repeatable: bool,
     ) -> Result<(Response<Incoming>, Connection), Reason> {
         let mut request = origin_form(request);
-        while let Some(mut sender) = self.kept(target, repeatable) {
+        while let Some(mut sender) = self.take_idle(target, repeatable) {
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, self.lease(target, sender))),
+                Ok(response) => return Ok((response, self.connection(target, sender))),
                 // The request comes back only if nothing of it was written.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
@@ -108,8 +108,8 @@
         }
         let mut sender = self.connect(target).await?;
         match sender.send_request(request).await {
-            Ok(response) => Ok((response, self.lease(target, sender))),
-            Err(error) if unsent(&error) => Err(Reason::Unreachable),
+            Ok(response) => Ok((response, self.connection(target, sender))),
+            Err(error) if is_provably_unsent(&error) => Err(Reason::Unreachable),
             Err(_) => Err(Reason::Broken),
         }
     }
@@ -118,18 +118,18 @@
     ///
     /// Guards against connections that went silent all at once: each of them would take a request
     /// and its whole time with it, one after the other.
-    pub fn doubt_idle(&self, began: Instant) {
+    pub fn close_idle_since_before(&self, began: Instant) {
         lock(&self.pool).kept.retain(|kept| kept.since >= began);
     }
 
     /// Notes that the target sent what nobody asked for, and closes what is kept to it.
-    pub fn suspect(&self) {
+    pub fn mark_suspect(&self) {
         let mut pool = lock(&self.pool);
-        pool.suspect_until = Some(Instant::now() + SUSPICION);
+        pool.suspect_until = Some(Instant::now() + SUSPECT_PERIOD);
         pool.kept.clear();
     }
 
-    fn lease(&self, target: SocketAddr, sender: SendRequest<Body>) -> Connection {
+    fn connection(&self, target: SocketAddr, sender: SendRequest<Body>) -> Connection {
         Connection {
             target,
             sender,
@@ -139,13 +139,17 @@
     }
 
     /// The connection that was used last, if it may carry the request.
-    fn kept(&self, target: SocketAddr, repeatable: bool) -> Option<SendRequest<Body>> {
+    fn take_idle(&self, target: SocketAddr, repeatable: bool) -> Option<SendRequest<Body>> {
         let now = Instant::now();
         let mut pool = lock(&self.pool);
         pool.kept
             .retain(|kept| kept.target == target && now < kept.until && kept.sender.is_ready());
         let suspect = pool.suspect_until.is_some_and(|until| now < until);
-        let oldest = if repeatable { self.idle } else { FRESH };
+        let oldest = if repeatable {
+            self.idle
+        } else {
+            MAX_IDLE_NON_REPEATABLE
+        };
         if suspect && !repeatable {
             return None;
         }
@@ -157,7 +161,7 @@
     }
 
     async fn connect(&self, target: SocketAddr) -> Result<SendRequest<Body>, Reason> {
-        let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(target));
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(target));
         let Ok(Ok(stream)) = connecting.await else {
             return Err(Reason::Unreachable);
         };
@@ -172,7 +176,7 @@
             // Bytes that came after a whole answer: hyper closes the connection, and the next
             // ones may carry such bytes just as well.
             if error.is_parse() || error.to_string().contains("unexpected") {
-                lock(&pool).suspect_until = Some(Instant::now() + SUSPICION);
+                lock(&pool).suspect_until = Some(Instant::now() + SUSPECT_PERIOD);
             }
         });
         Ok(sender)
@@ -182,14 +186,14 @@
 impl Connection {
     /// Keeps the connection for the next request, once it is free, for as long as an answer with
     /// these headers says.
-    pub fn keep(self, headers: &HeaderMap) {
+    pub fn release(self, headers: &HeaderMap) {
         let Self {
             target,
             mut sender,
             idle,
             pool,
         } = self;
-        let idle = kept_alive(headers).map_or(idle, |told| told.min(idle));
+        let idle = keep_alive_timeout(headers).map_or(idle, |told| told.min(idle));
         if sender.is_ready() {
             put_back(&pool, target, sender, idle);
             return;
@@ -204,19 +208,19 @@
 
 /// Time for which the target keeps an idle connection by its own word, with a margin.
 #[must_use]
-pub fn kept_alive(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut words = text
         .split(',')
         .filter_map(|word| word.trim().split_once('='));
     let (_, seconds) = words.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?;
     let told = Duration::from_secs(seconds.trim().parse().ok()?);
-    Some(told.saturating_sub(MARGIN))
+    Some(told.saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn put_back(pool: &Mutex<Pool>, target: SocketAddr, sender: SendRequest<Body>, idle: Duration) {
     let mut pool = lock(pool);
-    if pool.kept.len() < IDLE_CONNECTIONS {
+    if pool.kept.len() < MAX_IDLE_CONNECTIONS {
         let since = Instant::now();
         pool.kept.push(IdleConnection {
             target,
@@ -245,7 +249,7 @@
 /// The error's own kind does not tell: only causes on this list, each tried against a listener
 /// that records what it read, are proof. Everything else may have come after the target read it.
 #[must_use]
-pub fn unsent(error: &(dyn StdError + 'static)) -> bool {
+pub fn is_provably_unsent(error: &(dyn StdError + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
         if let Some(io) = error.downcast_ref::<io::Error>()
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -28,15 +28,15 @@
 use crate::units::{Millis, Service};
 
 /// Part of the time left that a request may wait for a slot.
-const QUEUE_SHARE: u32 = 2;
+const QUEUE_WAIT_DIVISOR: u32 = 2;
 /// Bodies that are taken in at the same time. One would have the link to itself and be through first;
 /// two more use what a slow sender leaves.
-const TRANSFERS: u32 = 3;
+const MAX_BODY_TRANSFERS: u32 = 3;
 /// Largest body that is taken in whole before it goes to the target, in bytes; what is larger is
 /// passed on as it comes.
-const WHOLE_BODY: usize = 1 << 20;
+const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
 /// Time before its deadline in which a run that is given up counts as one without an answer.
-const AT_THE_END: Duration = Duration::from_millis(50);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(50);
 /// Slots and places where nothing is limited.
 const UNLIMITED: u32 = u32::MAX;
 
@@ -70,7 +70,7 @@
     inspector: Inspector,
     line: Arc<Line>,
     /// Bodies that come over the link, and those that wait for that.
-    bodies: Arc<Line>,
+    body_queue: Arc<Line>,
 }
 
 impl Executor {
@@ -83,7 +83,7 @@
             board,
             dispatcher,
             line: Arc::default(),
-            bodies: Arc::default(),
+            body_queue: Arc::default(),
         }
     }
 
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
         let (running, waiting) = self.line.load();
-        let (coming, queued) = self.bodies.load();
+        let (coming, queued) = self.body_queue.load();
         (running, waiting + queued + coming as usize)
     }
 
@@ -126,7 +126,7 @@
     ///
     /// Guards against a target that has died: its lease holds for seconds, and for so long its
     /// daemon would draw calls, and hold keys, that it can't serve.
-    fn doubt_target(&self, reason: Reason, target: &Arc<Target>) {
+    fn handle_failure(&self, reason: Reason, target: &Arc<Target>) {
         if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
             self.board.drop_target(target);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Slots and places to wait for a group.
-    fn sizes(&self, handover: &Metadata) -> (u32, u32) {
+    fn queue_limits(&self, handover: &Metadata) -> (u32, u32) {
         if self.board.settings.limits == Limits::Off {
             return (UNLIMITED, UNLIMITED);
         }
@@ -204,16 +204,16 @@
         let mut bid = Bid {
             priority: self.handover.priority,
             tolerance: self.handover.max_wait.duration(),
-            patience: left / QUEUE_SHARE,
+            patience: left / QUEUE_WAIT_DIVISOR,
         };
-        let (slots, queue) = work.sizes(&self.handover);
+        let (slots, queue) = work.queue_limits(&self.handover);
         let mut waited = Duration::ZERO;
         if let Some(held_back) = self.request.extensions_mut().remove::<Continue>() {
-            waited = self.take_body(&held_back, work, queue, bid).await?;
+            waited = self.receive_body(&held_back, work, queue, bid).await?;
             // What the body has cost the link would be lost with a refusal.
             let left = self.deadline.saturating_duration_since(Instant::now());
             bid.tolerance = patience::tolerance(left, Duration::ZERO);
-            bid.patience = left / QUEUE_SHARE;
+            bid.patience = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
         let permit = work.line.enter(slots, queue, bid).await?;
@@ -240,7 +240,7 @@
     /// and are all late, small calls to the same target wait behind them, and slots are held by
     /// requests of which nothing can run yet. A request that is refused here has cost the link its
     /// head alone.
-    async fn take_body(
+    async fn receive_body(
         &mut self,
         held_back: &Continue,
         work: &Executor,
@@ -248,11 +248,14 @@
         bid: Bid,
     ) -> Result<Duration, Reason> {
         let began = Instant::now();
-        let _permit = work.bodies.enter(TRANSFERS, queue, bid).await?;
+        let _permit = work
+            .body_queue
+            .enter(MAX_BODY_TRANSFERS, queue, bid)
+            .await?;
         let waited = began.elapsed();
         held_back.ask();
         let body = std::mem::take(self.request.body_mut());
-        let taking = stream::buffer(body, WHOLE_BODY);
+        let taking = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
         let taken = tokio::time::timeout_at(self.deadline.into(), taking).await;
         let taken = taken.map_err(|_| Reason::Expired)?;
         *self.request.body_mut() = match taken.map_err(|_| Reason::CallerGone)? {
@@ -278,7 +281,7 @@
         } = self.received;
         let left = deadline.saturating_duration_since(Instant::now());
         let dialect = &work.board.dialect;
-        address(
+        write_target_headers(
             request.headers_mut(),
             dialect,
             &handover,
@@ -306,12 +309,13 @@
         // request.
         let result = tokio::time::timeout(left, exchange).await;
         let result = result.unwrap_or_else(|_| {
-            work.dispatcher.doubt_idle(began);
+            work.dispatcher.close_idle_since_before(began);
             Err(Reason::TimedOut)
         });
-        watched.finish(end(&result));
+        watched.finish(completion(&result));
         counted.finish(&result);
-        let mut response = result.inspect_err(|reason| work.doubt_target(*reason, &self.target))?;
+        let mut response =
+            result.inspect_err(|reason| work.handle_failure(*reason, &self.target))?;
         let headers = response.headers_mut();
         stream::strip_hop_by_hop(headers);
         headers.remove(header::DATE);
@@ -331,7 +335,7 @@
 
 /// How a run at the target is over. A failure of the target clears no request: it may come before the part of
 /// the work that would have ended the target.
-fn end(result: &Result<Response<Body>, Reason>) -> End {
+fn completion(result: &Result<Response<Body>, Reason>) -> End {
     match result {
         Ok(response) if !response.status().is_server_error() => End::Answered,
         Err(Reason::Broken | Reason::TimedOut) => End::Open,
@@ -340,7 +344,7 @@
 }
 
 /// Writes what the target has to know into the headers of its request.
-fn address(
+fn write_target_headers(
     headers: &mut HeaderMap,
     dialect: &Dialect,
     handover: &Metadata,
@@ -400,7 +404,7 @@
     fn drop(&mut self) {
         // Guards against a target that is silent until its callers have gone: its runs are dropped here
         // and would count as nothing. A caller that leaves early says nothing of the target.
-        if !self.is_over && Instant::now() + AT_THE_END >= self.deadline {
+        if !self.is_over && Instant::now() + DEADLINE_MARGIN >= self.deadline {
             self.board.rollouts.answer(self.route, Outcome::Failed);
         }
     }
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -30,21 +30,21 @@
 
 /// Gates that may refuse a request for lack of room before its caller is told: the first is the
 /// one that was thought to have most, so more of them would only cost time.
-const REFUSALS: u32 = 3;
+const MAX_OVERLOAD_REFUSALS: u32 = 3;
 /// Times after which refused callers are told to be back, in seconds: a line of requests is worked
 /// off in less, and most callers have this much time left.
-const COME_BACK_S: Range<f64> = 0.15..0.5;
+const RETRY_AFTER_S: Range<f64> = 0.15..0.5;
 /// Longest time that a request waits for a daemon that is starting: about what a start takes once the
 /// platform and a peer answer.
-const START_WAIT: Duration = Duration::from_millis(500);
+const MAX_START_WAIT: Duration = Duration::from_millis(500);
 /// Part of its caller's time that it may wait so at most; the work needs the rest.
-const START_SHARE: u32 = 4;
+const START_WAIT_DIVISOR: u32 = 4;
 /// Longest identifier of a call, in bytes.
-const MAX_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
 /// When a refused request may run again, kept with its refusal inside the daemon.
 #[derive(Debug, Clone, Copy)]
-struct Until(Instant);
+struct QuarantineEnd(Instant);
 
 /// Takes callers' requests.
 #[derive(Debug)]
@@ -69,9 +69,9 @@
     pub async fn serve(&self, request: Request<Body>) -> Response<Body> {
         let began = Instant::now();
         let in_flight = self.board.begin();
-        self.await_floor(&request).await;
+        self.await_start(&request).await;
         let config = self.board.config();
-        let id = self.identify(&request);
+        let id = self.call_id(&request);
         let host = request.headers().get(header::HOST).cloned();
         let named = id.as_deref().ok_or(Reason::Unnamed);
         let prepared = match named {
@@ -86,17 +86,17 @@
             Ok(call) => self.complete(call).await,
             Err(reason) => outcome::caller_refusal(&id, reason),
         };
-        let quarantined = response.extensions_mut().remove::<Until>();
+        let quarantined = response.extensions_mut().remove::<QuarantineEnd>();
         let headers = response.headers_mut();
         if let Ok(id) = HeaderValue::from_str(&id) {
             headers.insert(&self.board.dialect.call, id);
         }
         headers.remove(LOAD);
         if self.board.dialect.fractions && headers.contains_key(header::RETRY_AFTER) {
-            headers.insert(header::RETRY_AFTER, come_back());
+            headers.insert(header::RETRY_AFTER, jittered_retry_after());
         }
-        if let Some(Until(until)) = quarantined {
-            headers.insert(header::RETRY_AFTER, seconds_to(until));
+        if let Some(QuarantineEnd(until)) = quarantined {
+            headers.insert(header::RETRY_AFTER, seconds_until(until));
         }
         headers.insert(VERSION, HeaderValue::from(config.digest.version.0));
         if self.board.stage().is_stopping() {
@@ -110,7 +110,7 @@
             .to_owned();
         let refused = headers.get(REASON).and_then(|v| v.to_str().ok());
         if let Some(reason) = refused {
-            self.note_refusal(&id, reason, host.as_ref(), &config, began);
+            self.log_refusal(&id, reason, host.as_ref(), &config, began);
             // Guards against memory that grows with refusals: callers come back on new connections,
             // and the old ones stay open for as long as idle ones may.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -126,20 +126,22 @@
     /// Guards against a caller that loses its request to a short absence: a daemon that comes back is
     /// ready a moment after it takes connections, and a caller that was refused twice meanwhile has
     /// no try left.
-    async fn await_floor(&self, request: &Request<Body>) {
+    async fn await_start(&self, request: &Request<Body>) {
         if self.board.stage() != Stage::Starting {
             return;
         }
         let given = request.headers().get(&self.board.dialect.timeout);
         let given = given.and_then(|ms| ms.to_str().ok()?.parse::<Millis>().ok());
-        let share = given.map_or(START_WAIT, |given| given.duration() / START_SHARE);
+        let share = given.map_or(MAX_START_WAIT, |given| {
+            given.duration() / START_WAIT_DIVISOR
+        });
         let mut stages = self.board.stages();
         let started = stages.wait_for(|stage| *stage != Stage::Starting);
         // What is not ready by then refuses the request below.
-        let _ = tokio::time::timeout(share.min(START_WAIT), started).await;
+        let _ = tokio::time::timeout(share.min(MAX_START_WAIT), started).await;
     }
 
-    fn note_refusal(
+    fn log_refusal(
         &self,
         id: &str,
         reason: &str,
@@ -157,7 +159,7 @@
     }
 
     /// Notes an attempt that failed, with what decides whether there will be another one.
-    fn note_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, goes_on: bool) {
+    fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, goes_on: bool) {
         if self.board.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
             info!(self.board.logger, "attempt failed"; "call" => &call.handover.id,
@@ -169,13 +171,13 @@
     }
 
     /// The caller's own identifier, or a new one where identifiers are not the callers' alone.
-    fn identify(&self, request: &Request<Body>) -> Option<String> {
+    fn call_id(&self, request: &Request<Body>) -> Option<String> {
         let dialect = &self.board.dialect;
         let given = request
             .headers()
             .get(&dialect.call)
             .and_then(|value| value.to_str().ok());
-        let given = given.filter(|id| (1..=MAX_ID).contains(&id.len()));
+        let given = given.filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()));
         given
             .map(str::to_owned)
             .or_else(|| (!dialect.echo).then(|| self.new_id()))
@@ -231,24 +233,24 @@
 
     /// Answers a call, with the target's answer or with why there is none.
     async fn complete(&self, mut call: Call) -> Response<Body> {
-        if self.quarantined(&call).is_some() {
+        if self.quarantine_end(&call).is_some() {
             // The gates refuse it as well; here it costs nobody a slot or a way.
             call.record_failure(Reason::Quarantined);
-            return self.give_up(&call);
+            return self.refuse(&call);
         }
         let answered = tokio::select! {
-            answered = self.pursue(&mut call) => answered,
+            answered = self.run_attempts(&mut call) => answered,
             () = self.board.until_cut() => {
                 let reason = if call.sent { Reason::CutShort } else { Reason::Draining };
                 call.record_failure(reason);
                 None
             }
         };
-        answered.unwrap_or_else(|| self.give_up(&call))
+        answered.unwrap_or_else(|| self.refuse(&call))
     }
 
     /// Tries upstreams one after the other, for as long as that makes sense.
-    async fn pursue(&self, call: &mut Call) -> Option<Response<Body>> {
+    async fn run_attempts(&self, call: &mut Call) -> Option<Response<Body>> {
         let rule = &Arc::clone(&call.plan).retry;
         self.attempts.budget(call).deposit_share(rule.budget);
         let mut refusals = 0;
@@ -256,7 +258,7 @@
             let Some(upstream) = self.attempts.chooser.choose(call) else {
                 break;
             };
-            let reason = match self.attempts.race(&upstream, call).await {
+            let reason = match self.attempts.attempt_hedged(&upstream, call).await {
                 Reply::Answered(response) => return Some(response),
                 Reply::Failed(reason) => reason,
             };
@@ -282,11 +284,11 @@
             let goes_on = if held || reason == Reason::Quarantined {
                 false
             } else if free {
-                call.is_sendable() && !call.left().is_zero() && refusals < REFUSALS
+                call.is_sendable() && !call.left().is_zero() && refusals < MAX_OVERLOAD_REFUSALS
             } else {
                 self.may_retry(rule, call, reason)
             };
-            self.note_failure(call, &upstream, reason, goes_on);
+            self.log_failure(call, &upstream, reason, goes_on);
             if !goes_on {
                 break;
             }
@@ -309,16 +311,16 @@
             reason.outcome(),
             call.left(),
         );
-        call.is_sendable() && allowed && self.attempts.afford(rule, call)
+        call.is_sendable() && allowed && self.attempts.withdraw_retry(rule, call)
     }
 
-    fn give_up(&self, call: &Call) -> Response<Body> {
+    fn refuse(&self, call: &Call) -> Response<Body> {
         let reason = call.reason.unwrap_or(Reason::NoTarget);
         debug!(self.board.logger, "call given up";
             "call" => &call.handover.id, "reason" => %reason, "tried" => call.tried.len());
         let mut response = outcome::caller_refusal(&call.handover.id, reason);
         if let Some(until) = self
-            .quarantined(call)
+            .quarantine_end(call)
             .filter(|_| reason == Reason::Quarantined)
         {
             response.extensions_mut().insert(until);
@@ -327,15 +329,15 @@
     }
 
     /// Until when a call must not run since targets have ended under the same request.
-    fn quarantined(&self, call: &Call) -> Option<Until> {
+    fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
         let standing = self.board.quarantine.standing(call.handover.fingerprint);
         let until = standing.until.filter(|until| Instant::now() < *until);
-        until.map(Until)
+        until.map(QuarantineEnd)
     }
 }
 
 /// Time in whole seconds, one at least.
-fn seconds_to(until: Instant) -> HeaderValue {
+fn seconds_until(until: Instant) -> HeaderValue {
     let left = until.saturating_duration_since(Instant::now());
     HeaderValue::from(left.as_secs().max(1))
 }
@@ -344,7 +346,7 @@
 ///
 /// Guards against callers that were refused together and come back together: each is told a time
 /// of its own.
-fn come_back() -> HeaderValue {
-    let seconds = rand::rng().random_range(COME_BACK_S);
+fn jittered_retry_after() -> HeaderValue {
+    let seconds = rand::rng().random_range(RETRY_AFTER_S);
     HeaderValue::from_str(&format!("{seconds:.2}")).unwrap_or(HeaderValue::from_static("1"))
 }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -48,7 +48,7 @@
 impl Load {
     /// What a gate told with an answer or a refusal, if it did.
     #[must_use]
-    pub fn of(headers: &HeaderMap) -> Option<Self> {
+    pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         headers.get(LOAD)?.to_str().ok()?.parse().ok()
     }
 }
@@ -118,7 +118,7 @@
             }
         };
         let waited = response.extensions().get::<QueueTime>().copied();
-        let load = self.report(waited.unwrap_or_default(), nested);
+        let load = self.load_report(waited.unwrap_or_default(), nested);
         if let Ok(load) = HeaderValue::from_str(&load.to_string()) {
             response.headers_mut().insert(LOAD, load);
         }
@@ -135,7 +135,7 @@
         origins.note(&handover.route, &handover.from, &roster.fleet)
     }
 
-    fn report(&self, waited: QueueTime, nested: bool) -> Load {
+    fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
         let (running, waiting) = self.load();
         Load {
             in_flight: running + u32::try_from(waiting).unwrap_or(u32::MAX),
