--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -17,7 +17,7 @@
 ///
 /// Guards against an answer that breaks off: while its head has not gone on, the entry can ask
 /// another target, or tell the caller plainly, in place of cutting the caller's connection.
-const GATHERED: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// What came back from the target, not looked at yet.
 #[derive(Debug)]
@@ -49,16 +49,16 @@
     /// # Errors
     ///
     /// What the answer proves, where it can't be passed on.
-    pub async fn judge(self, dispatcher: &Dispatcher) -> Result<Response<Body>, Reason> {
-        if !self.is_own() {
+    pub async fn validate(self, dispatcher: &Dispatcher) -> Result<Response<Body>, Reason> {
+        if !self.belongs_to_request() {
             dispatcher.mark_suspect();
             return Err(Reason::Broken);
         }
-        let misdirected = self.dialect.expected.is_some()
+        let misdirected = self.dialect.expected_instance.is_some()
             && self.response.status() == StatusCode::MISDIRECTED_REQUEST;
         let refused = self.response.headers().contains_key(&self.dialect.refused);
         let (parts, body) = self.response.into_parts();
-        let gathered = stream::buffer(Body::from_incoming(body), GATHERED).await;
+        let gathered = stream::buffer(Body::from_incoming(body), MAX_BUFFERED_BYTES).await;
         let body = match gathered.map_err(|_| Reason::Broken)? {
             Buffered::Whole(bytes) => {
                 self.lease.release(&parts.headers);
@@ -80,14 +80,14 @@
     /// Guards against a target that sends more than it was asked for: its surplus meets the next
     /// request on the connection, whose caller would get an answer of somebody else. The
     /// identifier that it repeats is that of another call.
-    fn is_own(&self) -> bool {
+    fn belongs_to_request(&self) -> bool {
         let headers = self.response.headers();
         let text = |name| {
             headers
                 .get(name)
                 .and_then(|v: &HeaderValue| v.to_str().ok())
         };
-        let named = !self.dialect.echo || text(&self.dialect.call) == Some(self.id);
+        let named = !self.dialect.echoes_call_id || text(&self.dialect.call_id) == Some(self.id);
         let signature = self.dialect.signature.as_ref();
         let signed = signature.is_none_or(|name| headers.contains_key(name));
         named && (signed || !self.response.status().is_success())
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Sender {
     board: Arc<Board>,
-    gate: Arc<Sidecar>,
+    sidecar: Arc<Sidecar>,
     budgets: Budgets,
     /// Who gets them.
     pub chooser: Chooser,
@@ -56,14 +56,14 @@
             chooser: Chooser::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
-            gate,
+            sidecar: gate,
         }
     }
 
     /// What a call's service may spend on retries.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
         let daemons = self.board.roster().members.len();
-        self.budgets.of(&call.handover.service, daemons)
+        self.budgets.of(&call.metadata.service, daemons)
     }
 
     /// Whether the budget pays for one more request to an upstream.
@@ -72,7 +72,7 @@
         fixed
             || self
                 .budget(call)
-                .withdraw_for(rule.budget, call.handover.priority)
+                .withdraw_for(rule.budget, call.metadata.priority)
     }
 
     /// Makes an attempt, and for a repeatable call a second one elsewhere when the first is late.
@@ -116,20 +116,20 @@
         }
     }
 
-    async fn attempt(&self, upstream: &Arc<Upstream>, part: Attempt, rule: &Ejection) -> Reply {
+    async fn attempt(&self, upstream: &Arc<Upstream>, attempt: Attempt, rule: &Ejection) -> Reply {
         let own = upstream.begin();
-        let left = part.deadline.saturating_duration_since(Instant::now());
+        let left = attempt.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Reply::Failed(Reason::Expired);
         }
-        let service = part.handover.service.clone();
-        let route = part.handover.route.clone();
+        let service = attempt.metadata.service.clone();
+        let route = attempt.metadata.route.clone();
         let began = Instant::now();
         let exchange = async {
             if upstream.peer == self.board.settings.identity() {
-                Ok(self.gate.run(part.handover, part.request).await)
+                Ok(self.sidecar.run(attempt.metadata, attempt.request).await)
             } else {
-                part.forward(upstream).await
+                attempt.forward(upstream).await
             }
         };
         let result = match tokio::time::timeout(left, exchange).await {
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Call {
     /// What its gate needs to know.
-    pub handover: Metadata,
+    pub metadata: Metadata,
     /// Its route and retry rule.
     pub plan: Arc<Plan>,
     /// The group that serves it.
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// What the gate needs to know.
-    pub handover: Metadata,
+    pub metadata: Metadata,
     /// The request, with its body.
     pub request: Request<Body>,
     /// When the head of the answer is due.
@@ -127,7 +127,7 @@
         };
         stream::strip_hop_by_hop(&mut head.headers);
         // The gate writes these anew, from the handover.
-        for name in [&dialect.call, &dialect.timeout, &dialect.remaining] {
+        for name in [&dialect.call_id, &dialect.timeout, &dialect.remaining] {
             head.headers.remove(name);
         }
         let largest = config.document.bounds.max_body;
@@ -136,7 +136,7 @@
         let body = body.map_err(|_| Reason::Expired)??;
         let fingerprint = body.fingerprint(&head);
         Ok(Call {
-            handover: Metadata {
+            metadata: Metadata {
                 fingerprint,
                 ..handover
             },
@@ -170,7 +170,7 @@
     /// Whether two attempts may be under way at the same time.
     #[must_use]
     pub const fn may_hedge(&self) -> bool {
-        self.handover.repeatable && matches!(self.body, Payload::Kept(_))
+        self.metadata.repeatable && matches!(self.body, Payload::Kept(_))
     }
 
     /// Notes why an attempt failed.
@@ -223,10 +223,10 @@
             sent_ms: clock::boot_ms(),
             remaining,
             max_wait: tolerance,
-            ..self.handover.clone()
+            ..self.metadata.clone()
         };
         Attempt {
-            handover,
+            metadata: handover,
             request,
             deadline: self.deadline,
         }
@@ -246,7 +246,7 @@
         let mut request = Request::builder().method(parts.method).uri(uri);
         if let Some(headers) = request.headers_mut() {
             std::mem::swap(headers, &mut parts.headers);
-            write_metadata(headers, self.handover);
+            write_metadata(headers, self.metadata);
             if stream::is_large(headers, &body) {
                 // The gate asks for it when its turn has come.
                 headers.insert(header::EXPECT, HeaderValue::from_static("100-continue"));
--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -58,12 +58,12 @@
             let indices = 0..fresh.len();
             indices.max_by_key(|index| keys::rank(key, fresh[*index].peer))
         };
-        let index = if let Some(key) = &call.handover.key {
+        let index = if let Some(key) = &call.metadata.key {
             by_key(key)
         } else if self.is_suspect(call) {
             // Guards against a request that ends several targets at the same moment, as its repeats come
             // in at several daemons: all of them go to one gate, which runs one at a time.
-            by_key(&CallKey(call.handover.fingerprint.to_string()))
+            by_key(&CallKey(call.metadata.fingerprint.to_string()))
         } else {
             let typical = self.experience.typical(&call.plan.route.name);
             self.best(&fresh, call, &typical, Instant::now())
@@ -73,7 +73,7 @@
 
     /// Upstreams that have not been tried and may take the call, by the roll-outs that are known.
     fn eligible<'a>(&self, roster: &'a Roster, call: &Call) -> Vec<&'a Arc<Upstream>> {
-        let service = &call.handover.service;
+        let service = &call.metadata.service;
         let upstreams = roster.upstreams(service).iter();
         let told = upstreams.zip(roster.revisions(service));
         let fresh = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
@@ -105,7 +105,7 @@
 
     /// Whether a call has to run apart, since targets have ended under the same request.
     pub fn is_suspect(&self, call: &Call) -> bool {
-        let fingerprint = call.handover.fingerprint;
+        let fingerprint = call.metadata.fingerprint;
         self.board.quarantine.standing(fingerprint).apart()
     }
 
@@ -140,7 +140,7 @@
 /// A number from 0 to 1: the same for all requests of a key, which belongs to one gate.
 #[expect(clippy::cast_precision_loss, reason = "a share needs few digits")]
 fn draw(call: &Call) -> f64 {
-    match &call.handover.key {
+    match &call.metadata.key {
         Some(key) => xxh3_64(key.as_str().as_bytes()) as f64 / u64::MAX as f64,
         None => rand::rng().random_range(0.0..1.0),
     }
--- a/src/calls/dialect.rs
+++ b/src/calls/dialect.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Dialect {
     /// Identifier of a call, from the caller and to the target.
-    pub call: HeaderName,
+    pub call_id: HeaderName,
     /// Time that the caller waits, in milliseconds.
     pub timeout: HeaderName,
     /// Time left, towards the target, in milliseconds.
@@ -17,32 +17,32 @@
     /// A target's proof that it has not run the request.
     pub refused: HeaderName,
     /// Whether every answer of a target repeats the identifier of its call.
-    pub echo: bool,
+    pub echoes_call_id: bool,
     /// A target's signature, on all its successful answers.
     pub signature: Option<HeaderName>,
     /// The only life of the target that may run the request, towards the target.
-    pub expected: Option<HeaderName>,
+    pub expected_instance: Option<HeaderName>,
     /// The life of the target that answers.
     pub instance: Option<HeaderName>,
     /// Service on whose host the request began, towards the target.
-    pub caller: Option<HeaderName>,
+    pub caller_service: Option<HeaderName>,
     /// Whether callers read a fraction of a second in `Retry-After`.
-    pub fractions: bool,
+    pub fractional_retry_after: bool,
 }
 
 impl Default for Dialect {
     fn default() -> Self {
         Self {
-            call: HeaderName::from_static("x-jackdaw-call"),
+            call_id: HeaderName::from_static("x-jackdaw-call"),
             timeout: HeaderName::from_static("x-jackdaw-timeout-ms"),
             remaining: HeaderName::from_static("x-jackdaw-remaining-ms"),
             refused: HeaderName::from_static("x-jackdaw-refused"),
-            echo: false,
+            echoes_call_id: false,
             signature: None,
-            expected: None,
+            expected_instance: None,
             instance: None,
-            caller: None,
-            fractions: false,
+            caller_service: None,
+            fractional_retry_after: false,
         }
     }
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -43,7 +43,7 @@
 /// A request that has reached its gate.
 #[derive(Debug)]
 pub struct Received {
-    handover: Metadata,
+    metadata: Metadata,
     request: Request<Body>,
     deadline: Instant,
     in_flight: InFlight,
@@ -68,7 +68,7 @@
     board: Arc<Board>,
     dispatcher: Dispatcher,
     inspector: Inspector,
-    line: Arc<Line>,
+    queue: Arc<Line>,
     /// Bodies that come over the link, and those that wait for that.
     body_queue: Arc<Line>,
 }
@@ -82,7 +82,7 @@
             inspector: Inspector::new(Arc::clone(&board)),
             board,
             dispatcher,
-            line: Arc::default(),
+            queue: Arc::default(),
             body_queue: Arc::default(),
         }
     }
@@ -90,7 +90,7 @@
     /// Requests that run and that wait.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
-        let (running, waiting) = self.line.load();
+        let (running, waiting) = self.queue.load();
         let (coming, queued) = self.body_queue.load();
         (running, waiting + queued + coming as usize)
     }
@@ -106,13 +106,13 @@
     }
 
     /// The target to dispatch to, checked at this very moment.
-    fn target(&self, handover: &Metadata) -> Result<Arc<Target>, Reason> {
+    fn target(&self, metadata: &Metadata) -> Result<Arc<Target>, Reason> {
         if self.board.stage() == Stage::Draining {
             return Err(Reason::Draining);
         }
         let target = self.board.target().ok_or(Reason::NoTarget)?;
         let now = Instant::now();
-        let offered = target.service == handover.service && now < target.lease_until;
+        let offered = target.service == metadata.service && now < target.lease_until;
         // Guards against an entry that has not heard of a roll-out, or of its end: it would send a bad
         // revision its share for as long. The gates hold each target to what it may take.
         if offered && self.board.admits(&target, now) {
@@ -136,13 +136,13 @@
     }
 
     /// Slots and places to wait for a group.
-    fn queue_limits(&self, handover: &Metadata) -> (u32, u32) {
+    fn queue_limits(&self, metadata: &Metadata) -> (u32, u32) {
         if self.board.settings.limits == Limits::Off {
             return (UNLIMITED, UNLIMITED);
         }
         let slots = self.board.target().map_or(1, |target| target.slots.0);
         let config = self.board.config();
-        match config.document.group(&handover.group) {
+        match config.document.group(&metadata.group) {
             Some(group) => {
                 let bound = group.slots.map_or(slots, |bound| slots.min(bound.0));
                 // Each running request has a connection of its own.
@@ -157,10 +157,10 @@
 impl Received {
     /// A request that has just come.
     #[must_use]
-    pub fn new(handover: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
+    pub fn new(metadata: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
         Self {
-            deadline: Instant::now() + handover.remaining.duration(),
-            handover,
+            deadline: Instant::now() + metadata.remaining.duration(),
+            metadata: metadata,
             request,
             in_flight,
         }
@@ -175,19 +175,19 @@
     /// What keeps its key from running twice.
     #[must_use]
     pub const fn guard(&self) -> Guard {
-        self.handover.guard
+        self.metadata.guard
     }
 
     /// Service that is called.
     #[must_use]
     pub const fn service(&self) -> &Service {
-        &self.handover.service
+        &self.metadata.service
     }
 
     /// Gates that take no more calls by their own word.
     #[must_use]
     pub fn leaving(&self) -> &[SocketAddr] {
-        &self.handover.leaving
+        &self.metadata.leaving
     }
 
     /// Waits for a slot.
@@ -196,17 +196,17 @@
     ///
     /// Why the request was refused; it has provably not run.
     pub async fn admit(mut self, work: &Executor) -> Result<Admitted, Reason> {
-        work.target(&self.handover)?;
+        work.target(&self.metadata)?;
         let left = self.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(Reason::Expired);
         }
         let mut bid = Bid {
-            priority: self.handover.priority,
-            tolerance: self.handover.max_wait.duration(),
+            priority: self.metadata.priority,
+            tolerance: self.metadata.max_wait.duration(),
             patience: left / QUEUE_WAIT_DIVISOR,
         };
-        let (slots, queue) = work.queue_limits(&self.handover);
+        let (slots, queue) = work.queue_limits(&self.metadata);
         let mut waited = Duration::ZERO;
         if let Some(held_back) = self.request.extensions_mut().remove::<Continue>() {
             waited = self.receive_body(&held_back, work, queue, bid).await?;
@@ -216,14 +216,14 @@
             bid.patience = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
-        let permit = work.line.enter(slots, queue, bid).await?;
+        let permit = work.queue.enter(slots, queue, bid).await?;
         // Guards against a gate that was frozen while the request waited: its caller has given up
         // and been told so, or its target has said good-bye. Deadline and stage are looked at
         // again with the slot in hand, right before the request leaves.
         if Instant::now() >= self.deadline {
             return Err(Reason::Expired);
         }
-        let target = work.target(&self.handover)?;
+        let target = work.target(&self.metadata)?;
         Ok(Admitted {
             received: self,
             permit,
@@ -253,7 +253,7 @@
             .enter(MAX_BODY_TRANSFERS, queue, bid)
             .await?;
         let waited = began.elapsed();
-        held_back.ask();
+        held_back.send();
         let body = std::mem::take(self.request.body_mut());
         let taking = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
         let taken = tokio::time::timeout_at(self.deadline.into(), taking).await;
@@ -274,7 +274,7 @@
     /// Why there is no answer, and with it whether the request may have run.
     pub async fn dispatch(self, work: &Executor) -> Result<Response<Body>, Reason> {
         let Received {
-            handover,
+            metadata,
             mut request,
             deadline,
             in_flight,
@@ -284,26 +284,26 @@
         write_target_headers(
             request.headers_mut(),
             dialect,
-            &handover,
+            &metadata,
             &self.target,
             left,
         );
         let began = Instant::now();
         let watched = work.inspector.begin(Run {
-            fingerprint: handover.fingerprint,
-            route: handover.route.clone(),
-            from: handover.from.clone(),
+            fingerprint: metadata.fingerprint,
+            route: metadata.route.clone(),
+            from: metadata.from.clone(),
             began,
         });
         let watched = watched?;
-        let mut counted = Recorder::begin(&work.board, &handover.route, deadline);
+        let mut counted = Recorder::begin(&work.board, &metadata.route, deadline);
         let exchange = async {
             let sending = work
                 .dispatcher
-                .send(self.target.address, request, handover.repeatable);
+                .send(self.target.address, request, metadata.repeatable);
             let (response, lease) = sending.await?;
-            let answer = Answer::new(response, lease, dialect, &handover.id);
-            answer.judge(&work.dispatcher).await
+            let answer = Answer::new(response, lease, dialect, &metadata.id);
+            answer.validate(&work.dispatcher).await
         };
         // Dropping the exchange closes its connection, so that a late answer can't meet the next
         // request.
@@ -320,7 +320,7 @@
         stream::strip_hop_by_hop(headers);
         headers.remove(header::DATE);
         // The entry knows the call's identifier and writes it.
-        headers.remove(&dialect.call);
+        headers.remove(&dialect.call_id);
         let answered = HeaderValue::from_static("answered");
         debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
         headers.insert(OUTCOME, answered);
@@ -354,9 +354,9 @@
     stream::strip_hop_by_hop(headers);
     headers.insert(&dialect.remaining, HeaderValue::from(Millis::from(left).0));
     if let Ok(id) = HeaderValue::from_str(&handover.id) {
-        headers.insert(&dialect.call, id);
+        headers.insert(&dialect.call_id, id);
     }
-    if let (Some(name), Some(instance)) = (&dialect.expected, &target.instance)
+    if let (Some(name), Some(instance)) = (&dialect.expected_instance, &target.instance)
         && let Ok(instance) = HeaderValue::from_str(instance.as_str())
     {
         // Guards against an address that was given to another target: that one would run the
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -30,7 +30,7 @@
 use crate::units::Version;
 
 /// Pause after a failed accept: it is mostly a lack of descriptors, which ends with a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time beyond the idle bound for which a connection is kept, so that a request which a caller
 /// sends within the bound does not cross the close.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
@@ -67,7 +67,7 @@
     ///
     /// Guards against a connection that was opened at an earlier version: its buffer is fixed, and a request
     /// that the version in force allows would be refused with 431.
-    async fn outgrow(&self, largest: u32) {
+    async fn wait_for_larger_head(&self, largest: u32) {
         if let Self::InForce(board) = self {
             let mut versions = board.versions();
             let allows = |_: &Version| self.now().max_head > largest;
@@ -98,21 +98,22 @@
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = reach(&mut changes, Phase::Closed) => return,
+            () = wait_for_phase(&mut changes, Phase::Closed) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 let admitted = callers.admit().await;
                 let handler = Arc::clone(&handler);
-                let serving = serve_one(stream, admitted, phases.clone(), limits.clone(), handler);
+                let serving =
+                    serve_connection(stream, admitted, phases.clone(), limits.clone(), handler);
                 tokio::spawn(serving);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve_one<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     mut admitted: callers::Connection,
     mut phases: watch::Receiver<Phase>,
@@ -149,23 +150,23 @@
             }
             return;
         }
-        () = reach(&mut phases, Phase::Ending) => {}
+        () = wait_for_phase(&mut phases, Phase::Ending) => {}
         () = admitted.displaced() => {}
-        () = limits.outgrow(bounds.max_head) => {}
+        () = limits.wait_for_larger_head(bounds.max_head) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
 /// Waits for a phase; for ever when nobody can bring it about any more.
-async fn reach(phases: &mut watch::Receiver<Phase>, wanted: Phase) {
+async fn wait_for_phase(phases: &mut watch::Receiver<Phase>, wanted: Phase) {
     if phases.wait_for(|phase| *phase >= wanted).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 /// A handler that asks a router of volo-http.
-pub fn routed(
+pub fn router_handler(
     router: Router,
     address: SocketAddr,
 ) -> impl Fn(Request<Body>) -> std::pin::Pin<Box<dyn Future<Output = Response<Body>> + Send>> {
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -89,10 +89,10 @@
         let quarantined = response.extensions_mut().remove::<QuarantineEnd>();
         let headers = response.headers_mut();
         if let Ok(id) = HeaderValue::from_str(&id) {
-            headers.insert(&self.board.dialect.call, id);
+            headers.insert(&self.board.dialect.call_id, id);
         }
         headers.remove(LOAD);
-        if self.board.dialect.fractions && headers.contains_key(header::RETRY_AFTER) {
+        if self.board.dialect.fractional_retry_after && headers.contains_key(header::RETRY_AFTER) {
             headers.insert(header::RETRY_AFTER, jittered_retry_after());
         }
         if let Some(QuarantineEnd(until)) = quarantined {
@@ -162,7 +162,7 @@
     fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, goes_on: bool) {
         if self.board.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
-            info!(self.board.logger, "attempt failed"; "call" => &call.handover.id,
+            info!(self.board.logger, "attempt failed"; "call" => &call.metadata.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
                 "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
@@ -175,12 +175,12 @@
         let dialect = &self.board.dialect;
         let given = request
             .headers()
-            .get(&dialect.call)
+            .get(&dialect.call_id)
             .and_then(|value| value.to_str().ok());
         let given = given.filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()));
         given
             .map(str::to_owned)
-            .or_else(|| (!dialect.echo).then(|| self.new_id()))
+            .or_else(|| (!dialect.echoes_call_id).then(|| self.new_id()))
     }
 
     fn new_id(&self) -> String {
@@ -204,7 +204,7 @@
         let Board {
             settings, dialect, ..
         } = &*self.board;
-        if let Some(name) = &dialect.caller {
+        if let Some(name) = &dialect.caller_service {
             let service = settings.service.as_ref().map_or("", Service::as_str);
             let value = HeaderValue::from_str(service).map_err(|_| Reason::Unnamed)?;
             request.headers_mut().insert(name, value);
@@ -220,7 +220,7 @@
             draw,
         );
         let mut call = preparing.await?;
-        call.handover.from = settings.service.clone().unwrap_or_default();
+        call.metadata.from = settings.service.clone().unwrap_or_default();
         let (experience, route) = (&self.attempts.chooser.experience, &call.plan.route.name);
         if experience.is_nested(route) {
             call.extend_soft_deadline();
@@ -265,14 +265,14 @@
             call.record_failure(reason);
             call.attempts += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
             // A key belongs to one gate: it is asked again, unless it is not there.
-            if call.handover.key.is_none() || reason.is_unavailable() {
+            if call.metadata.key.is_none() || reason.is_unavailable() {
                 call.tried.push(upstream.peer);
             }
             if matches!(reason, Reason::Draining | Reason::NoTarget) {
                 // The upstream's own word goes before what the next one's view may still have.
-                call.handover.leaving.push(upstream.peer);
+                call.metadata.leaving.push(upstream.peer);
             }
-            let full = reason == Reason::Overloaded && call.handover.key.is_none();
+            let full = reason == Reason::Overloaded && call.metadata.key.is_none();
             // Where no target was burdened, neither the rule's attempts nor the budget are
             // touched; each upstream is asked only once.
             let free = reason.is_unavailable() || full;
@@ -303,7 +303,7 @@
     }
 
     fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
-        let repeatable = call.handover.repeatable;
+        let repeatable = call.metadata.repeatable;
         let allowed = retry::again(
             rule,
             call.attempts,
@@ -317,8 +317,8 @@
     fn refuse(&self, call: &Call) -> Response<Body> {
         let reason = call.reason.unwrap_or(Reason::NoTarget);
         debug!(self.board.logger, "call given up";
-            "call" => &call.handover.id, "reason" => %reason, "tried" => call.tried.len());
-        let mut response = outcome::caller_refusal(&call.handover.id, reason);
+            "call" => &call.metadata.id, "reason" => %reason, "tried" => call.tried.len());
+        let mut response = outcome::caller_refusal(&call.metadata.id, reason);
         if let Some(until) = self
             .quarantine_end(call)
             .filter(|_| reason == Reason::Quarantined)
@@ -330,7 +330,7 @@
 
     /// Until when a call must not run since targets have ended under the same request.
     fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
-        let standing = self.board.quarantine.standing(call.handover.fingerprint);
+        let standing = self.board.quarantine.standing(call.metadata.fingerprint);
         let until = standing.until.filter(|until| Instant::now() < *until);
         until.map(QuarantineEnd)
     }
--- a/src/calls/outcome.rs
+++ b/src/calls/outcome.rs
@@ -166,7 +166,7 @@
     let mut response = Response::new(Body::empty());
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
-    headers.insert(REASON, value(&reason.to_string()));
+    headers.insert(REASON, header_value(&reason.to_string()));
     response
 }
 
@@ -188,14 +188,14 @@
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
-    headers.insert(REASON, value(&reason.to_string()));
-    headers.insert(OUTCOME, value(&reason.outcome().to_string()));
+    headers.insert(REASON, header_value(&reason.to_string()));
+    headers.insert(OUTCOME, header_value(&reason.outcome().to_string()));
     if let Some(after) = reason.retry_after() {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs()));
     }
     response
 }
 
-fn value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("invalid"))
 }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Sidecar {
     board: Arc<Board>,
-    work: Arc<Executor>,
+    executor: Arc<Executor>,
     keys: Arc<Keys>,
     /// Held for a few instructions.
     origins: Mutex<Origins>,
@@ -81,7 +81,7 @@
         let work = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
-            work,
+            executor: work,
             keys,
             origins: Mutex::default(),
         }
@@ -90,17 +90,17 @@
     /// Requests that run and that wait.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
-        self.work.load()
+        self.executor.load()
     }
 
     /// Runs a request, or says why not.
-    pub async fn run(&self, handover: Metadata, request: Request<Body>) -> Response<Body> {
-        let (id, key) = (handover.id.clone(), handover.key.clone());
-        let nested = self.is_nested(&handover);
-        let received = Received::new(handover, request, self.board.begin());
+    pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
+        let (id, key) = (metadata.id.clone(), metadata.key.clone());
+        let nested = self.is_nested(&metadata);
+        let received = Received::new(metadata, request, self.board.begin());
         let result = match key {
-            Some(key) => self.keys.guard(key, received, &self.work).await,
-            None => self.work.run(received).await,
+            Some(key) => self.keys.guard(key, received, &self.executor).await,
+            None => self.executor.run(received).await,
         };
         let mut response = match result {
             Ok(response) => response,
@@ -126,13 +126,13 @@
     }
 
     /// Whether only targets call the route of a request, which is noted.
-    fn is_nested(&self, handover: &Metadata) -> bool {
-        if handover.from == Service::default() {
+    fn is_nested(&self, metadata: &Metadata) -> bool {
+        if metadata.from == Service::default() {
             return false;
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&handover.route, &handover.from, &roster.fleet)
+        origins.note(&metadata.route, &metadata.from, &roster.fleet)
     }
 
     fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -42,12 +42,12 @@
 
 impl Continue {
     /// Asks for it.
-    pub fn ask(&self) {
+    pub fn send(&self) {
         self.0.notify_one();
     }
 
     /// Waits until it is asked for.
-    pub async fn asked(&self) {
+    pub async fn wait(&self) {
         self.0.notified().await;
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -317,7 +317,7 @@
         let listener = bind(address).await?;
         // Without a sender, these answer until the process is gone.
         let phases = watch::Sender::new(Phase::Open).subscribe();
-        let routed = http_server::routed(router, address);
+        let routed = http_server::router_handler(router, address);
         tokio::spawn(http_server::serve(
             listener,
             Callers::new(OTHERS),
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -191,7 +191,7 @@
                 // The entry has given up: dropping the run closes its connection to the target.
                 _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return,
                 response = &mut run => break response,
-                () = held_back.asked() => {
+                () = held_back.wait() => {
                     let mut go_on = Response::new(());
                     *go_on.status_mut() = StatusCode::CONTINUE;
                     // An error means that the entry has gone, which the reset tells as well.
