--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Answer<'a> {
     response: Response<Incoming>,
-    lease: Connection,
+    connection: Connection,
     dialect: &'a Dialect,
     id: &'a str,
 }
@@ -32,13 +32,13 @@
     /// The response to the call `id`, over the connection of `lease`.
     pub const fn new(
         response: Response<Incoming>,
-        lease: Connection,
+        connection: Connection,
         dialect: &'a Dialect,
         id: &'a str,
     ) -> Self {
         Self {
             response,
-            lease,
+            connection,
             dialect,
             id,
         }
@@ -61,10 +61,10 @@
         let gathered = stream::buffer(Body::from_incoming(body), MAX_BUFFERED_BYTES).await;
         let body = match gathered.map_err(|_| Reason::Broken)? {
             Buffered::Whole(bytes) => {
-                self.lease.release(&parts.headers);
+                self.connection.release(&parts.headers);
                 Body::from_body(Full::new(bytes))
             }
-            Buffered::Partly(body) => Guarded::wrap(body, self.lease),
+            Buffered::Partly(body) => Guarded::wrap(body, self.connection),
         };
         if misdirected {
             return Err(Reason::Misdirected);
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -46,7 +46,7 @@
 impl Sender {
     /// Attempts that hand local work to `gate`.
     #[must_use]
-    pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
+    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         let Settings {
             retry_reserve,
             shared_reserve,
@@ -56,7 +56,7 @@
             chooser: Chooser::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
-            sidecar: gate,
+            sidecar,
         }
     }
 
@@ -83,16 +83,17 @@
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
         let typical = self.chooser.experience.typical(&call.plan.route.name);
-        let needs = self.chooser.needs(upstream, &typical);
-        let mut first = Box::pin(self.attempt(upstream, call.next_attempt(needs), ejection));
-        let simple = self.board.settings.retries == Retries::Fixed;
+        let expected_time = self.chooser.needs(upstream, &typical);
+        let mut first =
+            Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
+        let fixed = self.board.settings.retries == Retries::Fixed;
         // The first one counts as made once it has failed or has company.
-        let alone = simple || !call.may_hedge() || self.chooser.is_suspect(call);
+        let alone = fixed || !call.may_hedge() || self.chooser.is_suspect(call);
         if alone || call.attempts + 2 > rule.attempts {
             return first.await;
         }
-        let patience = call.left() / HEDGE_DELAY_DIVISOR;
-        if let Ok(attempt) = tokio::time::timeout(patience, &mut first).await {
+        let hedge_delay = call.left() / HEDGE_DELAY_DIVISOR;
+        if let Ok(attempt) = tokio::time::timeout(hedge_delay, &mut first).await {
             return attempt;
         }
         call.tried.push(upstream.peer);
@@ -103,8 +104,8 @@
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
         call.attempts += 1;
-        let needs = self.chooser.needs(&second, &typical);
-        let second = Box::pin(self.attempt(&second, call.next_attempt(needs), ejection));
+        let expected_time = self.chooser.needs(&second, &typical);
+        let second = Box::pin(self.attempt(&second, call.next_attempt(expected_time), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
             Either::Right((Reply::Failed(reason), other)) => (reason, Either::Right(other)),
@@ -117,7 +118,7 @@
     }
 
     async fn attempt(&self, upstream: &Arc<Upstream>, attempt: Attempt, rule: &Ejection) -> Reply {
-        let own = upstream.begin();
+        let in_flight = upstream.begin();
         let left = attempt.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Reply::Failed(Reason::Expired);
@@ -148,13 +149,13 @@
             let roster = self.board.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
-            let out = upstreams.iter().filter(|other| other.ejected(now)).count();
-            upstream.failed(now, rule, out, upstreams.len());
+            let ejected = upstreams.iter().filter(|other| other.ejected(now)).count();
+            upstream.failed(now, rule, ejected, upstreams.len());
         }
         match attempt {
             Reply::Answered(response) => {
                 let (parts, body) = response.into_parts();
-                Reply::Answered(Response::from_parts(parts, Guarded::wrap(body, own)))
+                Reply::Answered(Response::from_parts(parts, Guarded::wrap(body, in_flight)))
             }
             failed @ Reply::Failed(_) => failed,
         }
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -95,16 +95,16 @@
             .table
             .find(head.method.as_str(), host.as_deref(), head.uri.path());
         let plan = Arc::clone(found.ok_or(Reason::NoRoute)?);
-        let wanted = head
+        let caller_timeout = head
             .headers
             .get(&dialect.timeout)
             .and_then(text)
             .and_then(|ms| ms.parse().ok());
-        let timeout = wanted.map_or(plan.route.timeout_ms, |ms: Millis| {
+        let timeout = caller_timeout.map_or(plan.route.timeout_ms, |ms: Millis| {
             ms.min(plan.route.timeout_ms)
         });
         let deadline = began + timeout.duration();
-        let prompt = began + plan.route.latency_ms.unwrap_or(timeout).duration();
+        let soft_deadline = began + plan.route.latency_ms.unwrap_or(timeout).duration();
         let group = Arc::clone(plan.group(draw));
         // Callers of different services may choose the same key.
         let scoped = |key| CallKey(format!("{}/{key}", group.service));
@@ -142,8 +142,8 @@
             },
             plan,
             group,
-            caller_timeout: wanted,
-            soft_deadline: prompt,
+            caller_timeout,
+            soft_deadline,
             deadline,
             head,
             body,
@@ -182,10 +182,10 @@
     /// Notes for how long the caller had waited before it sent this request.
     ///
     /// What it got before is over, but its time has been running since then.
-    pub fn deduct_earlier_wait(&mut self, before: Duration) {
+    pub fn deduct_earlier_wait(&mut self, earlier_wait: Duration) {
         self.soft_deadline = self
             .soft_deadline
-            .checked_sub(before)
+            .checked_sub(earlier_wait)
             .unwrap_or(self.soft_deadline);
     }
 
@@ -200,20 +200,20 @@
 
     /// Longest wait for a slot with which the next attempt is still of use, when it takes `needs`.
     #[must_use]
-    pub fn max_wait(&self, needs: Duration) -> Duration {
+    pub fn max_wait(&self, expected_time: Duration) -> Duration {
         let until = if self.plan.route.latency_ms.is_some() {
             self.soft_deadline.min(self.deadline)
         } else {
             self.deadline
         };
         let left = until.saturating_duration_since(Instant::now());
-        patience::tolerance(left, needs)
+        patience::tolerance(left, expected_time)
     }
 
     /// What the next attempt sends; a streamed body can be taken only once.
-    pub fn next_attempt(&mut self, needs: Duration) -> Attempt {
+    pub fn next_attempt(&mut self, expected_time: Duration) -> Attempt {
         self.sent = true;
-        let tolerance = Millis::from(self.max_wait(needs));
+        let max_wait = Millis::from(self.max_wait(expected_time));
         let mut request = Request::new(self.body.take());
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
@@ -222,7 +222,7 @@
         let handover = Metadata {
             sent_ms: clock::boot_ms(),
             remaining,
-            max_wait: tolerance,
+            max_wait,
             ..self.metadata.clone()
         };
         Attempt {
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -40,14 +40,14 @@
 /// Sends requests to the target, one at a time on each connection.
 #[derive(Debug)]
 pub struct Dispatcher {
-    idle: Duration,
+    idle_timeout: Duration,
     pool: Arc<Mutex<Pool>>,
 }
 
 #[derive(Debug, Default)]
 struct Pool {
     /// The one that was used last comes last.
-    kept: Vec<IdleConnection>,
+    idle: Vec<IdleConnection>,
     /// Until when the target counts as one that sends what nobody asked for.
     suspect_until: Option<Instant>,
 }
@@ -56,7 +56,7 @@
 struct IdleConnection {
     target: SocketAddr,
     sender: SendRequest<Body>,
-    since: Instant,
+    idle_since: Instant,
     /// When the target may close it.
     until: Instant,
 }
@@ -66,16 +66,16 @@
 pub struct Connection {
     target: SocketAddr,
     sender: SendRequest<Body>,
-    idle: Duration,
+    idle_timeout: Duration,
     pool: Arc<Mutex<Pool>>,
 }
 
 impl Dispatcher {
     /// A dispatcher that closes connections after `idle`.
     #[must_use]
-    pub fn new(idle: Duration) -> Self {
+    pub fn new(idle_timeout: Duration) -> Self {
         Self {
-            idle,
+            idle_timeout,
             pool: Arc::default(),
         }
     }
@@ -119,21 +119,23 @@
     /// Guards against connections that went silent all at once: each of them would take a request
     /// and its whole time with it, one after the other.
     pub fn close_idle_since_before(&self, began: Instant) {
-        lock(&self.pool).kept.retain(|kept| kept.since >= began);
+        lock(&self.pool)
+            .idle
+            .retain(|idle| idle.idle_since >= began);
     }
 
     /// Notes that the target sent what nobody asked for, and closes what is kept to it.
     pub fn mark_suspect(&self) {
         let mut pool = lock(&self.pool);
         pool.suspect_until = Some(Instant::now() + SUSPECT_PERIOD);
-        pool.kept.clear();
+        pool.idle.clear();
     }
 
     fn connection(&self, target: SocketAddr, sender: SendRequest<Body>) -> Connection {
         Connection {
             target,
             sender,
-            idle: self.idle,
+            idle_timeout: self.idle_timeout,
             pool: Arc::clone(&self.pool),
         }
     }
@@ -142,22 +144,22 @@
     fn take_idle(&self, target: SocketAddr, repeatable: bool) -> Option<SendRequest<Body>> {
         let now = Instant::now();
         let mut pool = lock(&self.pool);
-        pool.kept
-            .retain(|kept| kept.target == target && now < kept.until && kept.sender.is_ready());
+        pool.idle
+            .retain(|idle| idle.target == target && now < idle.until && idle.sender.is_ready());
         let suspect = pool.suspect_until.is_some_and(|until| now < until);
-        let oldest = if repeatable {
-            self.idle
+        let max_idle = if repeatable {
+            self.idle_timeout
         } else {
             MAX_IDLE_NON_REPEATABLE
         };
         if suspect && !repeatable {
             return None;
         }
-        let last = pool.kept.last()?;
-        if now.duration_since(last.since) >= oldest {
+        let last = pool.idle.last()?;
+        if now.duration_since(last.idle_since) >= max_idle {
             return None;
         }
-        pool.kept.pop().map(|kept| kept.sender)
+        pool.idle.pop().map(|idle| idle.sender)
     }
 
     async fn connect(&self, target: SocketAddr) -> Result<SendRequest<Body>, Reason> {
@@ -190,17 +192,18 @@
         let Self {
             target,
             mut sender,
-            idle,
+            idle_timeout,
             pool,
         } = self;
-        let idle = keep_alive_timeout(headers).map_or(idle, |told| told.min(idle));
+        let idle_timeout =
+            keep_alive_timeout(headers).map_or(idle_timeout, |timeout| timeout.min(idle_timeout));
         if sender.is_ready() {
-            put_back(&pool, target, sender, idle);
+            put_back(&pool, target, sender, idle_timeout);
             return;
         }
         tokio::spawn(async move {
             if sender.ready().await.is_ok() {
-                put_back(&pool, target, sender, idle);
+                put_back(&pool, target, sender, idle_timeout);
             }
         });
     }
@@ -214,19 +217,24 @@
         .split(',')
         .filter_map(|word| word.trim().split_once('='));
     let (_, seconds) = words.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?;
-    let told = Duration::from_secs(seconds.trim().parse().ok()?);
-    Some(told.saturating_sub(KEEP_ALIVE_MARGIN))
+    let timeout = Duration::from_secs(seconds.trim().parse().ok()?);
+    Some(timeout.saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
-fn put_back(pool: &Mutex<Pool>, target: SocketAddr, sender: SendRequest<Body>, idle: Duration) {
+fn put_back(
+    pool: &Mutex<Pool>,
+    target: SocketAddr,
+    sender: SendRequest<Body>,
+    idle_timeout: Duration,
+) {
     let mut pool = lock(pool);
-    if pool.kept.len() < MAX_IDLE_CONNECTIONS {
-        let since = Instant::now();
-        pool.kept.push(IdleConnection {
+    if pool.idle.len() < MAX_IDLE_CONNECTIONS {
+        let idle_since = Instant::now();
+        pool.idle.push(IdleConnection {
             target,
             sender,
-            since,
-            until: since + idle,
+            idle_since,
+            until: idle_since + idle_timeout,
         });
     }
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -91,8 +91,8 @@
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
         let (running, waiting) = self.queue.load();
-        let (coming, queued) = self.body_queue.load();
-        (running, waiting + queued + coming as usize)
+        let (receiving, queued) = self.body_queue.load();
+        (running, waiting + queued + receiving as usize)
     }
 
     /// Takes a request through its life.
@@ -160,7 +160,7 @@
     pub fn new(metadata: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
         Self {
             deadline: Instant::now() + metadata.remaining.duration(),
-            metadata: metadata,
+            metadata,
             request,
             in_flight,
         }
@@ -195,8 +195,8 @@
     /// # Errors
     ///
     /// Why the request was refused; it has provably not run.
-    pub async fn admit(mut self, work: &Executor) -> Result<Admitted, Reason> {
-        work.target(&self.metadata)?;
+    pub async fn admit(mut self, executor: &Executor) -> Result<Admitted, Reason> {
+        executor.target(&self.metadata)?;
         let left = self.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(Reason::Expired);
@@ -206,24 +206,26 @@
             tolerance: self.metadata.max_wait.duration(),
             patience: left / QUEUE_WAIT_DIVISOR,
         };
-        let (slots, queue) = work.queue_limits(&self.metadata);
+        let (slots, queue) = executor.queue_limits(&self.metadata);
         let mut waited = Duration::ZERO;
-        if let Some(held_back) = self.request.extensions_mut().remove::<Continue>() {
-            waited = self.receive_body(&held_back, work, queue, bid).await?;
+        if let Some(continue_signal) = self.request.extensions_mut().remove::<Continue>() {
+            waited = self
+                .receive_body(&continue_signal, executor, queue, bid)
+                .await?;
             // What the body has cost the link would be lost with a refusal.
             let left = self.deadline.saturating_duration_since(Instant::now());
             bid.tolerance = patience::tolerance(left, Duration::ZERO);
             bid.patience = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
-        let permit = work.queue.enter(slots, queue, bid).await?;
+        let permit = executor.queue.enter(slots, queue, bid).await?;
         // Guards against a gate that was frozen while the request waited: its caller has given up
         // and been told so, or its target has said good-bye. Deadline and stage are looked at
         // again with the slot in hand, right before the request leaves.
         if Instant::now() >= self.deadline {
             return Err(Reason::Expired);
         }
-        let target = work.target(&self.metadata)?;
+        let target = executor.target(&self.metadata)?;
         Ok(Admitted {
             received: self,
             permit,
@@ -242,18 +244,18 @@
     /// head alone.
     async fn receive_body(
         &mut self,
-        held_back: &Continue,
-        work: &Executor,
+        continue_signal: &Continue,
+        executor: &Executor,
         queue: u32,
         bid: Bid,
     ) -> Result<Duration, Reason> {
         let began = Instant::now();
-        let _permit = work
+        let _permit = executor
             .body_queue
             .enter(MAX_BODY_TRANSFERS, queue, bid)
             .await?;
         let waited = began.elapsed();
-        held_back.send();
+        continue_signal.send();
         let body = std::mem::take(self.request.body_mut());
         let taking = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
         let taken = tokio::time::timeout_at(self.deadline.into(), taking).await;
@@ -272,7 +274,7 @@
     /// # Errors
     ///
     /// Why there is no answer, and with it whether the request may have run.
-    pub async fn dispatch(self, work: &Executor) -> Result<Response<Body>, Reason> {
+    pub async fn dispatch(self, executor: &Executor) -> Result<Response<Body>, Reason> {
         let Received {
             metadata,
             mut request,
@@ -280,7 +282,7 @@
             in_flight,
         } = self.received;
         let left = deadline.saturating_duration_since(Instant::now());
-        let dialect = &work.board.dialect;
+        let dialect = &executor.board.dialect;
         write_target_headers(
             request.headers_mut(),
             dialect,
@@ -289,33 +291,34 @@
             left,
         );
         let began = Instant::now();
-        let watched = work.inspector.begin(Run {
+        let run = executor.inspector.begin(Run {
             fingerprint: metadata.fingerprint,
             route: metadata.route.clone(),
             from: metadata.from.clone(),
             began,
         });
-        let watched = watched?;
-        let mut counted = Recorder::begin(&work.board, &metadata.route, deadline);
+        let run = run?;
+        let mut recorder = Recorder::begin(&executor.board, &metadata.route, deadline);
         let exchange = async {
-            let sending = work
-                .dispatcher
-                .send(self.target.address, request, metadata.repeatable);
+            let sending =
+                executor
+                    .dispatcher
+                    .send(self.target.address, request, metadata.repeatable);
             let (response, lease) = sending.await?;
             let answer = Answer::new(response, lease, dialect, &metadata.id);
-            answer.validate(&work.dispatcher).await
+            answer.validate(&executor.dispatcher).await
         };
         // Dropping the exchange closes its connection, so that a late answer can't meet the next
         // request.
         let result = tokio::time::timeout(left, exchange).await;
         let result = result.unwrap_or_else(|_| {
-            work.dispatcher.close_idle_since_before(began);
+            executor.dispatcher.close_idle_since_before(began);
             Err(Reason::TimedOut)
         });
-        watched.finish(completion(&result));
-        counted.finish(&result);
+        run.finish(completion(&result));
+        recorder.finish(&result);
         let mut response =
-            result.inspect_err(|reason| work.handle_failure(*reason, &self.target))?;
+            result.inspect_err(|reason| executor.handle_failure(*reason, &self.target))?;
         let headers = response.headers_mut();
         stream::strip_hop_by_hop(headers);
         headers.remove(header::DATE);
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -84,7 +84,7 @@
     listener: TcpListener,
     callers: Arc<Callers>,
     phases: watch::Receiver<Phase>,
-    limits: BoundsSource,
+    bounds_source: BoundsSource,
     handler: H,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -104,8 +104,13 @@
             Ok((stream, _)) => {
                 let admitted = callers.admit().await;
                 let handler = Arc::clone(&handler);
-                let serving =
-                    serve_connection(stream, admitted, phases.clone(), limits.clone(), handler);
+                let serving = serve_connection(
+                    stream,
+                    admitted,
+                    phases.clone(),
+                    bounds_source.clone(),
+                    handler,
+                );
                 tokio::spawn(serving);
             }
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
@@ -117,7 +122,7 @@
     stream: TcpStream,
     mut admitted: callers::Connection,
     mut phases: watch::Receiver<Phase>,
-    limits: BoundsSource,
+    bounds_source: BoundsSource,
     handler: Arc<H>,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -126,20 +131,20 @@
     let _ = stream.set_nodelay(true);
     let requests = admitted.requests();
     let service = service_fn(move |request: Request<Incoming>| {
-        let under_way = requests.begin();
+        let active = requests.begin();
         let answer = handler(request.map(Body::from_incoming));
         async move {
             let (parts, body) = answer.await.into_parts();
-            Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, under_way)))
+            Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, active)))
         }
     });
-    let bounds = limits.now();
+    let bounds = bounds_source.now();
     let mut builder = http1::Builder::new();
     // One clock bounds both a slow head and an idle connection, so it is set to the longer.
-    let patience = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
+    let read_timeout = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(patience)
+        .header_read_timeout(read_timeout)
         .max_buf_size(usize::try_from(bounds.max_head).unwrap_or(usize::MAX));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     // Any other error here is the caller's end of the connection; its requests have been dropped with it.
@@ -152,7 +157,7 @@
         }
         () = wait_for_phase(&mut phases, Phase::Ending) => {}
         () = admitted.displaced() => {}
-        () = limits.wait_for_larger_head(bounds.max_head) => {}
+        () = bounds_source.wait_for_larger_head(bounds.max_head) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -57,9 +57,9 @@
 impl Ingress {
     /// An entry that hands local work to `gate`.
     #[must_use]
-    pub fn new(board: Arc<Board>, gate: Arc<Sidecar>) -> Self {
+    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         Self {
-            attempts: Sender::new(Arc::clone(&board), gate),
+            attempts: Sender::new(Arc::clone(&board), sidecar),
             board,
             calls: AtomicU64::new(0),
         }
@@ -159,14 +159,14 @@
     }
 
     /// Notes an attempt that failed, with what decides whether there will be another one.
-    fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, goes_on: bool) {
+    fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, will_retry: bool) {
         if self.board.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
             info!(self.board.logger, "attempt failed"; "call" => &call.metadata.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
                 "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
-                "own" => own, "reported" => reported, "goes_on" => goes_on);
+                "own" => own, "reported" => reported, "goes_on" => will_retry);
         }
     }
 
@@ -272,27 +272,27 @@
                 // The upstream's own word goes before what the next one's view may still have.
                 call.metadata.leaving.push(upstream.peer);
             }
-            let full = reason == Reason::Overloaded && call.metadata.key.is_none();
+            let overloaded = reason == Reason::Overloaded && call.metadata.key.is_none();
             // Where no target was burdened, neither the rule's attempts nor the budget are
             // touched; each upstream is asked only once.
-            let free = reason.is_unavailable() || full;
-            refusals += u32::from(full);
-            call.overloaded |= full;
+            let unprocessed = reason.is_unavailable() || overloaded;
+            refusals += u32::from(overloaded);
+            call.overloaded |= overloaded;
             // One that has to run apart is refused while another of its kind runs; the next target is
             // not to end beside that one's.
-            let held = reason == Reason::Overloaded && self.attempts.chooser.is_suspect(call);
-            let goes_on = if held || reason == Reason::Quarantined {
+            let isolated = reason == Reason::Overloaded && self.attempts.chooser.is_suspect(call);
+            let will_retry = if isolated || reason == Reason::Quarantined {
                 false
-            } else if free {
+            } else if unprocessed {
                 call.is_sendable() && !call.left().is_zero() && refusals < MAX_OVERLOAD_REFUSALS
             } else {
                 self.may_retry(rule, call, reason)
             };
-            self.log_failure(call, &upstream, reason, goes_on);
-            if !goes_on {
+            self.log_failure(call, &upstream, reason, will_retry);
+            if !will_retry {
                 break;
             }
-            if free {
+            if unprocessed {
                 continue;
             }
             metrics::counter!("jackdaw_retries_total").increment(1);
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -78,10 +78,10 @@
     /// A gate to whatever target the board names.
     #[must_use]
     pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
-        let work = Arc::new(Executor::new(Arc::clone(&board)));
+        let executor = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
-            executor: work,
+            executor,
             keys,
             origins: Mutex::default(),
         }
