--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,7 +1,7 @@
 //! One daemon's connection to another: h2 over TCP.
 //!
 //! A [`Link`] is one daemon's connection to another. Control messages are single POSTs with
-//! bincode bodies; calls are ordinary requests with a [`Handover`](crate::calls::handover::Handover) in a
+//! bincode bodies; calls are ordinary requests with a [`Metadata`](crate::calls::metadata::Metadata) in a
 //! header. Links for calls and links for control are separate connections, so that control bytes
 //! can be counted where they are sent.
 
