--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -1,7 +1,7 @@
-//! Judging what came back from the target.
+//! Validation of the target's response.
 //!
-//! A target may answer late, twice, for somebody else, or break off. Only an answer that belongs to
-//! its request and has come in whole goes on, and only then does its connection carry another one.
+//! A target may respond late, twice, to another request, or break off. A response is passed on only
+//! if it belongs to its request. Its connection is reused only if the whole response was buffered.
 
 use http::{HeaderValue, Response, StatusCode};
 use http_body_util::Full;
@@ -13,13 +13,13 @@
 use crate::calls::outcome::Reason;
 use crate::calls::stream::{self, Buffered, Guarded};
 
-/// Largest answer that is taken in whole before its head goes on, in bytes.
+/// Largest response that is buffered whole before its head is passed on, in bytes.
 ///
-/// Guards against an answer that breaks off: while its head has not gone on, the entry can ask
-/// another target, or tell the caller plainly, in place of cutting the caller's connection.
+/// If a response breaks off before its head is passed on, the ingress can try another target or
+/// report an error, where it would otherwise have to cut the caller's connection.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// What came back from the target, not looked at yet.
+/// A response of the target that has not been validated yet.
 #[derive(Debug)]
 pub struct Answer<'a> {
     response: Response<Incoming>,
@@ -29,7 +29,7 @@
 }
 
 impl<'a> Answer<'a> {
-    /// The response to the call `id`, over the connection of `lease`.
+    /// Wraps the response to the call `id` that came over `connection`.
     pub const fn new(
         response: Response<Incoming>,
         connection: Connection,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Takes the answer in when it is the request's own and whole.
+    /// Returns the response if it belongs to the request; buffers it where it is small.
     ///
     /// # Errors
     ///
-    /// What the answer proves, where it can't be passed on.
+    /// Why the response can't be passed on.
     pub async fn validate(self, dispatcher: &Dispatcher) -> Result<Response<Body>, Reason> {
         if !self.belongs_to_request() {
             dispatcher.mark_suspect();
@@ -58,8 +58,8 @@
             && self.response.status() == StatusCode::MISDIRECTED_REQUEST;
         let refused = self.response.headers().contains_key(&self.dialect.refused);
         let (parts, body) = self.response.into_parts();
-        let gathered = stream::buffer(Body::from_incoming(body), MAX_BUFFERED_BYTES).await;
-        let body = match gathered.map_err(|_| Reason::Broken)? {
+        let buffered = stream::buffer(Body::from_incoming(body), MAX_BUFFERED_BYTES).await;
+        let body = match buffered.map_err(|_| Reason::Broken)? {
             Buffered::Whole(bytes) => {
                 self.connection.release(&parts.headers);
                 Body::from_body(Full::new(bytes))
@@ -75,19 +75,19 @@
         Ok(Response::from_parts(parts, body))
     }
 
-    /// Whether the answer belongs to the request.
+    /// Whether the response belongs to the request.
     ///
-    /// Guards against a target that sends more than it was asked for: its surplus meets the next
-    /// request on the connection, whose caller would get an answer of somebody else. The
-    /// identifier that it repeats is that of another call.
+    /// A target may send more bytes than one response. The rest would be read as the response to the
+    /// next request on the connection and reach the wrong caller; the call identifier in it, which
+    /// is that of another call, shows this.
     fn belongs_to_request(&self) -> bool {
         let headers = self.response.headers();
-        let text = |name| {
+        let header = |name| {
             headers
                 .get(name)
                 .and_then(|v: &HeaderValue| v.to_str().ok())
         };
-        let named = !self.dialect.echoes_call_id || text(&self.dialect.call_id) == Some(self.id);
+        let named = !self.dialect.echoes_call_id || header(&self.dialect.call_id) == Some(self.id);
         let signature = self.dialect.signature.as_ref();
         let signed = signature.is_none_or(|name| headers.contains_key(name));
         named && (signed || !self.response.status().is_success())
--- a/src/calls/dialect.rs
+++ b/src/calls/dialect.rs
@@ -1,32 +1,32 @@
-//! How callers and targets spell what they say in HTTP headers.
+//! Header names and conventions that callers and targets use.
 //!
-//! The default is the product's own spelling. A platform whose callers and targets spell it
-//! otherwise gets another [`Dialect`]; everything behind the entry and the gate is the same.
+//! The default is the product's own. A platform whose callers and targets use others gets another
+//! [`Dialect`]; everything between the ingress and the sidecar is the same.
 
 use http::HeaderName;
 
-/// Names of headers on the path of a request, and what a target's answer must carry.
+/// Header names on the path of a request, and what a target's response must carry.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Identifier of a call, from the caller and to the target.
+    /// Identifier of a call, received from the caller and sent to the target.
     pub call_id: HeaderName,
     /// Time that the caller waits, in milliseconds.
     pub timeout: HeaderName,
-    /// Time left, towards the target, in milliseconds.
+    /// Time left until the deadline, sent to the target, in milliseconds.
     pub remaining: HeaderName,
-    /// A target's proof that it has not run the request.
+    /// Set by a target that has not run the request.
     pub refused: HeaderName,
-    /// Whether every answer of a target repeats the identifier of its call.
+    /// Whether every response of a target repeats the call's identifier, which the caller must set.
     pub echoes_call_id: bool,
-    /// A target's signature, on all its successful answers.
+    /// Signature of the target, on all its successful responses.
     pub signature: Option<HeaderName>,
-    /// The only life of the target that may run the request, towards the target.
+    /// Identifier of the only target process that may run the request, sent to the target.
     pub expected_instance: Option<HeaderName>,
-    /// The life of the target that answers.
+    /// Identifier of the target process that responds.
     pub instance: Option<HeaderName>,
-    /// Service on whose host the request began, towards the target.
+    /// Service on whose host the request began, sent to the target.
     pub caller_service: Option<HeaderName>,
-    /// Whether callers read a fraction of a second in `Retry-After`.
+    /// Whether callers accept fractions of a second in `Retry-After`.
     pub fractional_retry_after: bool,
 }
 
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -1,7 +1,7 @@
 //! Serving HTTP/1 on one address until the daemon stops.
 //!
-//! volo-http's own accept loop takes SIGHUP for an order to stop and gives up after a fixed time,
-//! so its routers are served here, connection by connection, with hyper below it as before.
+//! volo-http's own accept loop stops on SIGHUP and gives up after a fixed time, so its routers are
+//! served here on hyper, connection by connection.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -29,29 +29,30 @@
 use crate::configuration::document::Bounds;
 use crate::units::Version;
 
-/// Pause after a failed accept: it is mostly a lack of descriptors, which ends with a connection.
+/// Delay after a failed accept, which is mostly due to a lack of file descriptors. Some become free
+/// when a connection closes.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time beyond the idle bound for which a connection is kept, so that a request which a caller
-/// sends within the bound does not cross the close.
+/// Time beyond the idle bound for which a connection is kept, so that a request sent within the
+/// bound does not arrive on a closed connection.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// How far a server is in its life.
+/// Phase of a server's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Takes connections.
+    /// Accepts connections.
     Open,
-    /// Refuses new connections and still takes requests on those it has.
+    /// Refuses new connections, but serves requests on existing ones.
     Closed,
-    /// Ends every connection after the answer that is under way.
+    /// Closes each connection after the response in progress.
     Ending,
 }
 
-/// What callers may send, which may change.
+/// Source of the bounds on requests, which may change with the configuration.
 #[derive(Debug, Clone)]
 pub enum BoundsSource {
-    /// Always the same.
+    /// Constant bounds.
     Fixed(Bounds),
-    /// Those of the version in force.
+    /// Bounds of the configuration in force.
     InForce(Arc<Board>),
 }
 
@@ -63,10 +64,10 @@
         }
     }
 
-    /// Waits until larger heads than `largest` are allowed.
+    /// Waits until heads larger than `largest` are allowed.
     ///
-    /// Guards against a connection that was opened at an earlier version: its buffer is fixed, and a request
-    /// that the version in force allows would be refused with 431.
+    /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
+    /// earlier version would refuse with 431 a request that the version in force allows.
     async fn wait_for_larger_head(&self, largest: u32) {
         if let Self::InForce(board) = self {
             let mut versions = board.versions();
@@ -79,7 +80,9 @@
     }
 }
 
-/// Serves `handler` on `listener` within `limits`; `callers` bounds how many connections there are.
+/// Serves `handler` on `listener` within the bounds of `bounds_source`.
+///
+/// `callers` limits the number of connections.
 pub async fn serve<H, F>(
     listener: TcpListener,
     callers: Arc<Callers>,
@@ -93,8 +96,8 @@
     let handler = Arc::new(handler);
     let mut changes = phases.clone();
     loop {
-        // Connections that the host has taken already go first: closing the listener would reset
-        // them, and with them requests that have been sent.
+        // Connections that the kernel has accepted are served before the listener closes, which
+        // would reset them and lose requests already sent on them.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
@@ -140,14 +143,14 @@
     });
     let bounds = bounds_source.now();
     let mut builder = http1::Builder::new();
-    // One clock bounds both a slow head and an idle connection, so it is set to the longer.
+    // One timer bounds both slow heads and idle connections, so it is set to the longer bound.
     let read_timeout = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(read_timeout)
         .max_buf_size(usize::try_from(bounds.max_head).unwrap_or(usize::MAX));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // Any other error here is the caller's end of the connection; its requests have been dropped with it.
+    // Any other error means that the caller closed the connection; its requests were dropped with it.
     tokio::select! {
         ended = connection.as_mut() => {
             if ended.is_err_and(|error| error.is_parse()) {
@@ -163,14 +166,14 @@
     let _ = connection.await;
 }
 
-/// Waits for a phase; for ever when nobody can bring it about any more.
+/// Waits for a phase, forever if its sender is gone.
 async fn wait_for_phase(phases: &mut watch::Receiver<Phase>, wanted: Phase) {
     if phases.wait_for(|phase| *phase >= wanted).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// A handler that asks a router of volo-http.
+/// A handler that passes requests to a volo-http router.
 pub fn router_handler(
     router: Router,
     address: SocketAddr,
--- a/src/calls/metadata.rs
+++ b/src/calls/metadata.rs
@@ -1,8 +1,8 @@
-//! A call on its way between two daemons.
+//! Metadata of a call that one daemon forwards to another.
 //!
-//! A call is an ordinary request with a [`Handover`] in its headers. Names that are the same for
-//! many calls go in headers of their own, which the connection's table of headers shrinks to a byte
-//! each; the rest is one short text.
+//! A forwarded call is an ordinary request with [`Metadata`] in its headers. Names that many calls
+//! share have headers of their own, which HPACK's table compresses to a byte each; the rest is one
+//! short text.
 
 use std::net::SocketAddr;
 
@@ -15,19 +15,18 @@
 use crate::units::{CallKey, Millis, Priority, Service};
 use crate::wire;
 
-/// Header that carries a [`Handover`].
+/// Header that carries the [`Metadata`].
 pub const METADATA: &str = "x-jackdaw-handover";
 /// Header with the service that is called.
 const SERVICE: &str = "x-jackdaw-service";
 /// Header with the upstream group of the route.
 const GROUP: &str = "x-jackdaw-group";
-
 /// Header with the name of the route.
 const ROUTE: &str = "x-jackdaw-route";
 /// Header with the service on whose host the call began.
 const FROM: &str = "x-jackdaw-from";
 
-/// What a gate needs to know of a call, beside the HTTP request.
+/// What a sidecar needs to know about a call beside the HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metadata {
     /// Identifier of the call.
@@ -40,47 +39,47 @@
     pub route: String,
     /// Service on whose host the call began; empty where it is not known.
     pub from: Service,
-    /// What stays the same when it is sent again.
+    /// Hash that stays the same when the caller sends the request again.
     pub fingerprint: Fingerprint,
-    /// Its rank.
+    /// Priority in the queue for a slot.
     pub priority: Priority,
-    /// When it was sent, by the clock of its sender's host since that started.
+    /// When the request was sent, in milliseconds since the sender's host booted.
     pub sent_ms: u64,
-    /// Time left then until the answer's head is due.
+    /// Time left, when it was sent, until the response head is due.
     pub remaining: Millis,
-    /// Longest wait for a slot with which it is still of use.
+    /// Longest expected wait for a slot with which the request is admitted.
     pub max_wait: Millis,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run twice.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub key: Option<CallKey>,
-    /// What keeps the key from running twice.
+    /// How requests with the same key are kept from running twice.
     pub guard: Guard,
-    /// Gates that have told the entry themselves that they take no more calls.
+    /// Sidecars that have told the ingress that they accept no more calls.
     pub leaving: Vec<SocketAddr>,
 }
 
-/// Writes what the gate needs to know.
-pub fn write_metadata(headers: &mut HeaderMap, mut handover: Metadata) {
+/// Writes the metadata into the headers of a call.
+pub fn write_metadata(headers: &mut HeaderMap, mut metadata: Metadata) {
     let names = [
-        (SERVICE, &mut handover.service.0),
-        (GROUP, &mut handover.group),
-        (ROUTE, &mut handover.route),
-        (FROM, &mut handover.from.0),
+        (SERVICE, &mut metadata.service.0),
+        (GROUP, &mut metadata.group),
+        (ROUTE, &mut metadata.route),
+        (FROM, &mut metadata.from.0),
     ];
     for (header, name) in names {
-        // What a caller may have sent under this name must not be taken for ours.
+        // A header that the caller sent under this name must not be taken for metadata.
         headers.remove(header);
-        // A name that no header can carry stays where it is.
+        // A name that is not a valid header value stays in the metadata itself.
         if let Ok(value) = HeaderValue::from_str(name) {
             headers.insert(header, value);
             name.clear();
         }
     }
-    headers.insert(METADATA, wire::to_header(&handover));
+    headers.insert(METADATA, wire::to_header(&metadata));
 }
 
-/// Takes what the gate needs to know out of the headers of a call.
+/// Removes the metadata from the headers of a call and decodes it.
 ///
 /// # Errors
 ///
@@ -90,18 +89,18 @@
         let value: Option<HeaderValue> = headers.remove(name);
         value.and_then(|value| value.to_str().ok().map(str::to_owned))
     };
-    let mut handover: Metadata = wire::from_header(&take(METADATA).unwrap_or_default())?;
+    let mut metadata: Metadata = wire::from_header(&take(METADATA).unwrap_or_default())?;
     if let Some(service) = take(SERVICE) {
-        handover.service = Service(service);
+        metadata.service = Service(service);
     }
     if let Some(group) = take(GROUP) {
-        handover.group = group;
+        metadata.group = group;
     }
     if let Some(route) = take(ROUTE) {
-        handover.route = route;
+        metadata.route = route;
     }
     if let Some(from) = take(FROM) {
-        handover.from = Service(from);
+        metadata.from = Service(from);
     }
-    Ok(handover)
+    Ok(metadata)
 }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,10 +1,11 @@
 //! Calls: the path of a request from its caller to a target and back.
 //!
-//! The entry finds the [`route`] of a request, [`pick`]s an upstream by its [`pace`] and hands the
-//! request over ([`handover`]) to the gate, whose [`limit`] bounds the work. How long a request may wait
-//! there is its [`patience`]. Only the entry may [`retry`]; the caller is told the [`outcome`]. How headers
-//! are spelt is a [`dialect`]. Which [`connections`] of callers are kept is decided where they are
-//! accepted.
+//! The ingress is the daemon that receives a caller's request. It finds the request's [`route`],
+//! [`pick`]s an upstream by its [`pace`] and forwards the request with its [`metadata`] to the
+//! sidecar, the daemon beside the target. The sidecar's concurrency [`limit`] bounds the work;
+//! [`patience`] bounds how long a request may wait for a slot there. Only the ingress may
+//! [`retry`]. The caller is told the [`outcome`]. Header names and conventions are those of a
+//! [`dialect`]. Which [`connections`] of callers are kept is decided where they are accepted.
 
 pub mod connections;
 pub mod dialect;
--- a/src/calls/outcome.rs
+++ b/src/calls/outcome.rs
@@ -1,8 +1,8 @@
 //! What a caller is told about its request.
 //!
-//! A request is answered, provably not run, or of unknown fate; unknown is never called not run.
-//! The outcome stands in the `x-jackdaw-outcome` header of every response, and in a JSON body when
-//! the response is not the target's own.
+//! A request was answered, provably did not run, or may have run. The last outcome, unknown, is
+//! never reported as not run. The outcome is in the `x-jackdaw-outcome` header of every response,
+//! and in a JSON body when the response is not the target's own.
 
 use std::time::Duration;
 
@@ -24,15 +24,15 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
-    /// The target's own answer.
+    /// The response is the target's own.
     Answered,
-    /// It was never dispatched, or was refused before it ran.
+    /// The request was never dispatched, or was refused before it ran.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Why there is no answer.
+/// Why there is no response of the target.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, VariantNames,
 )]
@@ -41,48 +41,48 @@
 pub enum Reason {
     /// No route matches.
     NoRoute,
-    /// No target of the group takes calls.
+    /// No target of the group accepts calls.
     NoTarget,
-    /// The request names no call, and names are the callers' to give.
+    /// The request has no call identifier, and only callers may assign them.
     Unnamed,
     /// The daemon has no configuration yet.
     Starting,
-    /// The daemon or its target is leaving.
+    /// The daemon or its target is draining.
     Draining,
-    /// Every slot and place to wait is taken.
+    /// No slot or queue place is free, or the wait would be too long.
     Overloaded,
     /// The target refused the request before running it.
     Shed,
-    /// Targets have ended under the same request.
+    /// Targets have crashed while running the same request.
     Quarantined,
     /// The deadline passed before the request was dispatched.
     Expired,
     /// The target or its daemon could not be reached.
     Unreachable,
-    /// Another life of the target, or another target, has the address.
+    /// The address belongs to another process of the target, or to another target.
     Misdirected,
-    /// The request's key is another daemon's to run.
+    /// Another daemon owns the request's idempotency key.
     Moved,
-    /// No other gate could note the key, so running it would not be remembered.
+    /// No other sidecar could record the idempotency key, so a run would not be remembered.
     NoWitness,
     /// The platform log could not record the claim.
     LogAway,
     /// The connection broke after the request was dispatched.
     Broken,
-    /// The answer did not come in time.
+    /// The response did not arrive in time.
     TimedOut,
-    /// The daemon's planned stop could not wait for the answer.
+    /// The daemon's planned stop could not wait for the response.
     CutShort,
-    /// Another run of the same key may have happened.
+    /// Another request with the same idempotency key may have run.
     KeyInDoubt,
-    /// The caller's own body broke off.
+    /// The caller's body ended before it was complete.
     CallerGone,
-    /// The request's body is larger than the document allows.
+    /// The request's body is larger than the configuration allows.
     TooLarge,
 }
 
 impl Reason {
-    /// Whether the reason proves that the request did not run.
+    /// What the reason proves: that the request did not run, or that it may have.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
@@ -93,8 +93,8 @@
 
     /// What to report when an attempt failed for this reason and a later one for another.
     ///
-    /// Guards against a lie: a request whose first attempt may have run and whose second was
-    /// refused must not be reported as not run.
+    /// A request whose first attempt may have run must not be reported as not run because its
+    /// second attempt was refused.
     #[must_use]
     pub fn followed_by(self, later: Self) -> Self {
         if self.outcome() == Outcome::Unknown {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether the upstream was simply not there to take the request.
+    /// Whether the upstream was not available to run the request.
     #[must_use]
     pub const fn is_unavailable(self) -> bool {
         matches!(
@@ -113,7 +113,7 @@
         )
     }
 
-    /// Whether the reason speaks against the upstream.
+    /// Whether the reason counts as a failure of the upstream.
     #[must_use]
     pub const fn is_upstream_failure(self) -> bool {
         matches!(self, Self::Broken | Self::TimedOut | Self::Unreachable)
@@ -130,7 +130,7 @@
         }
     }
 
-    /// When asking again makes sense.
+    /// Delay after which the caller may retry.
     #[must_use]
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
@@ -138,7 +138,7 @@
             | Self::CallerGone
             | Self::Unnamed
             | Self::TooLarge
-            // The entry knows until when.
+            // The ingress sets the end of the quarantine instead.
             | Self::Quarantined => None,
             Self::LogAway | Self::NoTarget | Self::NoWitness => Some(Duration::from_secs(2)),
             _ => Some(Duration::from_secs(1)),
@@ -151,16 +151,16 @@
 pub struct Report {
     /// Identifier of the call.
     pub id: String,
-    /// What is known.
+    /// What is known about the request.
     pub outcome: Outcome,
-    /// Why.
+    /// Why the target gave no response.
     pub reason: Reason,
 }
 
-/// The response that tells an entry why its gate has no answer.
+/// Builds the response that tells an ingress why the sidecar has none from its target.
 ///
-/// It has no body: the entry writes the caller's, and under overload a gate refuses several requests
-/// for each one that it runs.
+/// It has no body: the ingress writes the caller's, and an overloaded sidecar refuses several
+/// requests for each one that it runs.
 #[must_use]
 pub fn sidecar_refusal(reason: Reason) -> Response<Body> {
     let mut response = Response::new(Body::empty());
@@ -170,7 +170,7 @@
     response
 }
 
-/// The response that tells a caller why there is no answer.
+/// Builds the response that tells a caller why there is none from the target.
 #[must_use]
 pub fn caller_refusal(id: &str, reason: Reason) -> Response<Body> {
     let report = Report {
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -1,8 +1,8 @@
-//! The gate: the only way into the co-located target.
+//! The sidecar: the daemon beside a target, through which all requests to that target pass.
 //!
-//! All work enters a target through the daemon beside it, so one process sees everything that is
-//! in flight there, bounds it, and can prove a refusal. A request with an idempotency key is guarded
-//! by [`Keys`], which hand it on to the [`Work`]; any other goes there at once.
+//! One process thus sees all requests in flight at the target, bounds them, and can prove that a
+//! refused request did not run. A request with an idempotency key is guarded by [`Keys`], which
+//! pass it on to the [`Executor`]; any other goes there directly.
 
 use std::fmt;
 use std::str::FromStr;
@@ -21,32 +21,32 @@
 use crate::idempotency::guard::Keys;
 use crate::units::{Millis, Service};
 
-/// Header with a gate's [`Load`].
+/// Header with a sidecar's [`Load`].
 pub const LOAD: &str = "x-jackdaw-load";
 
-/// Bounds and dispatches the work of the co-located target.
+/// Runs requests at the co-located target.
 #[derive(Debug)]
 pub struct Sidecar {
     board: Arc<Board>,
     executor: Arc<Executor>,
     keys: Arc<Keys>,
-    /// Held for a few instructions.
+    /// Locked only briefly, and never across an await.
     origins: Mutex<Origins>,
 }
 
-/// What a gate tells an entry with each answer, written as numbers with commas.
+/// Load that a sidecar reports with each response, written as numbers separated by commas.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that run at the target or wait for a slot.
     pub in_flight: u32,
-    /// Time for which the answered request waited for its slot.
+    /// Time for which this request waited for its slot.
     pub waited: Millis,
-    /// Whether only targets call the route of the answered request.
+    /// Whether only targets call this request's route.
     pub nested: bool,
 }
 
 impl Load {
-    /// What a gate told with an answer or a refusal, if it did.
+    /// Reads the load from a response's headers; `None` if it is missing or invalid.
     #[must_use]
     pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         headers.get(LOAD)?.to_str().ok()?.parse().ok()
@@ -75,7 +75,7 @@
 }
 
 impl Sidecar {
-    /// A gate to whatever target the board names.
+    /// A sidecar for the target that the board currently names.
     #[must_use]
     pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
         let executor = Arc::new(Executor::new(Arc::clone(&board)));
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Requests that run and that wait.
+    /// Number of requests that run, and of those that wait.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
         self.executor.load()
     }
 
-    /// Runs a request, or says why not.
+    /// Runs a request; the response carries the reason if it could not be run.
     pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
         let (id, key) = (metadata.id.clone(), metadata.key.clone());
         let nested = self.is_nested(&metadata);
@@ -110,7 +110,7 @@
                         .board
                         .target()
                         .and_then(|target| target.instance.clone());
-                    info!(self.board.logger, "gate gave no answer"; "call" => &id,
+                    info!(self.board.logger, "request failed at sidecar"; "call" => &id,
                         "reason" => %reason, "running" => self.load().0,
                         "instance" => instance.map(|instance| instance.0));
                 }
@@ -125,7 +125,7 @@
         response
     }
 
-    /// Whether only targets call the route of a request, which is noted.
+    /// Records where a request began; returns whether only targets call its route.
     fn is_nested(&self, metadata: &Metadata) -> bool {
         if metadata.from == Service::default() {
             return false;
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -1,6 +1,6 @@
-//! Bodies that cross between h2 streams and HTTP/1.
+//! Transfer of bodies between h2 streams and HTTP/1 connections.
 //!
-//! Both directions keep back-pressure: a frame is read only when the other side has room. A body
+//! Both directions apply back-pressure: a frame is read only when the other side has room. A body
 //! that breaks off on one side is aborted on the other, never ended cleanly.
 
 use std::pin::Pin;
@@ -18,16 +18,15 @@
 /// Error of a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Flow-control window of a stream towards a peer that serves, in bytes: so much of each body may be
-/// on its way at once.
+/// Flow-control window of a request stream, in bytes.
 ///
-/// Small calls that go to the same host wait behind what is on its way.
+/// It bounds how much of each body is in transit, since small calls to the same host wait behind
+/// that.
 pub const REQUEST_WINDOW_BYTES: u32 = 8 << 10;
-/// Bodies up to this many bytes go along with their heads, for all the difference that they make to a
-/// link.
+/// Bodies up to this many bytes are sent along with their heads, as they hardly load a link.
 const SMALL_BODY_BYTES: u64 = REQUEST_WINDOW_BYTES as u64;
 
-/// Whether a body takes a link its time, and is better asked for than sent along.
+/// Whether a body is large enough to be sent only once the receiver asks for it.
 #[must_use]
 pub fn is_large(headers: &HeaderMap, body: &Body) -> bool {
     let length = headers.get(header::CONTENT_LENGTH);
@@ -36,23 +35,25 @@
     !small && !http_body::Body::is_end_stream(body)
 }
 
-/// A body that a peer holds back until it is asked for; kept with its request inside the daemon.
+/// Signal that lets a peer send a body it has deferred (`Expect: 100-continue`).
+///
+/// Travels inside the daemon as an extension of the request.
 #[derive(Debug, Clone, Default)]
 pub struct Continue(Arc<Notify>);
 
 impl Continue {
-    /// Asks for it.
+    /// Asks the peer for the body.
     pub fn send(&self) {
         self.0.notify_one();
     }
 
-    /// Waits until it is asked for.
+    /// Waits until the body is asked for.
     pub async fn wait(&self) {
         self.0.notified().await;
     }
 }
 
-/// Headers that belong to one connection and are not passed on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -64,7 +65,7 @@
     header::UPGRADE,
 ];
 
-/// Removes what belongs to one connection only.
+/// Removes headers that apply to one connection only.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -132,7 +133,7 @@
     }
 }
 
-/// A body that keeps a value, such as a slot, until it ends or is dropped.
+/// A body that owns a value, such as a slot, until it is dropped.
 #[derive(Debug)]
 pub struct Guarded<T> {
     body: Body,
@@ -140,7 +141,7 @@
 }
 
 impl<T: Send + Sync + Unpin + 'static> Guarded<T> {
-    /// A body that keeps `value`.
+    /// Wraps a body so that it owns `value`.
     #[must_use]
     pub fn wrap(body: Body, value: T) -> Body {
         Body::from_body(Self {
@@ -170,20 +171,20 @@
     }
 }
 
-/// A body that was taken in.
+/// A body read into memory up to a bound.
 #[derive(Debug)]
 pub enum Buffered {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// More than was allowed: what came, and the rest when it comes.
+    /// A body beyond the bound: the part read so far, then the rest as it arrives.
     Partly(Body),
 }
 
-/// Takes a body in, up to `limit` bytes.
+/// Reads a body into memory, up to about `limit` bytes.
 ///
 /// # Errors
 ///
-/// What broke before the end.
+/// The error that ended the body early.
 pub async fn buffer(mut body: Body, limit: usize) -> Result<Buffered, BoxError> {
     let mut taken = BytesMut::new();
     while taken.len() <= limit {
@@ -204,7 +205,7 @@
     Ok(Buffered::Partly(Body::from_body(begun)))
 }
 
-/// A body whose first part has been taken in.
+/// A body whose first part has been read into memory.
 #[derive(Debug)]
 struct Prefixed {
     taken: Option<Bytes>,
@@ -226,18 +227,18 @@
     }
 }
 
-/// Sends a whole body over an h2 stream, at the receiver's pace.
+/// Sends a whole body over an h2 stream as the receiver makes room for it.
 ///
 /// # Errors
 ///
-/// What broke; the stream is reset, so that the receiver sees a body cut short.
+/// The body's or the stream's error. If the body breaks off, the stream is reset, so that the
+/// receiver does not take it for complete.
 pub async fn send_body(mut body: Body, mut stream: SendStream<Bytes>) -> Result<(), BoxError> {
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
             Err(error) => {
-                // Guards against a half answer that looks whole: ending the stream here would be
-                // a clean end for the receiver.
+                // Ending the stream here would make a truncated body look complete.
                 stream.send_reset(Reason::INTERNAL_ERROR);
                 return Err(error);
             }
@@ -245,7 +246,7 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        // A known end travels with the last data, which saves the receiver one wake-up.
+        // The end goes with the last data if it is known, which saves the receiver one wake-up.
         let last = http_body::Body::is_end_stream(&body);
         send(&mut stream, data, last).await?;
         if last {
@@ -259,7 +260,7 @@
 ///
 /// # Errors
 ///
-/// What broke.
+/// The stream's error.
 pub async fn send_message(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), BoxError> {
     send(stream, data, true).await
 }
@@ -279,7 +280,7 @@
                 stream.send_data(chunk, last && data.is_empty())?;
             }
             Some(Err(error)) => return Err(error.into()),
-            None => return Err("the receiver closed the stream".into()),
+            None => return Err("stream closed by the receiver before the whole body was sent".into()),
         }
     }
     Ok(())
