--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -64,7 +64,7 @@
                 self.connection.release(&parts.headers);
                 Body::from_body(Full::new(bytes))
             }
-            Buffered::Partly(body) => Guarded::wrap(body, self.connection),
+            Buffered::Partial(body) => Guarded::wrap(body, self.connection),
         };
         if misdirected {
             return Err(Reason::Misdirected);
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -257,12 +257,12 @@
         let waited = began.elapsed();
         continue_signal.send();
         let body = std::mem::take(self.request.body_mut());
-        let taking = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
-        let taken = tokio::time::timeout_at(self.deadline.into(), taking).await;
-        let taken = taken.map_err(|_| Reason::Expired)?;
-        *self.request.body_mut() = match taken.map_err(|_| Reason::CallerGone)? {
+        let buffering = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
+        let buffered = tokio::time::timeout_at(self.deadline.into(), buffering).await;
+        let buffered = buffered.map_err(|_| Reason::Expired)?;
+        *self.request.body_mut() = match buffered.map_err(|_| Reason::CallerGone)? {
             Buffered::Whole(bytes) => Body::from_body(Full::new(bytes)),
-            Buffered::Partly(body) => body,
+            Buffered::Partial(body) => body,
         };
         Ok(waited)
     }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -96,7 +96,7 @@
     /// Runs a request; the response carries the reason if it could not be run.
     pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
         let (id, key) = (metadata.id.clone(), metadata.key.clone());
-        let nested = self.is_nested(&metadata);
+        let nested = self.record_origin(&metadata);
         let received = Received::new(metadata, request, self.board.begin());
         let result = match key {
             Some(key) => self.keys.guard(key, received, &self.executor).await,
@@ -126,7 +126,7 @@
     }
 
     /// Records where a request began; returns whether only targets call its route.
-    fn is_nested(&self, metadata: &Metadata) -> bool {
+    fn record_origin(&self, metadata: &Metadata) -> bool {
         if metadata.from == Service::default() {
             return false;
         }
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -177,7 +177,7 @@
     /// The whole body.
     Whole(Bytes),
     /// A body beyond the bound: the part read so far, then the rest as it arrives.
-    Partly(Body),
+    Partial(Body),
 }
 
 /// Reads a body into memory, up to about `limit` bytes.
@@ -186,29 +186,29 @@
 ///
 /// The error that ended the body early.
 pub async fn buffer(mut body: Body, limit: usize) -> Result<Buffered, BoxError> {
-    let mut taken = BytesMut::new();
-    while taken.len() <= limit {
+    let mut prefix = BytesMut::new();
+    while prefix.len() <= limit {
         let Some(frame) = body.frame().await else {
-            return Ok(Buffered::Whole(taken.freeze()));
+            return Ok(Buffered::Whole(prefix.freeze()));
         };
         if let Ok(data) = frame?.into_data() {
-            if taken.is_empty() && http_body::Body::is_end_stream(&body) {
+            if prefix.is_empty() && http_body::Body::is_end_stream(&body) {
                 return Ok(Buffered::Whole(data));
             }
-            taken.extend_from_slice(&data);
+            prefix.extend_from_slice(&data);
         }
     }
-    let begun = Prefixed {
-        taken: Some(taken.freeze()),
+    let prefixed = Prefixed {
+        prefix: Some(prefix.freeze()),
         rest: body,
     };
-    Ok(Buffered::Partly(Body::from_body(begun)))
+    Ok(Buffered::Partial(Body::from_body(prefixed)))
 }
 
 /// A body whose first part has been read into memory.
 #[derive(Debug)]
 struct Prefixed {
-    taken: Option<Bytes>,
+    prefix: Option<Bytes>,
     rest: Body,
 }
 
@@ -220,8 +220,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        if let Some(taken) = self.taken.take() {
-            return Poll::Ready(Some(Ok(Frame::data(taken))));
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         Pin::new(&mut self.rest).poll_frame(cx)
     }
@@ -280,7 +280,9 @@
                 stream.send_data(chunk, last && data.is_empty())?;
             }
             Some(Err(error)) => return Err(error.into()),
-            None => return Err("stream closed by the receiver before the whole body was sent".into()),
+            None => {
+                return Err("stream closed by the receiver before the whole body was sent".into());
+            }
         }
     }
     Ok(())
