--- a/src/calls/answer.rs
+++ b/src/calls/answer.rs
@@ -77,9 +77,9 @@
 
     /// Whether the response belongs to the request.
     ///
-    /// A target may send more bytes than one response. The rest would be read as the response to the
-    /// next request on the connection and reach the wrong caller; the call identifier in it, which
-    /// is that of another call, shows this.
+    /// A target may send more bytes than one response. The rest would be read as the response to
+    /// the next request on the connection and reach the wrong caller; the call identifier in it,
+    /// which is that of another call, shows this.
     fn belongs_to_request(&self) -> bool {
         let headers = self.response.headers();
         let header = |name| {
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -1,7 +1,7 @@
-//! Attempts of a call: one upstream after the other, or two at a time.
+//! Attempts of a call: at one upstream after the other, or at two at a time.
 //!
-//! What an attempt shows of its upstream is learnt here, and what one more of them costs the budget of
-//! its service.
+//! Each attempt updates the statistics of its upstream. Further attempts are paid from the retry
+//! budget of the service.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -21,30 +21,30 @@
 use crate::membership::roster::Upstream;
 use crate::settings::{Retries, Settings};
 
-/// Part of the time left after which a repeatable call is also sent to a second upstream.
+/// Divisor of the time left: after that part, a repeatable call is also sent to a second upstream.
 const HEDGE_DELAY_DIVISOR: u32 = 2;
 
-/// What an attempt came to.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum Reply {
-    /// The target's own answer.
+    /// The target's own response.
     Answered(Response<Body>),
-    /// None, for this reason.
+    /// No response of the target, for this reason.
     Failed(Reason),
 }
 
-/// Makes attempts on behalf of an entry.
+/// Makes attempts on behalf of an ingress.
 #[derive(Debug)]
 pub struct Sender {
     board: Arc<Board>,
     sidecar: Arc<Sidecar>,
     budgets: Budgets,
-    /// Who gets them.
+    /// Chooses the upstream of each attempt.
     pub chooser: Chooser,
 }
 
 impl Sender {
-    /// Attempts that hand local work to `gate`.
+    /// A sender that passes calls for the local target directly to `sidecar`.
     #[must_use]
     pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         let Settings {
@@ -60,13 +60,13 @@
         }
     }
 
-    /// What a call's service may spend on retries.
+    /// The retry budget of a call's service.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
         let daemons = self.board.roster().members.len();
         self.budgets.of(&call.metadata.service, daemons)
     }
 
-    /// Whether the budget pays for one more request to an upstream.
+    /// Withdraws one more request from the retry budget; `false` if the budget does not allow it.
     pub fn withdraw_retry(&self, rule: &Retry, call: &Call) -> bool {
         let fixed = self.board.settings.retries == Retries::Fixed;
         fixed
@@ -75,10 +75,10 @@
                 .withdraw_for(rule.budget, call.metadata.priority)
     }
 
-    /// Makes an attempt, and for a repeatable call a second one elsewhere when the first is late.
+    /// Makes an attempt, and for a repeatable call a second one elsewhere if the first is late.
     ///
-    /// Guards against a gate or target that is frozen: it takes the request and is silent, and
-    /// waiting for the deadline would lose a read that another target could have answered.
+    /// A frozen sidecar or target accepts a request and never responds. Waiting for the deadline
+    /// would fail a read that another target could have served.
     pub async fn attempt_hedged(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
@@ -87,7 +87,7 @@
         let mut first =
             Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
         let fixed = self.board.settings.retries == Retries::Fixed;
-        // The first one counts as made once it has failed or has company.
+        // The first attempt is counted once it has failed or a second one starts.
         let alone = fixed || !call.may_hedge() || self.chooser.is_suspect(call);
         if alone || call.attempts + 2 > rule.attempts {
             return first.await;
@@ -162,7 +162,7 @@
     }
 }
 
-/// Reads a gate's answer: the target's own, or a reason.
+/// Reads a sidecar's response: the target's own, or a reason.
 fn parse_reply(response: Response<Body>) -> Reply {
     let text = |name| {
         response
@@ -175,6 +175,6 @@
         return Reply::Answered(response);
     }
     let reason = text(REASON).and_then(|reason| reason.parse().ok());
-    // A gate that gives no reason we know proves nothing.
+    // A response without a known reason proves nothing, so the request may have run.
     Reply::Failed(reason.unwrap_or(Reason::Broken))
 }
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way, with its route, deadline and body.
+//! A caller's request with its route, deadline and body, over all of its attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,46 +26,46 @@
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
 
-/// A request that has been matched to a route of the configuration in force when it came.
+/// A request matched to a route of the configuration that was in force when it arrived.
 #[derive(Debug)]
 pub struct Call {
-    /// What its gate needs to know.
+    /// Metadata for the sidecar; each attempt sends its own version.
     pub metadata: Metadata,
-    /// Its route and retry rule.
+    /// Route and retry rule.
     pub plan: Arc<Plan>,
-    /// The group that serves it.
+    /// Upstream group that serves the call.
     pub group: Arc<Group>,
-    /// Upstreams that are not asked again.
+    /// Upstreams that are not tried again.
     pub tried: Vec<SocketAddr>,
-    /// Attempts that an upstream may have begun to work on.
+    /// Attempts that an upstream may have begun to process; the retry rule limits them.
     pub attempts: u32,
-    /// Whether any of it has been handed to an upstream.
+    /// Whether an attempt has been made.
     pub sent: bool,
-    /// Whether a gate had no room for it.
+    /// Whether a sidecar refused the call as overloaded.
     pub overloaded: bool,
-    /// Why it has no answer yet.
+    /// Why the attempts so far have failed.
     pub reason: Option<Reason>,
-    /// Time that the caller still gives, by its own word.
+    /// Time that the caller waits, as given in its request.
     pub caller_timeout: Option<Millis>,
-    /// When the answer is no longer of full use.
+    /// When the response starts to lose its value.
     soft_deadline: Instant,
     deadline: Instant,
     head: request::Parts,
     body: Payload,
 }
 
-/// What one attempt sends.
+/// One attempt at a call.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What the gate needs to know.
+    /// Metadata for the sidecar.
     pub metadata: Metadata,
     /// The request, with its body.
     pub request: Request<Body>,
-    /// When the head of the answer is due.
+    /// When the response head is due.
     pub deadline: Instant,
 }
 
-/// A request body, kept whole where that is cheap, so that it can be sent again.
+/// A request body, buffered if it is small, so that it can be sent again.
 #[derive(Debug)]
 enum Payload {
     Kept(Bytes),
@@ -73,12 +73,14 @@
 }
 
 impl Call {
-    /// Matches a request that came at `began`; keeps a body of at most `limit` bytes. `draw` is
-    /// uniform in 0 to 1 and chooses among the groups of a split route.
+    /// Matches a request that arrived at `began` to a route.
+    ///
+    /// A body of at most `limit` bytes is buffered. `draw` is uniform in 0 to 1 and chooses among
+    /// the groups of a split route.
     ///
     /// # Errors
     ///
-    /// Why it can't be served; nothing of it has been sent on.
+    /// Why the request can't be served; no part of it has been forwarded.
     pub async fn prepare(
         id: &str,
         config: &Snapshot,
@@ -106,7 +108,7 @@
         let deadline = began + timeout.duration();
         let soft_deadline = began + plan.route.latency_ms.unwrap_or(timeout).duration();
         let group = Arc::clone(plan.group(draw));
-        // Callers of different services may choose the same key.
+        // Keys are scoped by service: callers of two services may choose the same one.
         let scoped = |key| CallKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
         let handover = Metadata {
@@ -126,7 +128,7 @@
             leaving: Vec::new(),
         };
         stream::strip_hop_by_hop(&mut head.headers);
-        // The gate writes these anew, from the handover.
+        // The sidecar writes the identifier and the remaining time anew, from the metadata.
         for name in [&dialect.call_id, &dialect.timeout, &dialect.remaining] {
             head.headers.remove(name);
         }
@@ -155,33 +157,32 @@
         })
     }
 
-    /// Time left until the head of the answer is due.
+    /// Time left until the response head is due.
     #[must_use]
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Whether there is a body to send once more.
+    /// Whether the body can be sent (again).
     #[must_use]
     pub const fn is_sendable(&self) -> bool {
         matches!(self.body, Payload::Kept(_) | Payload::Stream(Some(_)))
     }
 
-    /// Whether two attempts may be under way at the same time.
+    /// Whether two attempts may be in flight at the same time.
     #[must_use]
     pub const fn may_hedge(&self) -> bool {
         self.metadata.repeatable && matches!(self.body, Payload::Kept(_))
     }
 
-    /// Notes why an attempt failed.
+    /// Records why an attempt failed.
     pub fn record_failure(&mut self, reason: Reason) {
         let earlier = self.reason.map(|earlier| earlier.followed_by(reason));
         self.reason = Some(earlier.unwrap_or(reason));
     }
 
-    /// Notes for how long the caller had waited before it sent this request.
-    ///
-    /// What it got before is over, but its time has been running since then.
+    /// Brings the soft deadline forward by the time that the caller had waited before it sent this
+    /// request: its earlier attempts failed, but its time has been running since then.
     pub fn deduct_earlier_wait(&mut self, earlier_wait: Duration) {
         self.soft_deadline = self
             .soft_deadline
@@ -189,16 +190,15 @@
             .unwrap_or(self.soft_deadline);
     }
 
-    /// Notes that a running request needs the answer.
+    /// Moves the soft deadline to the deadline, for a call that a running request depends on.
     ///
-    /// Guards against work in vain: a call that is refused because its answer would come later than
-    /// usual fails the request that made it, with all that has been done for that one. Its answer is
-    /// of full use until the deadline.
+    /// Refusing such a call because its response would be later than usual would fail the request
+    /// that made it and waste the work already done for that.
     pub const fn extend_soft_deadline(&mut self) {
         self.soft_deadline = self.deadline;
     }
 
-    /// Longest wait for a slot with which the next attempt is still of use, when it takes `needs`.
+    /// Longest wait for a slot with which an attempt that takes `expected_time` is still of use.
     #[must_use]
     pub fn max_wait(&self, expected_time: Duration) -> Duration {
         let until = if self.plan.route.latency_ms.is_some() {
@@ -210,7 +210,7 @@
         patience::tolerance(left, expected_time)
     }
 
-    /// What the next attempt sends; a streamed body can be taken only once.
+    /// Prepares the next attempt; a streamed body can be sent only once.
     pub fn next_attempt(&mut self, expected_time: Duration) -> Attempt {
         self.sent = true;
         let max_wait = Millis::from(self.max_wait(expected_time));
@@ -234,11 +234,12 @@
 }
 
 impl Attempt {
-    /// Hands a request to the gate of another host.
+    /// Forwards the request to the sidecar on another host.
     ///
     /// # Errors
     ///
-    /// [`Reason::Unreachable`] when the gate has provably not processed it, else [`Reason::Broken`].
+    /// [`Reason::Unreachable`] if the sidecar has provably not processed it, else
+    /// [`Reason::Broken`].
     pub async fn forward(self, upstream: &Upstream) -> Result<Response<Body>, Reason> {
         let (mut parts, body) = self.request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -248,7 +249,7 @@
             std::mem::swap(headers, &mut parts.headers);
             write_metadata(headers, self.metadata);
             if stream::is_large(headers, &body) {
-                // The gate asks for it when its turn has come.
+                // The sidecar asks for the body when its turn has come.
                 headers.insert(header::EXPECT, HeaderValue::from_static("100-continue"));
             }
         }
@@ -271,7 +272,7 @@
 }
 
 impl Payload {
-    /// What stays the same when a request with this head and body is sent again.
+    /// Hash that stays the same when a request with this head and body is sent again.
     fn fingerprint(&self, head: &request::Parts) -> Fingerprint {
         let text = |name| head.headers.get(name).map(HeaderValue::as_bytes);
         let host = text(header::HOST).and_then(|host| std::str::from_utf8(host).ok());
@@ -307,12 +308,12 @@
             return Err(Reason::TooLarge);
         }
         if length.is_none_or(|length| length > limit) {
-            // One without a length breaks off where it grows too large.
+            // A body without a length is cut off where it exceeds the limit.
             let bounded = Body::from_body(Limited::new(body, largest));
             return Ok(Self::Stream(Some(bounded)));
         }
         let collected = Limited::new(body, limit).collect().await;
-        // Nothing has been sent on yet, so the fate would be known; but the caller is gone.
+        // Nothing has been forwarded yet, so the request has not run; but the caller is gone.
         collected
             .map(|body| Self::Kept(body.to_bytes()))
             .map_err(|_| Reason::CallerGone)
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -1,8 +1,8 @@
-//! Sending a request to the co-located target, and telling what a failure proves.
+//! Sending requests to the co-located target, and deciding what a failure proves.
 //!
-//! Connections to the target are kept here and not by a library's pool: whether a connection may
-//! carry a request depends on what the request risks, and an answer that does not belong to its
-//! request condemns the connection.
+//! Connections to the target are pooled here and not by a library, since whether an idle connection
+//! may be reused depends on whether the request may be repeated, and a response that does not
+//! belong to its request closes all idle connections.
 
 use std::error::Error as StdError;
 use std::io;
@@ -19,22 +19,22 @@
 
 use crate::calls::outcome::Reason;
 
-/// Time to open a connection to the target: it is on the same host, so a later one means that it
-/// takes none.
+/// Time allowed for connecting to the target. It is on the same host, so taking longer means that
+/// it accepts no connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Header in which a target says how long it keeps an idle connection.
+/// Header in which a target announces how long it keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Time before that end after which a connection is not used again.
+/// Time before the announced end in which a connection is no longer reused.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
-/// Idle connections that are kept to the target.
+/// Maximum number of idle connections to the target.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// Idle time after which a connection carries no request that must not be repeated.
+/// Idle time after which a connection is not reused for a request that must not be repeated.
 ///
-/// Guards against a target that forgets an idle connection: what is sent on it next is reset and
-/// may have run for all that is known. A connection that was in use a moment ago is still known.
+/// A target that has dropped an idle connection resets the next request on it, which then may have
+/// run for all that is known. A connection used a moment ago is still open.
 const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_secs(1);
-/// Time for which a target that sent bytes nobody asked for gets a fresh connection for each
-/// request that must not be repeated.
+/// Time after unsolicited bytes from the target for which each request that must not be repeated
+/// gets a new connection.
 const SUSPECT_PERIOD: Duration = Duration::from_secs(10);
 
 /// Sends requests to the target, one at a time on each connection.
@@ -46,9 +46,9 @@
 
 #[derive(Debug, Default)]
 struct Pool {
-    /// The one that was used last comes last.
+    /// In order of last use, the most recent last.
     idle: Vec<IdleConnection>,
-    /// Until when the target counts as one that sends what nobody asked for.
+    /// Until when the target is suspected of sending unsolicited bytes.
     suspect_until: Option<Instant>,
 }
 
@@ -57,11 +57,11 @@
     target: SocketAddr,
     sender: SendRequest<Body>,
     idle_since: Instant,
-    /// When the target may close it.
+    /// When the target may close the connection.
     until: Instant,
 }
 
-/// A connection that carries one exchange; it is closed unless it is given back.
+/// A connection in use for one exchange, closed unless it is returned to the pool.
 #[derive(Debug)]
 pub struct Connection {
     target: SocketAddr,
@@ -71,7 +71,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that closes connections after `idle`.
+    /// A dispatcher that reuses no connection that has been idle for `idle_timeout`.
     #[must_use]
     pub fn new(idle_timeout: Duration) -> Self {
         Self {
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// The lease is to be [kept](Lease::keep) once the whole answer has come and proved to be
-    /// the request's own; dropped, it closes its connection, and the target stops the work.
+    /// [Release](Connection::release) the connection once the whole response has been received and
+    /// belongs to the request. Dropping it closes the connection, so the target can stop working.
     ///
     /// # Errors
     ///
-    /// [`Reason::Unreachable`] when the target has provably seen nothing, otherwise
+    /// [`Reason::Unreachable`] if the target has provably received nothing, otherwise
     /// [`Reason::Broken`].
     pub async fn send(
         &self,
@@ -99,7 +99,7 @@
         while let Some(mut sender) = self.take_idle(target, repeatable) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, self.connection(target, sender))),
-                // The request comes back only if nothing of it was written.
+                // The request is returned only if none of it was written.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(Reason::Broken),
@@ -116,15 +116,15 @@
 
     /// Closes the connections that have been idle since before `began`.
     ///
-    /// Guards against connections that went silent all at once: each of them would take a request
-    /// and its whole time with it, one after the other.
+    /// If all connections stopped working at once, each of them would otherwise cost one more
+    /// request its whole timeout.
     pub fn close_idle_since_before(&self, began: Instant) {
         lock(&self.pool)
             .idle
             .retain(|idle| idle.idle_since >= began);
     }
 
-    /// Notes that the target sent what nobody asked for, and closes what is kept to it.
+    /// Records that the target sent unsolicited bytes, and closes its idle connections.
     pub fn mark_suspect(&self) {
         let mut pool = lock(&self.pool);
         pool.suspect_until = Some(Instant::now() + SUSPECT_PERIOD);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The connection that was used last, if it may carry the request.
+    /// Takes the most recently used connection from the pool if it may carry the request.
     fn take_idle(&self, target: SocketAddr, repeatable: bool) -> Option<SendRequest<Body>> {
         let now = Instant::now();
         let mut pool = lock(&self.pool);
@@ -175,8 +175,8 @@
             let Err(error) = connection.await else {
                 return;
             };
-            // Bytes that came after a whole answer: hyper closes the connection, and the next
-            // ones may carry such bytes just as well.
+            // hyper closes a connection on bytes beyond a response; others may carry such bytes
+            // too.
             if error.is_parse() || error.to_string().contains("unexpected") {
                 lock(&pool).suspect_until = Some(Instant::now() + SUSPECT_PERIOD);
             }
@@ -186,8 +186,8 @@
 }
 
 impl Connection {
-    /// Keeps the connection for the next request, once it is free, for as long as an answer with
-    /// these headers says.
+    /// Returns the connection to the pool once it is ready, for no longer than the response
+    /// `headers` announce that the target keeps it.
     pub fn release(self, headers: &HeaderMap) {
         let Self {
             target,
@@ -209,7 +209,7 @@
     }
 }
 
-/// Time for which the target keeps an idle connection by its own word, with a margin.
+/// Time for which the target announces that it keeps an idle connection, less a margin.
 #[must_use]
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
@@ -243,7 +243,7 @@
     pool.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The request as it is written to a server: with path and query alone in its first line.
+/// Rewrites the request target to origin form, path and query alone, and the version to HTTP/1.1.
 fn origin_form(request: Request<Body>) -> Request<Body> {
     let (mut parts, body) = request.into_parts();
     let path = parts.uri.path_and_query().cloned();
@@ -252,10 +252,11 @@
     Request::from_parts(parts, body)
 }
 
-/// Whether an error proves that the target has seen nothing of the request.
+/// Whether an error proves that the target has received nothing of the request.
 ///
-/// The error's own kind does not tell: only causes on this list, each tried against a listener
-/// that records what it read, are proof. Everything else may have come after the target read it.
+/// The error's own kind does not tell. Only the causes listed here are proof; each was tested
+/// against a listener that records what it reads. Any other may have occurred after the target read
+/// the request.
 #[must_use]
 pub fn is_provably_unsent(error: &(dyn StdError + 'static)) -> bool {
     let mut cause = Some(error);
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -1,6 +1,6 @@
-//! The work at the co-located target.
+//! Execution of requests at the co-located target.
 //!
-//! A request moves through types: it is [`Received`], then [`Admitted`] with a slot, then answered.
+//! A request's state is its type: [`Received`], then [`Admitted`] with a slot, then a response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,20 +27,22 @@
 use crate::settings::Limits;
 use crate::units::{Millis, Service};
 
-/// Part of the time left that a request may wait for a slot.
+/// Divisor of the time left: a request may wait for a slot for that part.
 const QUEUE_WAIT_DIVISOR: u32 = 2;
-/// Bodies that are taken in at the same time. One would have the link to itself and be through first;
-/// two more use what a slow sender leaves.
+/// Bodies that are received at the same time.
+///
+/// A single one would have the link to itself and finish first; two more use the bandwidth that a
+/// slow sender leaves.
 const MAX_BODY_TRANSFERS: u32 = 3;
-/// Largest body that is taken in whole before it goes to the target, in bytes; what is larger is
-/// passed on as it comes.
+/// Largest body that is buffered whole before it is sent to the target, in bytes; a larger one is
+/// streamed.
 const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
-/// Time before its deadline in which a run that is given up counts as one without an answer.
+/// Time before the deadline in which a cancelled request counts as a failure of the target.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(50);
-/// Slots and places where nothing is limited.
+/// Number of slots and of queue places when limits are off.
 const UNLIMITED: u32 = u32::MAX;
 
-/// A request that has reached its gate.
+/// A request that has reached the sidecar.
 #[derive(Debug)]
 pub struct Received {
     metadata: Metadata,
@@ -58,23 +60,25 @@
     waited: Duration,
 }
 
-/// Time that a request spent in the line, kept with its answer inside the daemon.
+/// Time that a request waited in the queue.
+///
+/// Travels inside the daemon as an extension of the response.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QueueTime(pub Duration);
 
-/// Bounds and dispatches the work of the target.
+/// Queues requests for the target's slots and runs them.
 #[derive(Debug)]
 pub struct Executor {
     board: Arc<Board>,
     dispatcher: Dispatcher,
     inspector: Inspector,
     queue: Arc<Line>,
-    /// Bodies that come over the link, and those that wait for that.
+    /// Bodies that are being received, and those waiting for that.
     body_queue: Arc<Line>,
 }
 
 impl Executor {
-    /// The work of whatever target the board names.
+    /// An executor for the target that the board currently names.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Requests that run and that wait.
+    /// Number of requests that run, and of those that wait.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
         let (running, waiting) = self.queue.load();
@@ -95,17 +99,17 @@
         (running, waiting + queued + receiving as usize)
     }
 
-    /// Takes a request through its life.
+    /// Admits and runs a request.
     ///
     /// # Errors
     ///
-    /// Why there is no answer.
+    /// Why there is no response.
     pub async fn run(&self, received: Received) -> Result<Response<Body>, Reason> {
         let admitted = received.admit(self).await?;
         admitted.dispatch(self).await
     }
 
-    /// The target to dispatch to, checked at this very moment.
+    /// The target to dispatch to, if it accepts this call now.
     fn target(&self, metadata: &Metadata) -> Result<Arc<Target>, Reason> {
         if self.board.stage() == Stage::Draining {
             return Err(Reason::Draining);
@@ -113,8 +117,8 @@
         let target = self.board.target().ok_or(Reason::NoTarget)?;
         let now = Instant::now();
         let offered = target.service == metadata.service && now < target.lease_until;
-        // Guards against an entry that has not heard of a roll-out, or of its end: it would send a bad
-        // revision its share for as long. The gates hold each target to what it may take.
+        // An ingress that has not heard of a rollout, or of its end, would keep sending a bad
+        // revision its share. So each sidecar also bounds what its target may receive.
         if offered && self.board.admits(&target, now) {
             Ok(target)
         } else {
@@ -122,10 +126,11 @@
         }
     }
 
-    /// Closes a target that refuses connections, until it announces itself again.
+    /// Withdraws a target that is unreachable or has been replaced at its address, until one
+    /// announces itself again, and checks for a crash if a connection to it failed.
     ///
-    /// Guards against a target that has died: its lease holds for seconds, and for so long its
-    /// daemon would draw calls, and hold keys, that it can't serve.
+    /// A crashed target's lease lasts for seconds. Meanwhile its daemon would attract calls, and
+    /// hold idempotency keys, that it can't serve.
     fn handle_failure(&self, reason: Reason, target: &Arc<Target>) {
         if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
             self.board.drop_target(target);
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Slots and places to wait for a group.
+    /// Number of slots and of queue places of the call's group.
     fn queue_limits(&self, metadata: &Metadata) -> (u32, u32) {
         if self.board.settings.limits == Limits::Off {
             return (UNLIMITED, UNLIMITED);
@@ -145,7 +150,7 @@
         match config.document.group(&metadata.group) {
             Some(group) => {
                 let bound = group.slots.map_or(slots, |bound| slots.min(bound.0));
-                // Each running request has a connection of its own.
+                // Each running request uses one connection.
                 let bound = group.connections.map_or(bound, |most| bound.min(most));
                 (bound, group.queue)
             }
@@ -155,7 +160,7 @@
 }
 
 impl Received {
-    /// A request that has just come.
+    /// A request received just now.
     #[must_use]
     pub fn new(metadata: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
         Self {
@@ -166,13 +171,13 @@
         }
     }
 
-    /// When the head of the answer is due.
+    /// When the response head is due.
     #[must_use]
     pub const fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// What keeps its key from running twice.
+    /// How requests with the same key are kept from running twice.
     #[must_use]
     pub const fn guard(&self) -> Guard {
         self.metadata.guard
@@ -184,7 +189,7 @@
         &self.metadata.service
     }
 
-    /// Gates that take no more calls by their own word.
+    /// Sidecars that have told the ingress that they accept no more calls.
     #[must_use]
     pub fn leaving(&self) -> &[SocketAddr] {
         &self.metadata.leaving
@@ -212,16 +217,16 @@
             waited = self
                 .receive_body(&continue_signal, executor, queue, bid)
                 .await?;
-            // What the body has cost the link would be lost with a refusal.
+            // Refusing the request now would waste the transfer of its body.
             let left = self.deadline.saturating_duration_since(Instant::now());
             bid.tolerance = patience::tolerance(left, Duration::ZERO);
             bid.patience = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
         let permit = executor.queue.enter(slots, queue, bid).await?;
-        // Guards against a gate that was frozen while the request waited: its caller has given up
-        // and been told so, or its target has said good-bye. Deadline and stage are looked at
-        // again with the slot in hand, right before the request leaves.
+        // If the daemon was suspended while the request waited, the caller may have timed out and
+        // been told so, or the target may have left. Hence deadline and target are checked again
+        // with the slot held, right before the request is dispatched.
         if Instant::now() >= self.deadline {
             return Err(Reason::Expired);
         }
@@ -236,12 +241,11 @@
 }
 
 impl Received {
-    /// Takes the body in when its turn comes; returns for how long it had to wait for that.
+    /// Receives the body when its turn comes; returns how long it had to wait for that.
     ///
-    /// Guards against a link that is narrower than the slots: bodies that all come at once share it
-    /// and are all late, small calls to the same target wait behind them, and slots are held by
-    /// requests of which nothing can run yet. A request that is refused here has cost the link its
-    /// head alone.
+    /// On a link too slow to feed all slots, bodies sent all at once would all be late, delay small
+    /// calls to the same target, and hold slots without running. A request refused here has sent
+    /// only its head.
     async fn receive_body(
         &mut self,
         continue_signal: &Continue,
@@ -269,11 +273,11 @@
 }
 
 impl Admitted {
-    /// Sends the request to the target and waits for its answer.
+    /// Sends the request to the target and waits for its response.
     ///
     /// # Errors
     ///
-    /// Why there is no answer, and with it whether the request may have run.
+    /// Why there is no response, which also tells whether the request may have run.
     pub async fn dispatch(self, executor: &Executor) -> Result<Response<Body>, Reason> {
         let Received {
             metadata,
@@ -308,8 +312,8 @@
             let answer = Answer::new(response, lease, dialect, &metadata.id);
             answer.validate(&executor.dispatcher).await
         };
-        // Dropping the exchange closes its connection, so that a late answer can't meet the next
-        // request.
+        // Dropping the exchange closes its connection, so that a late response can't be taken for
+        // that to the next request.
         let result = tokio::time::timeout(left, exchange).await;
         let result = result.unwrap_or_else(|_| {
             executor.dispatcher.close_idle_since_before(began);
@@ -322,7 +326,7 @@
         let headers = response.headers_mut();
         stream::strip_hop_by_hop(headers);
         headers.remove(header::DATE);
-        // The entry knows the call's identifier and writes it.
+        // The ingress writes the call's identifier itself.
         headers.remove(&dialect.call_id);
         let answered = HeaderValue::from_static("answered");
         debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
@@ -336,8 +340,10 @@
     }
 }
 
-/// How a run at the target is over. A failure of the target clears no request: it may come before the part of
-/// the work that would have ended the target.
+/// How a request at the target ended.
+///
+/// A server error does not clear the request of suspicion: it may have occurred before the part of
+/// the work that would crash the target.
 fn completion(result: &Result<Response<Body>, Reason>) -> End {
     match result {
         Ok(response) if !response.status().is_server_error() => End::Answered,
@@ -346,7 +352,7 @@
     }
 }
 
-/// Writes what the target has to know into the headers of its request.
+/// Writes the headers that the target needs.
 fn write_target_headers(
     headers: &mut HeaderMap,
     dialect: &Dialect,
@@ -362,13 +368,13 @@
     if let (Some(name), Some(instance)) = (&dialect.expected_instance, &target.instance)
         && let Ok(instance) = HeaderValue::from_str(instance.as_str())
     {
-        // Guards against an address that was given to another target: that one would run the
-        // request. Naming the life that is meant makes it refuse.
+        // If the address has been reassigned to another target, this header makes that target
+        // refuse the request, which it would run otherwise.
         headers.insert(name, instance);
     }
 }
 
-/// A run that is counted for the roll-out of its target's revision when it is over.
+/// Records the outcome of a request for the rollout of its target's revision.
 struct Recorder<'a> {
     board: &'a Board,
     route: &'a str,
@@ -396,7 +402,7 @@
                 Outcome::Answered(self.began.elapsed())
             }
             Ok(_) | Err(Reason::Broken | Reason::TimedOut) => Outcome::Failed,
-            // It has not run.
+            // The request has not run.
             Err(_) => return,
         };
         self.board.rollouts.answer(self.route, outcome);
@@ -405,8 +411,8 @@
 
 impl Drop for Recorder<'_> {
     fn drop(&mut self) {
-        // Guards against a target that is silent until its callers have gone: its runs are dropped here
-        // and would count as nothing. A caller that leaves early says nothing of the target.
+        // Counts requests that a silent target held until their callers gave up, which are dropped
+        // here. A caller that leaves earlier proves nothing about the target.
         if !self.is_over && Instant::now() + DEADLINE_MARGIN >= self.deadline {
             self.board.rollouts.answer(self.route, Outcome::Failed);
         }
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -150,7 +150,8 @@
         .header_read_timeout(read_timeout)
         .max_buf_size(usize::try_from(bounds.max_head).unwrap_or(usize::MAX));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // Any other error means that the caller closed the connection; its requests were dropped with it.
+    // Any other error means that the caller closed the connection; its requests were dropped with
+    // it.
     tokio::select! {
         ended = connection.as_mut() => {
             if ended.is_err_and(|error| error.is_parse()) {
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -1,7 +1,7 @@
-//! The entry: the daemon that a caller reaches.
+//! The ingress: the daemon that receives a caller's request.
 //!
-//! The entry chooses an upstream for a [`Call`], hands the request to its gate, and is the only
-//! layer that tries again.
+//! The ingress chooses an upstream for a [`Call`], forwards the request to that upstream's sidecar,
+//! and is the only layer that retries.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -25,28 +25,30 @@
 use crate::membership::roster::Upstream;
 use crate::units::{Millis, Service, Version};
 
-/// Header with the version by which a call was routed.
+/// Header with the configuration version by which a call was routed.
 pub const VERSION: &str = "x-jackdaw-version";
 
-/// Gates that may refuse a request for lack of room before its caller is told: the first is the
-/// one that was thought to have most, so more of them would only cost time.
+/// Number of sidecars that may refuse a request as overloaded before its caller is told.
+///
+/// The first is the one expected to have the most room, so trying more would only cost time.
 const MAX_OVERLOAD_REFUSALS: u32 = 3;
-/// Times after which refused callers are told to be back, in seconds: a line of requests is worked
-/// off in less, and most callers have this much time left.
+/// Range of `Retry-After` for refused callers, in seconds. A queue drains in less, and most callers
+/// have this much time left.
 const RETRY_AFTER_S: Range<f64> = 0.15..0.5;
-/// Longest time that a request waits for a daemon that is starting: about what a start takes once the
-/// platform and a peer answer.
+/// Longest time that a request waits for a daemon that is starting: about what a start takes once
+/// the platform and a peer respond.
 const MAX_START_WAIT: Duration = Duration::from_millis(500);
-/// Part of its caller's time that it may wait so at most; the work needs the rest.
+/// Divisor of the caller's time: a request waits for a starting daemon for at most that part, since
+/// processing needs the rest.
 const START_WAIT_DIVISOR: u32 = 4;
-/// Longest identifier of a call, in bytes.
+/// Longest call identifier, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// When a refused request may run again, kept with its refusal inside the daemon.
+/// When the quarantine of a refused request ends; an extension of the response inside the daemon.
 #[derive(Debug, Clone, Copy)]
 struct QuarantineEnd(Instant);
 
-/// Takes callers' requests.
+/// Serves callers' requests.
 #[derive(Debug)]
 pub struct Ingress {
     board: Arc<Board>,
@@ -55,7 +57,7 @@
 }
 
 impl Ingress {
-    /// An entry that hands local work to `gate`.
+    /// An ingress that passes calls for the local target directly to `sidecar`.
     #[must_use]
     pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         Self {
@@ -100,7 +102,7 @@
         }
         headers.insert(VERSION, HeaderValue::from(config.digest.version.0));
         if self.board.stage().is_stopping() {
-            // A planned stop ends a session after an answer, never within one.
+            // A planned stop closes a connection after a response, never within one.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         let fate = headers
@@ -111,8 +113,8 @@
         let refused = headers.get(REASON).and_then(|v| v.to_str().ok());
         if let Some(reason) = refused {
             self.log_refusal(&id, reason, host.as_ref(), &config, began);
-            // Guards against memory that grows with refusals: callers come back on new connections,
-            // and the old ones stay open for as long as idle ones may.
+            // Closing bounds memory under refusals: refused callers return on new connections, and
+            // the old ones would stay open until the idle timeout.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         metrics::counter!("jackdaw_calls_total", "outcome" => fate).increment(1);
@@ -121,11 +123,10 @@
         Response::from_parts(parts, Guarded::wrap(body, in_flight))
     }
 
-    /// Waits a while for a daemon that is starting to be able to serve.
+    /// Waits a short time for this daemon to start.
     ///
-    /// Guards against a caller that loses its request to a short absence: a daemon that comes back is
-    /// ready a moment after it takes connections, and a caller that was refused twice meanwhile has
-    /// no try left.
+    /// A restarted daemon is ready a moment after it accepts connections. A caller that was refused
+    /// twice meanwhile would have no retries left and lose its request to a short outage.
     async fn await_start(&self, request: &Request<Body>) {
         if self.board.stage() != Stage::Starting {
             return;
@@ -137,7 +138,7 @@
         });
         let mut stages = self.board.stages();
         let started = stages.wait_for(|stage| *stage != Stage::Starting);
-        // What is not ready by then refuses the request below.
+        // If the daemon has not started by then, the request is refused later.
         let _ = tokio::time::timeout(share.min(MAX_START_WAIT), started).await;
     }
 
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Notes an attempt that failed, with what decides whether there will be another one.
+    /// Logs a failed attempt, with the values that decide whether there will be another one.
     fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, will_retry: bool) {
         if self.board.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
@@ -170,7 +171,7 @@
         }
     }
 
-    /// The caller's own identifier, or a new one where identifiers are not the callers' alone.
+    /// The caller's identifier, or a new one unless only callers may assign them.
     fn call_id(&self, request: &Request<Body>) -> Option<String> {
         let dialect = &self.board.dialect;
         let given = request
@@ -196,8 +197,8 @@
         mut request: Request<Body>,
         began: Instant,
     ) -> Result<Call, Reason> {
-        // Guards against a daemon that is ordered to stop before it has any configuration: it
-        // knows no route, but that is no proof that there is none.
+        // A daemon that is stopped before it has any configuration knows no routes, which does not
+        // prove that none matches.
         if self.board.stage() == Stage::Starting || config.digest.version == Version(0) {
             return Err(Reason::Starting);
         }
@@ -231,10 +232,10 @@
         Ok(call)
     }
 
-    /// Answers a call, with the target's answer or with why there is none.
+    /// Returns the target's response, or a refusal with the reason why there is none.
     async fn complete(&self, mut call: Call) -> Response<Body> {
         if self.quarantine_end(&call).is_some() {
-            // The gates refuse it as well; here it costs nobody a slot or a way.
+            // The sidecars refuse it as well; refusing here saves a slot and a round trip.
             call.record_failure(Reason::Quarantined);
             return self.refuse(&call);
         }
@@ -249,7 +250,7 @@
         answered.unwrap_or_else(|| self.refuse(&call))
     }
 
-    /// Tries upstreams one after the other, for as long as that makes sense.
+    /// Makes attempts until one is answered or no further one is allowed.
     async fn run_attempts(&self, call: &mut Call) -> Option<Response<Body>> {
         let rule = &Arc::clone(&call.plan).retry;
         self.attempts.budget(call).deposit_share(rule.budget);
@@ -264,22 +265,23 @@
             };
             call.record_failure(reason);
             call.attempts += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
-            // A key belongs to one gate: it is asked again, unless it is not there.
+            // One sidecar owns an idempotency key, so it is tried again unless it is unavailable.
             if call.metadata.key.is_none() || reason.is_unavailable() {
                 call.tried.push(upstream.peer);
             }
             if matches!(reason, Reason::Draining | Reason::NoTarget) {
-                // The upstream's own word goes before what the next one's view may still have.
+                // What the upstream says of itself overrides the next sidecar's view of it, which
+                // may be outdated.
                 call.metadata.leaving.push(upstream.peer);
             }
             let overloaded = reason == Reason::Overloaded && call.metadata.key.is_none();
-            // Where no target was burdened, neither the rule's attempts nor the budget are
-            // touched; each upstream is asked only once.
+            // An attempt that no target processed counts neither as one of the rule's attempts nor
+            // against the budget; each upstream is tried only once.
             let unprocessed = reason.is_unavailable() || overloaded;
             refusals += u32::from(overloaded);
             call.overloaded |= overloaded;
-            // One that has to run apart is refused while another of its kind runs; the next target is
-            // not to end beside that one's.
+            // A request that must run in isolation is refused while another such request runs at
+            // the target. It is not sent to the next target, which might crash as well.
             let isolated = reason == Reason::Overloaded && self.attempts.chooser.is_suspect(call);
             let will_retry = if isolated || reason == Reason::Quarantined {
                 false
@@ -316,7 +318,7 @@
 
     fn refuse(&self, call: &Call) -> Response<Body> {
         let reason = call.reason.unwrap_or(Reason::NoTarget);
-        debug!(self.board.logger, "call given up";
+        debug!(self.board.logger, "call failed";
             "call" => &call.metadata.id, "reason" => %reason, "tried" => call.tried.len());
         let mut response = outcome::caller_refusal(&call.metadata.id, reason);
         if let Some(until) = self
@@ -328,7 +330,7 @@
         response
     }
 
-    /// Until when a call must not run since targets have ended under the same request.
+    /// When the quarantine of a call ends, if targets have crashed while running the same request.
     fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
         let standing = self.board.quarantine.standing(call.metadata.fingerprint);
         let until = standing.until.filter(|until| Instant::now() < *until);
@@ -336,16 +338,15 @@
     }
 }
 
-/// Time in whole seconds, one at least.
+/// Time until `until` in whole seconds, at least one.
 fn seconds_until(until: Instant) -> HeaderValue {
     let left = until.saturating_duration_since(Instant::now());
     HeaderValue::from(left.as_secs().max(1))
 }
 
-/// When a refused caller should be back, in seconds with a fraction.
+/// When a refused caller should retry, in fractional seconds.
 ///
-/// Guards against callers that were refused together and come back together: each is told a time
-/// of its own.
+/// The delay is random, so that callers refused together do not all retry at once.
 fn jittered_retry_after() -> HeaderValue {
     let seconds = rand::rng().random_range(RETRY_AFTER_S);
     HeaderValue::from_str(&format!("{seconds:.2}")).unwrap_or(HeaderValue::from_static("1"))
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -186,23 +186,23 @@
 ///
 /// The error that ended the body early.
 pub async fn buffer(mut body: Body, limit: usize) -> Result<Buffered, BoxError> {
-    let mut prefix = BytesMut::new();
-    while prefix.len() <= limit {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= limit {
         let Some(frame) = body.frame().await else {
-            return Ok(Buffered::Whole(prefix.freeze()));
+            return Ok(Buffered::Whole(buffered.freeze()));
         };
         if let Ok(data) = frame?.into_data() {
-            if prefix.is_empty() && http_body::Body::is_end_stream(&body) {
+            if buffered.is_empty() && http_body::Body::is_end_stream(&body) {
                 return Ok(Buffered::Whole(data));
             }
-            prefix.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
     }
-    let prefixed = Prefixed {
-        prefix: Some(prefix.freeze()),
+    let partial = Prefixed {
+        prefix: Some(buffered.freeze()),
         rest: body,
     };
-    Ok(Buffered::Partial(Body::from_body(prefixed)))
+    Ok(Buffered::Partial(Body::from_body(partial)))
 }
 
 /// A body whose first part has been read into memory.
@@ -280,9 +280,7 @@
                 stream.send_data(chunk, last && data.is_empty())?;
             }
             Some(Err(error)) => return Err(error.into()),
-            None => {
-                return Err("stream closed by the receiver before the whole body was sent".into());
-            }
+            None => return Err("receiver closed the stream before the end of the body".into()),
         }
     }
     Ok(())
