--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -11,7 +11,6 @@
 use volo_http::body::Body;
 
 use crate::board::{Board, InFlight, Target};
-use crate::calls::answer::Answer;
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
 use crate::calls::line::{Bid, Line, Permit};
@@ -19,6 +18,7 @@
 use crate::calls::outcome::{OUTCOME, Outcome as CallOutcome, Reason};
 use crate::calls::patience;
 use crate::calls::stream::{self, Buffered, Continue, Guarded};
+use crate::calls::validator::Validator;
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
 use crate::quarantine::inspect::Inspector;
@@ -308,9 +308,9 @@
                 executor
                     .dispatcher
                     .send(self.target.address, request, metadata.repeatable);
-            let (response, lease) = sending.await?;
-            let answer = Answer::new(response, lease, dialect, &metadata.id);
-            answer.validate(&executor.dispatcher).await
+            let (response, connection) = sending.await?;
+            let validator = Validator::new(response, connection, dialect, &metadata.id);
+            validator.validate(&executor.dispatcher).await
         };
         // Dropping the exchange closes its connection, so that a late response can't be taken for
         // that to the next request.
@@ -328,9 +328,9 @@
         headers.remove(header::DATE);
         // The ingress writes the call's identifier itself.
         headers.remove(&dialect.call_id);
-        let answered = HeaderValue::from_static("answered");
+        let outcome_value = HeaderValue::from_static("answered");
         debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
-        headers.insert(OUTCOME, answered);
+        headers.insert(OUTCOME, outcome_value);
         response.extensions_mut().insert(QueueTime(self.waited));
         let (parts, body) = response.into_parts();
         Ok(Response::from_parts(
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -135,9 +135,9 @@
     let requests = admitted.requests();
     let service = service_fn(move |request: Request<Incoming>| {
         let active = requests.begin();
-        let answer = handler(request.map(Body::from_incoming));
+        let response = handler(request.map(Body::from_incoming));
         async move {
-            let (parts, body) = answer.await.into_parts();
+            let (parts, body) = response.await.into_parts();
             Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, active)))
         }
     });
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -53,7 +53,7 @@
 pub struct Ingress {
     board: Arc<Board>,
     calls: AtomicU64,
-    attempts: Sender,
+    sender: Sender,
 }
 
 impl Ingress {
@@ -61,7 +61,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         Self {
-            attempts: Sender::new(Arc::clone(&board), sidecar),
+            sender: Sender::new(Arc::clone(&board), sidecar),
             board,
             calls: AtomicU64::new(0),
         }
@@ -105,7 +105,7 @@
             // A planned stop closes a connection after a response, never within one.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        let fate = headers
+        let outcome_label = headers
             .get(OUTCOME)
             .and_then(|v| v.to_str().ok())
             .unwrap_or("none")
@@ -117,7 +117,7 @@
             // the old ones would stay open until the idle timeout.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        metrics::counter!("jackdaw_calls_total", "outcome" => fate).increment(1);
+        metrics::counter!("jackdaw_calls_total", "outcome" => outcome_label).increment(1);
         metrics::histogram!("jackdaw_call_seconds").record(began.elapsed().as_secs_f64());
         let (parts, body) = response.into_parts();
         Response::from_parts(parts, Guarded::wrap(body, in_flight))
@@ -131,15 +131,15 @@
         if self.board.stage() != Stage::Starting {
             return;
         }
-        let given = request.headers().get(&self.board.dialect.timeout);
-        let given = given.and_then(|ms| ms.to_str().ok()?.parse::<Millis>().ok());
-        let share = given.map_or(MAX_START_WAIT, |given| {
-            given.duration() / START_WAIT_DIVISOR
+        let caller_timeout = request.headers().get(&self.board.dialect.timeout);
+        let caller_timeout = caller_timeout.and_then(|ms| ms.to_str().ok()?.parse::<Millis>().ok());
+        let max_wait = caller_timeout.map_or(MAX_START_WAIT, |caller_timeout| {
+            caller_timeout.duration() / START_WAIT_DIVISOR
         });
         let mut stages = self.board.stages();
         let started = stages.wait_for(|stage| *stage != Stage::Starting);
         // If the daemon has not started by then, the request is refused later.
-        let _ = tokio::time::timeout(share.min(MAX_START_WAIT), started).await;
+        let _ = tokio::time::timeout(max_wait.min(MAX_START_WAIT), started).await;
     }
 
     fn log_refusal(
@@ -222,7 +222,7 @@
         );
         let mut call = preparing.await?;
         call.metadata.from = settings.service.clone().unwrap_or_default();
-        let (experience, route) = (&self.attempts.chooser.experience, &call.plan.route.name);
+        let (experience, route) = (&self.sender.chooser.experience, &call.plan.route.name);
         if experience.is_nested(route) {
             call.extend_soft_deadline();
         } else if let Some(given) = call.caller_timeout {
@@ -253,13 +253,13 @@
     /// Makes attempts until one is answered or no further one is allowed.
     async fn run_attempts(&self, call: &mut Call) -> Option<Response<Body>> {
         let rule = &Arc::clone(&call.plan).retry;
-        self.attempts.budget(call).deposit_share(rule.budget);
+        self.sender.budget(call).deposit_share(rule.budget);
         let mut refusals = 0;
         loop {
-            let Some(upstream) = self.attempts.chooser.choose(call) else {
+            let Some(upstream) = self.sender.chooser.choose(call) else {
                 break;
             };
-            let reason = match self.attempts.attempt_hedged(&upstream, call).await {
+            let reason = match self.sender.attempt_hedged(&upstream, call).await {
                 Reply::Answered(response) => return Some(response),
                 Reply::Failed(reason) => reason,
             };
@@ -282,7 +282,7 @@
             call.overloaded |= overloaded;
             // A request that must run in isolation is refused while another such request runs at
             // the target. It is not sent to the next target, which might crash as well.
-            let isolated = reason == Reason::Overloaded && self.attempts.chooser.is_suspect(call);
+            let isolated = reason == Reason::Overloaded && self.sender.chooser.is_suspect(call);
             let will_retry = if isolated || reason == Reason::Quarantined {
                 false
             } else if unprocessed {
@@ -313,7 +313,7 @@
             reason.outcome(),
             call.left(),
         );
-        call.is_sendable() && allowed && self.attempts.withdraw_retry(rule, call)
+        call.is_sendable() && allowed && self.sender.withdraw_retry(rule, call)
     }
 
     fn refuse(&self, call: &Call) -> Response<Body> {
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -21,7 +21,6 @@
 pub mod route;
 pub mod transit;
 
-pub(crate) mod answer;
 pub(crate) mod attempt;
 pub(crate) mod call;
 pub(crate) mod callers;
@@ -34,3 +33,4 @@
 pub(crate) mod line;
 pub(crate) mod sidecar;
 pub(crate) mod stream;
+pub(crate) mod validator;
--- a/src/calls/answer.rs
+++ b/src/calls/validator.rs
@@ -19,16 +19,16 @@
 /// report an error, where it would otherwise have to cut the caller's connection.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// A response of the target that has not been validated yet.
+/// Validates the target's response to one call.
 #[derive(Debug)]
-pub struct Answer<'a> {
+pub struct Validator<'a> {
     response: Response<Incoming>,
     connection: Connection,
     dialect: &'a Dialect,
     id: &'a str,
 }
 
-impl<'a> Answer<'a> {
+impl<'a> Validator<'a> {
     /// Wraps the response to the call `id` that came over `connection`.
     pub const fn new(
         response: Response<Incoming>,
