--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -75,8 +75,8 @@
 impl Call {
     /// Matches a request that arrived at `began` to a route.
     ///
-    /// A body of at most `limit` bytes is buffered. `draw` is uniform in 0 to 1 and chooses among
-    /// the groups of a split route.
+    /// A body of at most `buffer_limit` bytes is buffered. `draw` is uniform in 0 to 1 and chooses
+    /// among the groups of a split route.
     ///
     /// # Errors
     ///
@@ -87,7 +87,7 @@
         request: Request<Body>,
         began: Instant,
         dialect: &Dialect,
-        limit: usize,
+        buffer_limit: usize,
         draw: f64,
     ) -> Result<Self, Reason> {
         let (mut head, body) = request.into_parts();
@@ -116,7 +116,7 @@
             service: group.service.clone(),
             group: group.name.clone(),
             route: plan.route.name.clone(),
-            from: Service::default(),
+            caller_service: Service::default(),
             fingerprint: Fingerprint(0),
             priority: plan.route.rank(),
             sent_ms: 0,
@@ -125,16 +125,16 @@
             repeatable: plan.route.repeatable,
             key: key.filter(|_| !plan.route.repeatable),
             guard: plan.route.guard,
-            leaving: Vec::new(),
+            draining: Vec::new(),
         };
         stream::strip_hop_by_hop(&mut head.headers);
         // The sidecar writes the identifier and the remaining time anew, from the metadata.
         for name in [&dialect.call_id, &dialect.timeout, &dialect.remaining] {
             head.headers.remove(name);
         }
-        let largest = config.document.bounds.max_body;
-        let keeping = Payload::buffer(body, &head, limit, largest);
-        let body = tokio::time::timeout_at(deadline.into(), keeping).await;
+        let max_body = config.document.bounds.max_body;
+        let buffering = Payload::buffer(body, &head, buffer_limit, max_body);
+        let body = tokio::time::timeout_at(deadline.into(), buffering).await;
         let body = body.map_err(|_| Reason::Expired)??;
         let fingerprint = body.fingerprint(&head);
         Ok(Call {
@@ -292,8 +292,8 @@
     async fn buffer(
         body: Body,
         head: &request::Parts,
-        limit: usize,
-        largest: u64,
+        buffer_limit: usize,
+        max_body: u64,
     ) -> Result<Self, Reason> {
         if http_body::Body::is_end_stream(&body) {
             return Ok(Self::Kept(Bytes::new()));
@@ -303,16 +303,16 @@
             .get(header::CONTENT_LENGTH)
             .and_then(|v| v.to_str().ok());
         let length = length.and_then(|text| text.parse::<usize>().ok());
-        let largest = usize::try_from(largest).unwrap_or(usize::MAX);
-        if length.is_some_and(|length| length > largest) {
+        let max_body = usize::try_from(max_body).unwrap_or(usize::MAX);
+        if length.is_some_and(|length| length > max_body) {
             return Err(Reason::TooLarge);
         }
-        if length.is_none_or(|length| length > limit) {
+        if length.is_none_or(|length| length > buffer_limit) {
             // A body without a length is cut off where it exceeds the limit.
-            let bounded = Body::from_body(Limited::new(body, largest));
+            let bounded = Body::from_body(Limited::new(body, max_body));
             return Ok(Self::Stream(Some(bounded)));
         }
-        let collected = Limited::new(body, limit).collect().await;
+        let collected = Limited::new(body, buffer_limit).collect().await;
         // Nothing has been forwarded yet, so the request has not run; but the caller is gone.
         collected
             .map(|body| Self::Kept(body.to_bytes()))
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -58,7 +58,7 @@
     sender: SendRequest<Body>,
     idle_since: Instant,
     /// When the target may close the connection.
-    until: Instant,
+    expires: Instant,
 }
 
 /// A connection in use for one exchange, closed unless it is returned to the pool.
@@ -145,7 +145,7 @@
         let now = Instant::now();
         let mut pool = lock(&self.pool);
         pool.idle
-            .retain(|idle| idle.target == target && now < idle.until && idle.sender.is_ready());
+            .retain(|idle| idle.target == target && now < idle.expires && idle.sender.is_ready());
         let suspect = pool.suspect_until.is_some_and(|until| now < until);
         let max_idle = if repeatable {
             self.idle_timeout
@@ -234,7 +234,7 @@
             target,
             sender,
             idle_since,
-            until: idle_since + idle_timeout,
+            expires: idle_since + idle_timeout,
         });
     }
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -191,8 +191,8 @@
 
     /// Sidecars that have told the ingress that they accept no more calls.
     #[must_use]
-    pub fn leaving(&self) -> &[SocketAddr] {
-        &self.metadata.leaving
+    pub fn draining(&self) -> &[SocketAddr] {
+        &self.metadata.draining
     }
 
     /// Waits for a slot.
@@ -298,7 +298,7 @@
         let run = executor.inspector.begin(Run {
             fingerprint: metadata.fingerprint,
             route: metadata.route.clone(),
-            from: metadata.from.clone(),
+            from: metadata.caller_service.clone(),
             began,
         });
         let run = run?;
@@ -380,7 +380,7 @@
     route: &'a str,
     began: Instant,
     deadline: Instant,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl<'a> Recorder<'a> {
@@ -391,12 +391,12 @@
             route,
             began: Instant::now(),
             deadline,
-            is_over: false,
+            is_finished: false,
         }
     }
 
     fn finish(&mut self, result: &Result<Response<Body>, Reason>) {
-        self.is_over = true;
+        self.is_finished = true;
         let outcome = match result {
             Ok(response) if !response.status().is_server_error() => {
                 Outcome::Answered(self.began.elapsed())
@@ -413,7 +413,7 @@
     fn drop(&mut self) {
         // Counts requests that a silent target held until their callers gave up, which are dropped
         // here. A caller that leaves earlier proves nothing about the target.
-        if !self.is_over && Instant::now() + DEADLINE_MARGIN >= self.deadline {
+        if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
             self.board.rollouts.answer(self.route, Outcome::Failed);
         }
     }
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -57,7 +57,7 @@
 }
 
 impl BoundsSource {
-    fn now(&self) -> Bounds {
+    fn current(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
             Self::InForce(board) => board.config().document.bounds,
@@ -71,7 +71,7 @@
     async fn wait_for_larger_head(&self, largest: u32) {
         if let Self::InForce(board) = self {
             let mut versions = board.versions();
-            let allows = |_: &Version| self.now().max_head > largest;
+            let allows = |_: &Version| self.current().max_head > largest;
             if versions.wait_for(allows).await.is_ok() {
                 return;
             }
@@ -141,7 +141,7 @@
             Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, active)))
         }
     });
-    let bounds = bounds_source.now();
+    let bounds = bounds_source.current();
     let mut builder = http1::Builder::new();
     // One timer bounds both slow heads and idle connections, so it is set to the longer bound.
     let read_timeout = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -221,7 +221,7 @@
             draw,
         );
         let mut call = preparing.await?;
-        call.metadata.from = settings.service.clone().unwrap_or_default();
+        call.metadata.caller_service = settings.service.clone().unwrap_or_default();
         let (experience, route) = (&self.sender.chooser.experience, &call.plan.route.name);
         if experience.is_nested(route) {
             call.extend_soft_deadline();
@@ -272,7 +272,7 @@
             if matches!(reason, Reason::Draining | Reason::NoTarget) {
                 // What the upstream says of itself overrides the next sidecar's view of it, which
                 // may be outdated.
-                call.metadata.leaving.push(upstream.peer);
+                call.metadata.draining.push(upstream.peer);
             }
             let overloaded = reason == Reason::Overloaded && call.metadata.key.is_none();
             // An attempt that no target processed counts neither as one of the rule's attempts nor
--- a/src/calls/metadata.rs
+++ b/src/calls/metadata.rs
@@ -24,7 +24,7 @@
 /// Header with the name of the route.
 const ROUTE: &str = "x-jackdaw-route";
 /// Header with the service on whose host the call began.
-const FROM: &str = "x-jackdaw-from";
+const CALLER_SERVICE: &str = "x-jackdaw-from";
 
 /// What a sidecar needs to know about a call beside the HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// Name of the route.
     pub route: String,
     /// Service on whose host the call began; empty where it is not known.
-    pub from: Service,
+    pub caller_service: Service,
     /// Hash that stays the same when the caller sends the request again.
     pub fingerprint: Fingerprint,
     /// Priority in the queue for a slot.
@@ -56,7 +56,7 @@
     /// How requests with the same key are kept from running twice.
     pub guard: Guard,
     /// Sidecars that have told the ingress that they accept no more calls.
-    pub leaving: Vec<SocketAddr>,
+    pub draining: Vec<SocketAddr>,
 }
 
 /// Writes the metadata into the headers of a call.
@@ -65,7 +65,7 @@
         (SERVICE, &mut metadata.service.0),
         (GROUP, &mut metadata.group),
         (ROUTE, &mut metadata.route),
-        (FROM, &mut metadata.from.0),
+        (CALLER_SERVICE, &mut metadata.caller_service.0),
     ];
     for (header, name) in names {
         // A header that the caller sent under this name must not be taken for metadata.
@@ -99,8 +99,8 @@
     if let Some(route) = take(ROUTE) {
         metadata.route = route;
     }
-    if let Some(from) = take(FROM) {
-        metadata.from = Service(from);
+    if let Some(service) = take(CALLER_SERVICE) {
+        metadata.caller_service = Service(service);
     }
     Ok(metadata)
 }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -127,12 +127,12 @@
 
     /// Records where a request began; returns whether only targets call its route.
     fn record_origin(&self, metadata: &Metadata) -> bool {
-        if metadata.from == Service::default() {
+        if metadata.caller_service == Service::default() {
             return false;
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&metadata.route, &metadata.from, &roster.fleet)
+        origins.note(&metadata.route, &metadata.caller_service, &roster.fleet)
     }
 
     fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/guard.rs
@@ -223,7 +223,7 @@
 
     /// Makes sure that nobody else ran the key, and that this run will be known.
     async fn prove(&self, received: &Received, key: &CallKey) -> Result<(), Reason> {
-        let (service, leaving) = (received.service(), received.leaving());
+        let (service, leaving) = (received.service(), received.draining());
         let own = Own {
             address: self.board.settings.identity(),
             age: self.born.elapsed(),
