--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -68,8 +68,8 @@
 /// A request body, buffered if it is small, so that it can be sent again.
 #[derive(Debug)]
 enum Payload {
-    Kept(Bytes),
-    Stream(Option<Body>),
+    Buffered(Bytes),
+    Streamed(Option<Body>),
 }
 
 impl Call {
@@ -111,7 +111,7 @@
         // Keys are scoped by service: callers of two services may choose the same one.
         let scoped = |key| CallKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
-        let handover = Metadata {
+        let metadata = Metadata {
             id: id.to_owned(),
             service: group.service.clone(),
             group: group.name.clone(),
@@ -140,7 +140,7 @@
         Ok(Call {
             metadata: Metadata {
                 fingerprint,
-                ..handover
+                ..metadata
             },
             plan,
             group,
@@ -166,13 +166,13 @@
     /// Whether the body can be sent (again).
     #[must_use]
     pub const fn is_sendable(&self) -> bool {
-        matches!(self.body, Payload::Kept(_) | Payload::Stream(Some(_)))
+        matches!(self.body, Payload::Buffered(_) | Payload::Streamed(Some(_)))
     }
 
     /// Whether two attempts may be in flight at the same time.
     #[must_use]
     pub const fn may_hedge(&self) -> bool {
-        self.metadata.repeatable && matches!(self.body, Payload::Kept(_))
+        self.metadata.repeatable && matches!(self.body, Payload::Buffered(_))
     }
 
     /// Records why an attempt failed.
@@ -219,14 +219,14 @@
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
         let remaining = Millis::from(self.left());
-        let handover = Metadata {
+        let metadata = Metadata {
             sent_ms: clock::boot_ms(),
             remaining,
             max_wait,
             ..self.metadata.clone()
         };
         Attempt {
-            metadata: handover,
+            metadata,
             request,
             deadline: self.deadline,
         }
@@ -278,8 +278,8 @@
         let host = text(header::HOST).and_then(|host| std::str::from_utf8(host).ok());
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let content = match self {
-            Self::Kept(bytes) => Content::Whole(bytes),
-            Self::Stream(_) => Content::Stream(text(header::CONTENT_LENGTH)),
+            Self::Buffered(bytes) => Content::Whole(bytes),
+            Self::Streamed(_) => Content::Stream(text(header::CONTENT_LENGTH)),
         };
         Fingerprint::of(
             head.method.as_str(),
@@ -296,7 +296,7 @@
         max_body: u64,
     ) -> Result<Self, Reason> {
         if http_body::Body::is_end_stream(&body) {
-            return Ok(Self::Kept(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         let length = head
             .headers
@@ -310,20 +310,20 @@
         if length.is_none_or(|length| length > buffer_limit) {
             // A body without a length is cut off where it exceeds the limit.
             let bounded = Body::from_body(Limited::new(body, max_body));
-            return Ok(Self::Stream(Some(bounded)));
+            return Ok(Self::Streamed(Some(bounded)));
         }
         let collected = Limited::new(body, buffer_limit).collect().await;
         // Nothing has been forwarded yet, so the request has not run; but the caller is gone.
         collected
-            .map(|body| Self::Kept(body.to_bytes()))
+            .map(|body| Self::Buffered(body.to_bytes()))
             .map_err(|_| Reason::CallerGone)
     }
 
     fn take(&mut self) -> Body {
         match self {
-            Self::Kept(bytes) if bytes.is_empty() => Body::empty(),
-            Self::Kept(bytes) => Body::from_body(Full::new(bytes.clone())),
-            Self::Stream(body) => body.take().unwrap_or_default(),
+            Self::Buffered(bytes) if bytes.is_empty() => Body::empty(),
+            Self::Buffered(bytes) => Body::from_body(Full::new(bytes.clone())),
+            Self::Streamed(body) => body.take().unwrap_or_default(),
         }
     }
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -356,13 +356,13 @@
 fn write_target_headers(
     headers: &mut HeaderMap,
     dialect: &Dialect,
-    handover: &Metadata,
+    metadata: &Metadata,
     target: &Target,
     left: Duration,
 ) {
     stream::strip_hop_by_hop(headers);
     headers.insert(&dialect.remaining, HeaderValue::from(Millis::from(left).0));
-    if let Ok(id) = HeaderValue::from_str(&handover.id) {
+    if let Ok(id) = HeaderValue::from_str(&metadata.id) {
         headers.insert(&dialect.call_id, id);
     }
     if let (Some(name), Some(instance)) = (&dialect.expected_instance, &target.instance)
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -226,8 +226,8 @@
         if experience.is_nested(route) {
             call.extend_soft_deadline();
         } else if let Some(given) = call.caller_timeout {
-            let before = experience.waited(route, given);
-            call.deduct_earlier_wait(before);
+            let earlier_wait = experience.waited(route, given);
+            call.deduct_earlier_wait(earlier_wait);
         }
         Ok(call)
     }
