--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -93,8 +93,8 @@
             return first.await;
         }
         let hedge_delay = call.left() / HEDGE_DELAY_DIVISOR;
-        if let Ok(attempt) = tokio::time::timeout(hedge_delay, &mut first).await {
-            return attempt;
+        if let Ok(reply) = tokio::time::timeout(hedge_delay, &mut first).await {
+            return reply;
         }
         call.tried.push(upstream.peer);
         let second = match self.chooser.choose(call) {
@@ -139,8 +139,8 @@
         };
         let load = result.as_ref().ok();
         let load = load.and_then(|response| Load::from_headers(response.headers()));
-        let attempt = result.map_or_else(Reply::Failed, parse_reply);
-        let seen = match &attempt {
+        let reply = result.map_or_else(Reply::Failed, parse_reply);
+        let seen = match &reply {
             Reply::Answered(response) => Ok(response),
             Reply::Failed(reason) => Err(*reason),
         };
@@ -152,7 +152,7 @@
             let ejected = upstreams.iter().filter(|other| other.ejected(now)).count();
             upstream.failed(now, rule, ejected, upstreams.len());
         }
-        match attempt {
+        match reply {
             Reply::Answered(response) => {
                 let (parts, body) = response.into_parts();
                 Reply::Answered(Response::from_parts(parts, Guarded::wrap(body, in_flight)))
@@ -170,7 +170,7 @@
             .get(name)
             .and_then(|value: &HeaderValue| value.to_str().ok())
     };
-    let answered = text(OUTCOME).is_some_and(|fate| fate == Outcome::Answered.to_string());
+    let answered = text(OUTCOME).is_some_and(|outcome| outcome == Outcome::Answered.to_string());
     if answered {
         return Reply::Answered(response);
     }
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -163,7 +163,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Whether the body can be sent (again).
+    /// Whether the body can be sent once more.
     #[must_use]
     pub const fn is_sendable(&self) -> bool {
         matches!(self.body, Payload::Buffered(_) | Payload::Streamed(Some(_)))
@@ -193,7 +193,7 @@
     /// Moves the soft deadline to the deadline, for a call that a running request depends on.
     ///
     /// Refusing such a call because its response would be later than usual would fail the request
-    /// that made it and waste the work already done for that.
+    /// that made it and waste the work already done for that request.
     pub const fn extend_soft_deadline(&mut self) {
         self.soft_deadline = self.deadline;
     }
--- a/src/calls/dispatch.rs
+++ b/src/calls/dispatch.rs
@@ -31,7 +31,7 @@
 /// Idle time after which a connection is not reused for a request that must not be repeated.
 ///
 /// A target that has dropped an idle connection resets the next request on it, which then may have
-/// run for all that is known. A connection used a moment ago is still open.
+/// run for all that is known. A connection used a moment ago is most likely still open.
 const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_secs(1);
 /// Time after unsolicited bytes from the target for which each request that must not be repeated
 /// gets a new connection.
