--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -1,7 +1,7 @@
-//! Attempts of a call: one upstream after the other, or two at a time.
+//! Attempts of a call: at one upstream after the other, or at two at a time.
 //!
-//! What an attempt shows of its upstream is learnt here, and what one more of them costs the budget of
-//! its service.
+//! Each attempt updates the statistics of its upstream. Further attempts are paid from the retry
+//! budget of the service.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,42 +11,42 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::call::{Call, Part};
+use crate::calls::call::{Attempt, Call};
 use crate::calls::choice::Chooser;
-use crate::calls::gate::{Gate, Load};
-use crate::calls::outcome::{Fate, OUTCOME, REASON, Reason};
+use crate::calls::outcome::{OUTCOME, Outcome, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
-use crate::calls::stream::Held;
+use crate::calls::sidecar::{Load, Sidecar};
+use crate::calls::stream::Guarded;
 use crate::configuration::document::{Ejection, Retry};
 use crate::membership::roster::Upstream;
 use crate::settings::{Retries, Settings};
 
-/// Part of the time left after which a repeatable call is also sent to a second upstream.
-const HEDGE_SHARE: u32 = 2;
+/// Divisor of the time left: after that part, a repeatable call is also sent to a second upstream.
+const HEDGE_DELAY_DIVISOR: u32 = 2;
 
-/// What an attempt came to.
+/// Result of an attempt.
 #[derive(Debug)]
-pub enum Attempt {
-    /// The target's own answer.
+pub enum Reply {
+    /// The target's own response.
     Answered(Response<Body>),
-    /// None, for this reason.
+    /// No response of the target, for this reason.
     Failed(Reason),
 }
 
-/// Makes attempts on behalf of an entry.
+/// Makes attempts on behalf of an ingress.
 #[derive(Debug)]
-pub struct Attempts {
+pub struct Sender {
     board: Arc<Board>,
-    gate: Arc<Gate>,
+    sidecar: Arc<Sidecar>,
     budgets: Budgets,
-    /// Who gets them.
+    /// Chooses the upstream of each attempt.
     pub chooser: Chooser,
 }
 
-impl Attempts {
-    /// Attempts that hand local work to `gate`.
+impl Sender {
+    /// A sender that passes calls for the local target directly to `sidecar`.
     #[must_use]
-    pub fn new(board: Arc<Board>, gate: Arc<Gate>) -> Self {
+    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
         let Settings {
             retry_reserve,
             shared_reserve,
@@ -56,80 +56,81 @@
             chooser: Chooser::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
-            gate,
+            sidecar,
         }
     }
 
-    /// What a call's service may spend on retries.
+    /// The retry budget of a call's service.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
         let daemons = self.board.roster().members.len();
-        self.budgets.of(&call.handover.service, daemons)
+        self.budgets.of(&call.metadata.service, daemons)
     }
 
-    /// Whether the budget pays for one more request to an upstream.
-    pub fn afford(&self, rule: &Retry, call: &Call) -> bool {
+    /// Withdraws one more request from the retry budget; `false` if the budget does not allow it.
+    pub fn withdraw_retry(&self, rule: &Retry, call: &Call) -> bool {
         let fixed = self.board.settings.retries == Retries::Fixed;
         fixed
             || self
                 .budget(call)
-                .withdraw_for(rule.budget, call.handover.priority)
+                .withdraw_for(rule.budget, call.metadata.priority)
     }
 
-    /// Makes an attempt, and for a repeatable call a second one elsewhere when the first is late.
+    /// Makes an attempt, and for a repeatable call a second one elsewhere if the first is late.
     ///
-    /// Guards against a gate or target that is frozen: it takes the request and is silent, and
-    /// waiting for the deadline would lose a read that another target could have answered.
-    pub async fn race(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Attempt {
+    /// A frozen sidecar or target accepts a request and never responds. Waiting for the deadline
+    /// would fail a read that another target could have served.
+    pub async fn attempt_hedged(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
         let typical = self.chooser.experience.typical(&call.plan.route.name);
-        let needs = self.chooser.needs(upstream, &typical);
-        let mut first = Box::pin(self.attempt(upstream, call.part(needs), ejection));
-        let simple = self.board.settings.retries == Retries::Fixed;
-        // The first one counts as made once it has failed or has company.
-        let alone = simple || !call.may_hedge() || self.chooser.is_suspect(call);
-        if alone || call.made + 2 > rule.attempts {
+        let expected_time = self.chooser.needs(upstream, &typical);
+        let mut first =
+            Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
+        let fixed = self.board.settings.retries == Retries::Fixed;
+        // The first attempt is counted once it has failed or a second one starts.
+        let alone = fixed || !call.may_hedge() || self.chooser.is_suspect(call);
+        if alone || call.attempts + 2 > rule.attempts {
             return first.await;
         }
-        let patience = call.left() / HEDGE_SHARE;
-        if let Ok(attempt) = tokio::time::timeout(patience, &mut first).await {
-            return attempt;
+        let hedge_delay = call.left() / HEDGE_DELAY_DIVISOR;
+        if let Ok(reply) = tokio::time::timeout(hedge_delay, &mut first).await {
+            return reply;
         }
         call.tried.push(upstream.peer);
         let second = match self.chooser.choose(call) {
-            Some(second) if self.afford(rule, call) => second,
+            Some(second) if self.withdraw_retry(rule, call) => second,
             _ => return first.await,
         };
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
-        call.made += 1;
-        let needs = self.chooser.needs(&second, &typical);
-        let second = Box::pin(self.attempt(&second, call.part(needs), ejection));
+        call.attempts += 1;
+        let expected_time = self.chooser.needs(&second, &typical);
+        let second = Box::pin(self.attempt(&second, call.next_attempt(expected_time), ejection));
         let (earlier, other) = match select(first, second).await {
-            Either::Left((Attempt::Failed(reason), other)) => (reason, Either::Left(other)),
-            Either::Right((Attempt::Failed(reason), other)) => (reason, Either::Right(other)),
+            Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
+            Either::Right((Reply::Failed(reason), other)) => (reason, Either::Right(other)),
             Either::Left((answered, _)) | Either::Right((answered, _)) => return answered,
         };
         match other.await {
-            Attempt::Failed(reason) => Attempt::Failed(earlier.followed_by(reason)),
-            answered @ Attempt::Answered(_) => answered,
+            Reply::Failed(reason) => Reply::Failed(earlier.followed_by(reason)),
+            answered @ Reply::Answered(_) => answered,
         }
     }
 
-    async fn attempt(&self, upstream: &Arc<Upstream>, part: Part, rule: &Ejection) -> Attempt {
-        let own = upstream.begin();
-        let left = part.deadline.saturating_duration_since(Instant::now());
+    async fn attempt(&self, upstream: &Arc<Upstream>, attempt: Attempt, rule: &Ejection) -> Reply {
+        let in_flight = upstream.begin();
+        let left = attempt.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Attempt::Failed(Reason::Expired);
+            return Reply::Failed(Reason::Expired);
         }
-        let service = part.handover.service.clone();
-        let route = part.handover.route.clone();
+        let service = attempt.metadata.service.clone();
+        let route = attempt.metadata.route.clone();
         let began = Instant::now();
         let exchange = async {
             if upstream.peer == self.board.settings.identity() {
-                Ok(self.gate.run(part.handover, part.request).await)
+                Ok(self.sidecar.run(attempt.metadata, attempt.request).await)
             } else {
-                part.hand_over(upstream).await
+                attempt.forward(upstream).await
             }
         };
         let result = match tokio::time::timeout(left, exchange).await {
@@ -137,43 +138,43 @@
             Err(_) => Err(Reason::TimedOut),
         };
         let load = result.as_ref().ok();
-        let load = load.and_then(|response| Load::of(response.headers()));
-        let attempt = result.map_or_else(Attempt::Failed, judge);
-        let seen = match &attempt {
-            Attempt::Answered(response) => Ok(response),
-            Attempt::Failed(reason) => Err(*reason),
+        let load = load.and_then(|response| Load::from_headers(response.headers()));
+        let reply = result.map_or_else(Reply::Failed, parse_reply);
+        let seen = match &reply {
+            Reply::Answered(response) => Ok(response),
+            Reply::Failed(reason) => Err(*reason),
         };
         let experience = &self.chooser.experience;
         if experience.learn(upstream, seen, load, began, &route) {
             let roster = self.board.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
-            let out = upstreams.iter().filter(|other| other.ejected(now)).count();
-            upstream.failed(now, rule, out, upstreams.len());
+            let ejected = upstreams.iter().filter(|other| other.ejected(now)).count();
+            upstream.failed(now, rule, ejected, upstreams.len());
         }
-        match attempt {
-            Attempt::Answered(response) => {
+        match reply {
+            Reply::Answered(response) => {
                 let (parts, body) = response.into_parts();
-                Attempt::Answered(Response::from_parts(parts, Held::wrap(body, own)))
+                Reply::Answered(Response::from_parts(parts, Guarded::wrap(body, in_flight)))
             }
-            failed @ Attempt::Failed(_) => failed,
+            failed @ Reply::Failed(_) => failed,
         }
     }
 }
 
-/// Reads a gate's answer: the target's own, or a reason.
-fn judge(response: Response<Body>) -> Attempt {
+/// Reads a sidecar's response: the target's own, or a reason.
+fn parse_reply(response: Response<Body>) -> Reply {
     let text = |name| {
         response
             .headers()
             .get(name)
             .and_then(|value: &HeaderValue| value.to_str().ok())
     };
-    let answered = text(OUTCOME).is_some_and(|fate| fate == Fate::Answered.to_string());
+    let answered = text(OUTCOME).is_some_and(|outcome| outcome == Outcome::Answered.to_string());
     if answered {
-        return Attempt::Answered(response);
+        return Reply::Answered(response);
     }
     let reason = text(REASON).and_then(|reason| reason.parse().ok());
-    // A gate that gives no reason we know proves nothing.
-    Attempt::Failed(reason.unwrap_or(Reason::Broken))
+    // A response without a known reason proves nothing, so the request may have run.
+    Reply::Failed(reason.unwrap_or(Reason::Broken))
 }
--- /dev/null
+++ b/src/calls/executor.rs
@@ -0,0 +1,420 @@
+//! Execution of requests at the co-located target.
+//!
+//! A request's state is its type: [`Received`], then [`Admitted`] with a slot, then a response.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use http::{HeaderMap, HeaderValue, Request, Response, header};
+use http_body_util::Full;
+use volo_http::body::Body;
+
+use crate::board::{Board, InFlight, Target};
+use crate::calls::dialect::Dialect;
+use crate::calls::dispatch::Dispatcher;
+use crate::calls::line::{Bid, Line, Permit};
+use crate::calls::metadata::Metadata;
+use crate::calls::outcome::{OUTCOME, Outcome as CallOutcome, Reason};
+use crate::calls::patience;
+use crate::calls::stream::{self, Buffered, Continue, Guarded};
+use crate::calls::validator::Validator;
+use crate::configuration::document::Guard;
+use crate::membership::member::Stage;
+use crate::quarantine::inspect::Inspector;
+use crate::quarantine::running::{End, Run};
+use crate::rollout::tally::Outcome;
+use crate::settings::Limits;
+use crate::units::{Millis, Service};
+
+/// Divisor of the time left: a request may wait for a slot for that part.
+const QUEUE_WAIT_DIVISOR: u32 = 2;
+/// Bodies that are received at the same time.
+///
+/// A single one would have the link to itself and finish first; two more use the bandwidth that a
+/// slow sender leaves.
+const MAX_BODY_TRANSFERS: u32 = 3;
+/// Largest body that is buffered whole before it is sent to the target, in bytes; a larger one is
+/// streamed.
+const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
+/// Time before the deadline in which a cancelled request counts as a failure of the target.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(50);
+/// Number of slots and of queue places when limits are off.
+const UNLIMITED: u32 = u32::MAX;
+
+/// A request that has reached the sidecar.
+#[derive(Debug)]
+pub struct Received {
+    metadata: Metadata,
+    request: Request<Body>,
+    deadline: Instant,
+    in_flight: InFlight,
+}
+
+/// A request that holds a slot of the target.
+#[derive(Debug)]
+pub struct Admitted {
+    received: Received,
+    permit: Permit,
+    target: Arc<Target>,
+    waited: Duration,
+}
+
+/// Time that a request waited in the queue.
+///
+/// Travels inside the daemon as an extension of the response.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct QueueTime(pub Duration);
+
+/// Queues requests for the target's slots and runs them.
+#[derive(Debug)]
+pub struct Executor {
+    board: Arc<Board>,
+    dispatcher: Dispatcher,
+    inspector: Inspector,
+    queue: Arc<Line>,
+    /// Bodies that are being received, and those waiting for that.
+    body_queue: Arc<Line>,
+}
+
+impl Executor {
+    /// An executor for the target that the board currently names.
+    #[must_use]
+    pub fn new(board: Arc<Board>) -> Self {
+        let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
+        Self {
+            inspector: Inspector::new(Arc::clone(&board)),
+            board,
+            dispatcher,
+            queue: Arc::default(),
+            body_queue: Arc::default(),
+        }
+    }
+
+    /// Number of requests that run, and of those that wait.
+    #[must_use]
+    pub fn load(&self) -> (u32, usize) {
+        let (running, waiting) = self.queue.load();
+        let (receiving, queued) = self.body_queue.load();
+        (running, waiting + queued + receiving as usize)
+    }
+
+    /// Admits and runs a request.
+    ///
+    /// # Errors
+    ///
+    /// Why there is no response.
+    pub async fn run(&self, received: Received) -> Result<Response<Body>, Reason> {
+        let admitted = received.admit(self).await?;
+        admitted.dispatch(self).await
+    }
+
+    /// The target to dispatch to, if it accepts this call now.
+    fn target(&self, metadata: &Metadata) -> Result<Arc<Target>, Reason> {
+        if self.board.stage() == Stage::Draining {
+            return Err(Reason::Draining);
+        }
+        let target = self.board.target().ok_or(Reason::NoTarget)?;
+        let now = Instant::now();
+        let offered = target.service == metadata.service && now < target.lease_until;
+        // An ingress that has not heard of a rollout, or of its end, would keep sending a bad
+        // revision its share. So each sidecar also bounds what its target may receive.
+        if offered && self.board.admits(&target, now) {
+            Ok(target)
+        } else {
+            Err(Reason::NoTarget)
+        }
+    }
+
+    /// Withdraws a target that is unreachable or has been replaced at its address, until one
+    /// announces itself again, and checks for a crash if a connection to it failed.
+    ///
+    /// A crashed target's lease lasts for seconds. Meanwhile its daemon would attract calls, and
+    /// hold idempotency keys, that it can't serve.
+    fn handle_failure(&self, reason: Reason, target: &Arc<Target>) {
+        if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
+            self.board.drop_target(target);
+        }
+        if matches!(reason, Reason::Unreachable | Reason::Broken) {
+            self.inspector.inspect(target);
+        }
+    }
+
+    /// Number of slots and of queue places of the call's group.
+    fn queue_limits(&self, metadata: &Metadata) -> (u32, u32) {
+        if self.board.settings.limits == Limits::Off {
+            return (UNLIMITED, UNLIMITED);
+        }
+        let slots = self.board.target().map_or(1, |target| target.slots.0);
+        let config = self.board.config();
+        match config.document.group(&metadata.group) {
+            Some(group) => {
+                let bound = group.slots.map_or(slots, |bound| slots.min(bound.0));
+                // Each running request uses one connection.
+                let bound = group.connections.map_or(bound, |most| bound.min(most));
+                (bound, group.queue)
+            }
+            None => (slots, slots),
+        }
+    }
+}
+
+impl Received {
+    /// A request received just now.
+    #[must_use]
+    pub fn new(metadata: Metadata, request: Request<Body>, in_flight: InFlight) -> Self {
+        Self {
+            deadline: Instant::now() + metadata.remaining.duration(),
+            metadata,
+            request,
+            in_flight,
+        }
+    }
+
+    /// When the response head is due.
+    #[must_use]
+    pub const fn deadline(&self) -> Instant {
+        self.deadline
+    }
+
+    /// How requests with the same key are kept from running twice.
+    #[must_use]
+    pub const fn guard(&self) -> Guard {
+        self.metadata.guard
+    }
+
+    /// Service that is called.
+    #[must_use]
+    pub const fn service(&self) -> &Service {
+        &self.metadata.service
+    }
+
+    /// Sidecars that have told the ingress that they accept no more calls.
+    #[must_use]
+    pub fn draining(&self) -> &[SocketAddr] {
+        &self.metadata.draining
+    }
+
+    /// Waits for a slot.
+    ///
+    /// # Errors
+    ///
+    /// Why the request was refused; it has provably not run.
+    pub async fn admit(mut self, executor: &Executor) -> Result<Admitted, Reason> {
+        executor.target(&self.metadata)?;
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        if left.is_zero() {
+            return Err(Reason::Expired);
+        }
+        let mut bid = Bid {
+            priority: self.metadata.priority,
+            tolerance: self.metadata.max_wait.duration(),
+            patience: left / QUEUE_WAIT_DIVISOR,
+        };
+        let (slots, queue) = executor.queue_limits(&self.metadata);
+        let mut waited = Duration::ZERO;
+        if let Some(continue_signal) = self.request.extensions_mut().remove::<Continue>() {
+            waited = self
+                .receive_body(&continue_signal, executor, queue, bid)
+                .await?;
+            // Refusing the request now would waste the transfer of its body.
+            let left = self.deadline.saturating_duration_since(Instant::now());
+            bid.tolerance = patience::tolerance(left, Duration::ZERO);
+            bid.patience = left / QUEUE_WAIT_DIVISOR;
+        }
+        let began = Instant::now();
+        let permit = executor.queue.enter(slots, queue, bid).await?;
+        // If the daemon was suspended while the request waited, the caller may have timed out and
+        // been told so, or the target may have left. Hence deadline and target are checked again
+        // with the slot held, right before the request is dispatched.
+        if Instant::now() >= self.deadline {
+            return Err(Reason::Expired);
+        }
+        let target = executor.target(&self.metadata)?;
+        Ok(Admitted {
+            received: self,
+            permit,
+            target,
+            waited: waited + began.elapsed(),
+        })
+    }
+}
+
+impl Received {
+    /// Receives the body when its turn comes; returns how long it had to wait for that.
+    ///
+    /// On a link too slow to feed all slots, bodies sent all at once would all be late, delay small
+    /// calls to the same target, and hold slots without running. A request refused here has sent
+    /// only its head.
+    async fn receive_body(
+        &mut self,
+        continue_signal: &Continue,
+        executor: &Executor,
+        queue: u32,
+        bid: Bid,
+    ) -> Result<Duration, Reason> {
+        let began = Instant::now();
+        let _permit = executor
+            .body_queue
+            .enter(MAX_BODY_TRANSFERS, queue, bid)
+            .await?;
+        let waited = began.elapsed();
+        continue_signal.send();
+        let body = std::mem::take(self.request.body_mut());
+        let buffering = stream::buffer(body, MAX_BUFFERED_BODY_BYTES);
+        let buffered = tokio::time::timeout_at(self.deadline.into(), buffering).await;
+        let buffered = buffered.map_err(|_| Reason::Expired)?;
+        *self.request.body_mut() = match buffered.map_err(|_| Reason::CallerGone)? {
+            Buffered::Whole(bytes) => Body::from_body(Full::new(bytes)),
+            Buffered::Partial(body) => body,
+        };
+        Ok(waited)
+    }
+}
+
+impl Admitted {
+    /// Sends the request to the target and waits for its response.
+    ///
+    /// # Errors
+    ///
+    /// Why there is no response, which also tells whether the request may have run.
+    pub async fn dispatch(self, executor: &Executor) -> Result<Response<Body>, Reason> {
+        let Received {
+            metadata,
+            mut request,
+            deadline,
+            in_flight,
+        } = self.received;
+        let left = deadline.saturating_duration_since(Instant::now());
+        let dialect = &executor.board.dialect;
+        write_target_headers(
+            request.headers_mut(),
+            dialect,
+            &metadata,
+            &self.target,
+            left,
+        );
+        let began = Instant::now();
+        let run = executor.inspector.begin(Run {
+            fingerprint: metadata.fingerprint,
+            route: metadata.route.clone(),
+            from: metadata.caller_service.clone(),
+            began,
+        });
+        let run = run?;
+        let mut recorder = Recorder::begin(&executor.board, &metadata.route, deadline);
+        let exchange = async {
+            let sending =
+                executor
+                    .dispatcher
+                    .send(self.target.address, request, metadata.repeatable);
+            let (response, connection) = sending.await?;
+            let validator = Validator::new(response, connection, dialect, &metadata.id);
+            validator.validate(&executor.dispatcher).await
+        };
+        // Dropping the exchange closes its connection, so that a late response can't be taken for
+        // that to the next request.
+        let result = tokio::time::timeout(left, exchange).await;
+        let result = result.unwrap_or_else(|_| {
+            executor.dispatcher.close_idle_since_before(began);
+            Err(Reason::TimedOut)
+        });
+        run.finish(completion(&result));
+        recorder.finish(&result);
+        let mut response =
+            result.inspect_err(|reason| executor.handle_failure(*reason, &self.target))?;
+        let headers = response.headers_mut();
+        stream::strip_hop_by_hop(headers);
+        headers.remove(header::DATE);
+        // The ingress writes the call's identifier itself.
+        headers.remove(&dialect.call_id);
+        let outcome_value = HeaderValue::from_static("answered");
+        debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
+        headers.insert(OUTCOME, outcome_value);
+        response.extensions_mut().insert(QueueTime(self.waited));
+        let (parts, body) = response.into_parts();
+        Ok(Response::from_parts(
+            parts,
+            Guarded::wrap(body, (self.permit, in_flight)),
+        ))
+    }
+}
+
+/// How a request at the target ended.
+///
+/// A server error does not clear the request of suspicion: it may have occurred before the part of
+/// the work that would crash the target.
+fn completion(result: &Result<Response<Body>, Reason>) -> End {
+    match result {
+        Ok(response) if !response.status().is_server_error() => End::Answered,
+        Err(Reason::Broken | Reason::TimedOut) => End::Open,
+        _ => End::Over,
+    }
+}
+
+/// Writes the headers that the target needs.
+fn write_target_headers(
+    headers: &mut HeaderMap,
+    dialect: &Dialect,
+    metadata: &Metadata,
+    target: &Target,
+    left: Duration,
+) {
+    stream::strip_hop_by_hop(headers);
+    headers.insert(&dialect.remaining, HeaderValue::from(Millis::from(left).0));
+    if let Ok(id) = HeaderValue::from_str(&metadata.id) {
+        headers.insert(&dialect.call_id, id);
+    }
+    if let (Some(name), Some(instance)) = (&dialect.expected_instance, &target.instance)
+        && let Ok(instance) = HeaderValue::from_str(instance.as_str())
+    {
+        // If the address has been reassigned to another target, this header makes that target
+        // refuse the request, which it would run otherwise.
+        headers.insert(name, instance);
+    }
+}
+
+/// Records the outcome of a request for the rollout of its target's revision.
+struct Recorder<'a> {
+    board: &'a Board,
+    route: &'a str,
+    began: Instant,
+    deadline: Instant,
+    is_finished: bool,
+}
+
+impl<'a> Recorder<'a> {
+    fn begin(board: &'a Board, route: &'a str, deadline: Instant) -> Self {
+        board.rollouts.arrive();
+        Self {
+            board,
+            route,
+            began: Instant::now(),
+            deadline,
+            is_finished: false,
+        }
+    }
+
+    fn finish(&mut self, result: &Result<Response<Body>, Reason>) {
+        self.is_finished = true;
+        let outcome = match result {
+            Ok(response) if !response.status().is_server_error() => {
+                Outcome::Answered(self.began.elapsed())
+            }
+            Ok(_) | Err(Reason::Broken | Reason::TimedOut) => Outcome::Failed,
+            // The request has not run.
+            Err(_) => return,
+        };
+        self.board.rollouts.answer(self.route, outcome);
+    }
+}
+
+impl Drop for Recorder<'_> {
+    fn drop(&mut self) {
+        // Counts requests that a silent target held until their callers gave up, which are dropped
+        // here. A caller that leaves earlier proves nothing about the target.
+        if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
+            self.board.rollouts.answer(self.route, Outcome::Failed);
+        }
+    }
+}
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -1,7 +1,7 @@
 //! Serving HTTP/1 on one address until the daemon stops.
 //!
-//! volo-http's own accept loop takes SIGHUP for an order to stop and gives up after a fixed time,
-//! so its routers are served here, connection by connection, with hyper below it as before.
+//! volo-http's own accept loop stops on SIGHUP and gives up after a fixed time, so its routers are
+//! served here on hyper, connection by connection.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,52 +25,53 @@
 
 use crate::board::Board;
 use crate::calls::callers::{self, Callers};
-use crate::calls::stream::Held;
+use crate::calls::stream::Guarded;
 use crate::configuration::document::Bounds;
 use crate::units::Version;
 
-/// Pause after a failed accept: it is mostly a lack of descriptors, which ends with a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time beyond the idle bound for which a connection is kept, so that a request which a caller
-/// sends within the bound does not cross the close.
+/// Delay after a failed accept, which is mostly due to a lack of file descriptors. Some become free
+/// when a connection closes.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time beyond the idle bound for which a connection is kept, so that a request sent within the
+/// bound does not arrive on a closed connection.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// How far a server is in its life.
+/// Phase of a server's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Takes connections.
+    /// Accepts connections.
     Open,
-    /// Refuses new connections and still takes requests on those it has.
+    /// Refuses new connections, but serves requests on existing ones.
     Closed,
-    /// Ends every connection after the answer that is under way.
+    /// Closes each connection after the response in progress.
     Ending,
 }
 
-/// What callers may send, which may change.
+/// Source of the bounds on requests, which may change with the configuration.
 #[derive(Debug, Clone)]
-pub enum Limits {
-    /// Always the same.
+pub enum BoundsSource {
+    /// Constant bounds.
     Fixed(Bounds),
-    /// Those of the version in force.
+    /// Bounds of the configuration in force.
     InForce(Arc<Board>),
 }
 
-impl Limits {
-    fn now(&self) -> Bounds {
+impl BoundsSource {
+    fn current(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
             Self::InForce(board) => board.config().document.bounds,
         }
     }
 
-    /// Waits until larger heads than `largest` are allowed.
+    /// Waits until heads larger than `largest` are allowed.
     ///
-    /// Guards against a connection that was opened at an earlier version: its buffer is fixed, and a request
-    /// that the version in force allows would be refused with 431.
-    async fn outgrow(&self, largest: u32) {
+    /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
+    /// earlier version would refuse with 431 a request that the version in force allows.
+    async fn wait_for_larger_head(&self, largest: u32) {
         if let Self::InForce(board) = self {
             let mut versions = board.versions();
-            let allows = |_: &Version| self.now().max_head > largest;
+            let allows = |_: &Version| self.current().max_head > largest;
             if versions.wait_for(allows).await.is_ok() {
                 return;
             }
@@ -79,12 +80,14 @@
     }
 }
 
-/// Serves `handler` on `listener` within `limits`; `callers` bounds how many connections there are.
+/// Serves `handler` on `listener` within the bounds of `bounds_source`.
+///
+/// `callers` limits the number of connections.
 pub async fn serve<H, F>(
     listener: TcpListener,
     callers: Arc<Callers>,
     phases: watch::Receiver<Phase>,
-    limits: Limits,
+    bounds_source: BoundsSource,
     handler: H,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -93,30 +96,36 @@
     let handler = Arc::new(handler);
     let mut changes = phases.clone();
     loop {
-        // Connections that the host has taken already go first: closing the listener would reset
-        // them, and with them requests that have been sent.
+        // Connections that the kernel has accepted are served before the listener closes, which
+        // would reset them and lose requests already sent on them.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = reach(&mut changes, Phase::Closed) => return,
+            () = wait_for_phase(&mut changes, Phase::Closed) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 let admitted = callers.admit().await;
                 let handler = Arc::clone(&handler);
-                let serving = serve_one(stream, admitted, phases.clone(), limits.clone(), handler);
+                let serving = serve_connection(
+                    stream,
+                    admitted,
+                    phases.clone(),
+                    bounds_source.clone(),
+                    handler,
+                );
                 tokio::spawn(serving);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve_one<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     mut admitted: callers::Connection,
     mut phases: watch::Receiver<Phase>,
-    limits: Limits,
+    bounds_source: BoundsSource,
     handler: Arc<H>,
 ) where
     H: Fn(Request<Body>) -> F + Send + Sync + 'static,
@@ -125,23 +134,24 @@
     let _ = stream.set_nodelay(true);
     let requests = admitted.requests();
     let service = service_fn(move |request: Request<Incoming>| {
-        let under_way = requests.begin();
-        let answer = handler(request.map(Body::from_incoming));
+        let active = requests.begin();
+        let response = handler(request.map(Body::from_incoming));
         async move {
-            let (parts, body) = answer.await.into_parts();
-            Ok::<_, Infallible>(Response::from_parts(parts, Held::wrap(body, under_way)))
+            let (parts, body) = response.await.into_parts();
+            Ok::<_, Infallible>(Response::from_parts(parts, Guarded::wrap(body, active)))
         }
     });
-    let bounds = limits.now();
+    let bounds = bounds_source.current();
     let mut builder = http1::Builder::new();
-    // One clock bounds both a slow head and an idle connection, so it is set to the longer.
-    let patience = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
+    // One timer bounds both slow heads and idle connections, so it is set to the longer bound.
+    let read_timeout = bounds.head_ms.max(bounds.idle_ms).duration() + IDLE_GRACE;
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(patience)
+        .header_read_timeout(read_timeout)
         .max_buf_size(usize::try_from(bounds.max_head).unwrap_or(usize::MAX));
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // Any other error here is the caller's end of the connection; its requests have been dropped with it.
+    // Any other error means that the caller closed the connection; its requests were dropped with
+    // it.
     tokio::select! {
         ended = connection.as_mut() => {
             if ended.is_err_and(|error| error.is_parse()) {
@@ -149,23 +159,23 @@
             }
             return;
         }
-        () = reach(&mut phases, Phase::Ending) => {}
+        () = wait_for_phase(&mut phases, Phase::Ending) => {}
         () = admitted.displaced() => {}
-        () = limits.outgrow(bounds.max_head) => {}
+        () = bounds_source.wait_for_larger_head(bounds.max_head) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
-/// Waits for a phase; for ever when nobody can bring it about any more.
-async fn reach(phases: &mut watch::Receiver<Phase>, wanted: Phase) {
+/// Waits for a phase, forever if its sender is gone.
+async fn wait_for_phase(phases: &mut watch::Receiver<Phase>, wanted: Phase) {
     if phases.wait_for(|phase| *phase >= wanted).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// A handler that asks a router of volo-http.
-pub fn routed(
+/// A handler that passes requests to a volo-http router.
+pub fn router_handler(
     router: Router,
     address: SocketAddr,
 ) -> impl Fn(Request<Body>) -> std::pin::Pin<Box<dyn Future<Output = Response<Body>> + Send>> {
