--- a/src/board.rs
+++ b/src/board.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 use crate::calls::dialect::Dialect;
-use crate::calls::lines::Throttle;
+use crate::calls::log_rate::Limiter;
 use crate::calls::route::Table;
 use crate::clock;
 use crate::configuration::document::Document;
@@ -109,7 +109,7 @@
     /// Where events are written.
     pub logger: Logger,
     /// Bounds the lines that requests cause.
-    pub lines: Throttle,
+    pub lines: Limiter,
     /// How callers and targets spell their headers.
     pub dialect: Dialect,
     /// Control bytes.
@@ -149,7 +149,7 @@
             rollouts: Rollouts::default(),
             settings,
             logger,
-            lines: Throttle::new(LINES),
+            lines: Limiter::new(LINES),
             dialect,
             meter: Meter::shared(),
             freshness: Freshness::default(),
--- a/src/calls/line.rs
+++ b/src/calls/admission.rs
@@ -8,13 +8,13 @@
 
 use tokio::sync::oneshot;
 
-use crate::calls::limit::{Admission, Limit, Ticket};
+use crate::calls::limit::{Decision, Limit, Ticket};
 use crate::calls::outcome::Reason;
 use crate::units::Priority;
 
 /// What a request asks of the line.
 #[derive(Debug, Clone, Copy)]
-pub struct Bid {
+pub struct Options {
     /// Its rank.
     pub priority: Priority,
     /// Longest wait with which it is still of use; when a longer one is to be expected it is
@@ -26,12 +26,12 @@
 
 /// Who runs and who waits at a gate.
 #[derive(Debug, Default)]
-pub struct Line {
-    state: Mutex<LineState>,
+pub struct Queue {
+    state: Mutex<State>,
 }
 
 #[derive(Debug)]
-struct LineState {
+struct State {
     limit: Limit,
     sizes: (u32, u32),
     next: Ticket,
@@ -46,7 +46,7 @@
     Shed,
 }
 
-impl Default for LineState {
+impl Default for State {
     fn default() -> Self {
         Self {
             limit: Limit::new(0, 0),
@@ -57,7 +57,7 @@
     }
 }
 
-impl LineState {
+impl State {
     fn wake(&mut self, ticket: Ticket, signal: Signal) {
         if let Ok(index) = self
             .waiters
@@ -77,18 +77,18 @@
     }
 }
 
-impl Line {
+impl Queue {
     /// Waits for one of `slots`, in one of `queue` places.
     ///
     /// # Errors
     ///
     /// [`Reason::Overloaded`] when there is no place, the wait to expect is too long, or no slot
     /// came in time.
-    pub async fn enter(
+    pub async fn acquire(
         self: &Arc<Self>,
         slots: u32,
         queue: u32,
-        bid: Bid,
+        bid: Options,
     ) -> Result<Permit, Reason> {
         let (waiting, signal) = {
             let mut state = self.state();
@@ -98,12 +98,12 @@
             }
             state.next += 1;
             let ticket = state.next;
-            match state.limit.enter(ticket, bid.priority) {
-                Admission::Run => {
+            match state.limit.acquire(ticket, bid.priority) {
+                Decision::Run => {
                     return Ok(Permit::new(self));
                 }
-                Admission::Shed => return Err(Reason::Overloaded),
-                Admission::Wait { shed } => {
+                Decision::Shed => return Err(Reason::Overloaded),
+                Decision::Wait { shed } => {
                     if let Some(loser) = shed {
                         state.wake(loser, Signal::Shed);
                     }
@@ -133,12 +133,12 @@
     /// Gives a slot back and wakes the request that gets it.
     fn release(&self) {
         let mut state = self.state();
-        if let Some(ticket) = state.limit.leave() {
+        if let Some(ticket) = state.limit.release() {
             state.wake(ticket, Signal::Run);
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, LineState> {
+    fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -146,7 +146,7 @@
 /// A place in the queue, given up when dropped.
 #[derive(Debug)]
 struct Waiting {
-    line: Arc<Line>,
+    line: Arc<Queue>,
     ticket: Ticket,
     settled: bool,
 }
@@ -191,12 +191,12 @@
 /// A slot of the target, given back when dropped.
 #[derive(Debug)]
 pub struct Permit {
-    line: Arc<Line>,
+    line: Arc<Queue>,
     since: Instant,
 }
 
 impl Permit {
-    fn new(line: &Arc<Line>) -> Self {
+    fn new(line: &Arc<Queue>) -> Self {
         Self {
             line: Arc::clone(line),
             since: Instant::now(),
@@ -206,7 +206,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.line.state().limit.held(self.since.elapsed());
+        self.line.state().limit.record_hold(self.since.elapsed());
         self.line.release();
     }
 }
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -11,8 +11,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
+use crate::calls::balancer::Balancer;
 use crate::calls::call::{Call, Part};
-use crate::calls::choice::Chooser;
 use crate::calls::gate::{Gate, Load};
 use crate::calls::outcome::{Fate, OUTCOME, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
@@ -40,7 +40,7 @@
     gate: Arc<Gate>,
     budgets: Budgets,
     /// Who gets them.
-    pub chooser: Chooser,
+    pub chooser: Balancer,
 }
 
 impl Attempts {
@@ -53,7 +53,7 @@
             ..
         } = board.settings;
         Self {
-            chooser: Chooser::new(Arc::clone(&board)),
+            chooser: Balancer::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
             gate,
@@ -82,8 +82,8 @@
     pub async fn race(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Attempt {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
-        let typical = self.chooser.experience.typical(&call.plan.route.name);
-        let needs = self.chooser.needs(upstream, &typical);
+        let typical = self.chooser.statistics.baseline(&call.plan.route.name);
+        let needs = self.chooser.expected_time(upstream, &typical);
         let mut first = Box::pin(self.attempt(upstream, call.part(needs), ejection));
         let simple = self.board.settings.retries == Retries::Fixed;
         // The first one counts as made once it has failed or has company.
@@ -103,7 +103,7 @@
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
         call.made += 1;
-        let needs = self.chooser.needs(&second, &typical);
+        let needs = self.chooser.expected_time(&second, &typical);
         let second = Box::pin(self.attempt(&second, call.part(needs), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Attempt::Failed(reason), other)) => (reason, Either::Left(other)),
@@ -143,8 +143,8 @@
             Attempt::Answered(response) => Ok(response),
             Attempt::Failed(reason) => Err(*reason),
         };
-        let experience = &self.chooser.experience;
-        if experience.learn(upstream, seen, load, began, &route) {
+        let experience = &self.chooser.statistics;
+        if experience.record(upstream, seen, load, began, &route) {
             let roster = self.board.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
--- a/src/calls/choice.rs
+++ b/src/calls/balancer.rs
@@ -12,9 +12,9 @@
 
 use crate::board::Board;
 use crate::calls::call::Call;
-use crate::calls::experience::Experience;
-use crate::calls::pace::Typical;
+use crate::calls::latency::Baseline;
 use crate::calls::pick::{self, Candidate, Cost};
+use crate::calls::statistics::Statistics;
 use crate::idempotency::keys;
 use crate::membership::roster::{Roster, Upstream};
 use crate::rollout::rules::Side;
@@ -22,19 +22,19 @@
 
 /// Chooses among the upstreams of a board.
 #[derive(Debug)]
-pub struct Chooser {
+pub struct Balancer {
     board: Arc<Board>,
     /// What was learnt from answers.
-    pub experience: Experience,
+    pub statistics: Statistics,
 }
 
-impl Chooser {
+impl Balancer {
     /// A chooser that has learnt nothing yet.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         Self {
             board,
-            experience: Experience::default(),
+            statistics: Statistics::default(),
         }
     }
 
@@ -43,10 +43,10 @@
     /// Guards against paying for the way under a load that is too much everywhere: a request that
     /// waits for a slot far away would displace one that is near, and nobody would be better off.
     /// It takes what is free there, and waits only as long as the price of its way leaves time.
-    pub fn needs(&self, upstream: &Upstream, typical: &Typical) -> Duration {
+    pub fn expected_time(&self, upstream: &Upstream, typical: &Baseline) -> Duration {
         let settings = &self.board.settings;
         let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
-        typical.work() + upstream.way(typical, far_ms)
+        typical.processing() + upstream.way(typical, far_ms)
     }
 
     /// Chooses the upstream for the next attempt, if any is left: by key where there is one, by
@@ -65,7 +65,7 @@
             // in at several daemons: all of them go to one gate, which runs one at a time.
             by_key(&CallKey(call.handover.fingerprint.to_string()))
         } else {
-            let typical = self.experience.typical(&call.plan.route.name);
+            let typical = self.statistics.baseline(&call.plan.route.name);
             self.best(&fresh, call, &typical, Instant::now())
         };
         index.map(|index| Arc::clone(fresh[index]))
@@ -114,7 +114,7 @@
         &self,
         upstreams: &[&Arc<Upstream>],
         call: &Call,
-        typical: &Typical,
+        typical: &Baseline,
         now: Instant,
     ) -> Option<usize> {
         let settings = &self.board.settings;
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -13,9 +13,9 @@
 use crate::calls::dialect::Dialect;
 use crate::calls::handover::{Handover, write_handover};
 use crate::calls::outcome::Reason;
-use crate::calls::patience;
 use crate::calls::route::Plan;
 use crate::calls::stream::{self, Incoming};
+use crate::calls::wait;
 use crate::clock;
 use crate::configuration::document::Group;
 use crate::membership::roster::Upstream;
@@ -204,7 +204,7 @@
             self.deadline
         };
         let left = until.saturating_duration_since(Instant::now());
-        patience::tolerance(left, needs)
+        wait::tolerance(left, needs)
     }
 
     /// What the next attempt sends; a streamed body can be taken only once.
--- a/src/calls/callers.rs
+++ b/src/calls/callers.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use crate::calls::connections::{Admission, Connections, Ticket};
+use crate::calls::connections::{Connections, Decision, Ticket};
 
 /// Who is connected on one address.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 
     fn try_admit(self: &Arc<Self>) -> Option<Connection> {
         let mut state = self.state();
-        let Admission::Take { ticket, closed } = state.connections.open(Instant::now()) else {
+        let Decision::Accept { ticket, closed } = state.connections.open(Instant::now()) else {
             return None;
         };
         if let Some(closed) = closed {
--- a/src/calls/connections.rs
+++ b/src/calls/connections.rs
@@ -7,15 +7,15 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use jackdawpulley::calls::connections::{Admission, Connections};
+//! use jackdawpulley::calls::connections::{Connections, Decision};
 //!
 //! let now = Instant::now();
 //! let later = now + Duration::from_secs(1);
 //! let mut connections = Connections::new(2);
-//! assert_eq!(connections.open(now), Admission::Take { ticket: 1, closed: None });
-//! assert_eq!(connections.open(now), Admission::Take { ticket: 2, closed: None });
+//! assert_eq!(connections.open(now), Decision::Accept { ticket: 1, closed: None });
+//! assert_eq!(connections.open(now), Decision::Accept { ticket: 2, closed: None });
 //! connections.begin(1);
-//! assert_eq!(connections.open(later), Admission::Take { ticket: 3, closed: Some(2) });
+//! assert_eq!(connections.open(later), Decision::Accept { ticket: 3, closed: Some(2) });
 //! ```
 
 use std::time::Instant;
@@ -25,9 +25,9 @@
 
 /// What becomes of a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum Decision {
     /// It is taken.
-    Take {
+    Accept {
         /// Its ticket.
         ticket: Ticket,
         /// The idle connection that makes room for it and is to be closed.
@@ -76,11 +76,11 @@
     ///
     /// Guards against callers that hold idle connections until no descriptor is left: the daemon
     /// could accept nobody, and new callers would wait for a time-out beside an idle process.
-    pub fn open(&mut self, now: Instant) -> Admission {
+    pub fn open(&mut self, now: Instant) -> Decision {
         let mut closed = None;
         if self.open.len() >= self.most {
             let Some(index) = self.longest_idle() else {
-                return Admission::Full;
+                return Decision::Full;
             };
             closed = Some(self.open.remove(index).ticket);
         }
@@ -90,7 +90,7 @@
             requests: 0,
             idle_since: now,
         });
-        Admission::Take {
+        Decision::Accept {
             ticket: self.last,
             closed,
         }
--- a/src/calls/entry.rs
+++ b/src/calls/entry.rs
@@ -219,11 +219,11 @@
         );
         let mut call = preparing.await?;
         call.handover.from = settings.service.clone().unwrap_or_default();
-        let (experience, route) = (&self.attempts.chooser.experience, &call.plan.route.name);
+        let (experience, route) = (&self.attempts.chooser.statistics, &call.plan.route.name);
         if experience.is_nested(route) {
             call.nest();
         } else if let Some(given) = call.given {
-            let before = experience.waited(route, given);
+            let before = experience.caller_wait(route, given);
             call.waited(before);
         }
         Ok(call)
@@ -302,7 +302,7 @@
 
     fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
         let repeatable = call.handover.repeatable;
-        let allowed = retry::again(rule, call.made, repeatable, reason.fate(), call.left());
+        let allowed = retry::is_allowed(rule, call.made, repeatable, reason.fate(), call.left());
         call.sendable() && allowed && self.attempts.afford(rule, call)
     }
 
--- a/src/calls/gate.rs
+++ b/src/calls/gate.rs
@@ -15,7 +15,7 @@
 
 use crate::board::Board;
 use crate::calls::handover::Handover;
-use crate::calls::origins::Origins;
+use crate::calls::nesting::Detector;
 use crate::calls::outcome::{self, Reason};
 use crate::calls::work::{Received, Waited, Work};
 use crate::idempotency::guard::Keys;
@@ -31,7 +31,7 @@
     work: Arc<Work>,
     keys: Arc<Keys>,
     /// Held for a few instructions.
-    origins: Mutex<Origins>,
+    origins: Mutex<Detector>,
 }
 
 /// What a gate tells an entry with each answer, written as numbers with commas.
@@ -132,7 +132,7 @@
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&handover.route, &handover.from, &roster.fleet)
+        origins.record(&handover.route, &handover.from, &roster.fleet)
     }
 
     fn report(&self, waited: Waited, nested: bool) -> Load {
--- a/src/calls/pace.rs
+++ b/src/calls/latency.rs
@@ -1,22 +1,22 @@
 //! How long a request will take at an upstream, learnt from answers.
 //!
 //! Targets of one service differ in speed, some slow down when they are nearly full, and some
-//! refuse or fail for a spell. A [`Typical`] holds what a route's requests usually need, a
-//! [`Pace`] how an upstream compares with that, how full it is and how often it fails. Together
+//! refuse or fail for a spell. A [`Baseline`] holds what a route's requests usually need, a
+//! [`Profile`] how an upstream compares with that, how full it is and how often it fails. Together
 //! they give the time to expect, which [`pick`](crate::calls::pick) compares.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use jackdawpulley::calls::pace::{Pace, Typical, Underway};
+//! use jackdawpulley::calls::latency::{Baseline, Outstanding, Profile};
 //!
 //! let now = Instant::now();
-//! let (mut typical, mut slow, fast) = (Typical::default(), Pace::new(now), Pace::new(now));
+//! let (mut typical, mut slow, fast) = (Baseline::default(), Profile::new(now), Profile::new(now));
 //! for _ in 0..50 {
-//!     typical.learn(Duration::from_millis(100), 1.0, 1_000);
-//!     slow.answered(now, Duration::from_millis(300), &typical);
+//!     typical.record(Duration::from_millis(100), 1.0, 1_000);
+//!     slow.record_response(now, Duration::from_millis(300), &typical);
 //! }
-//! let none = Underway::default();
-//! let expected = |pace: &Pace| pace.expected_ms(now, none, 18, &typical);
+//! let none = Outstanding::default();
+//! let expected = |pace: &Profile| pace.expected_ms(now, none, 18, &typical);
 //! assert!(expected(&slow) > 2.0 * expected(&fast));
 //! ```
 
@@ -49,38 +49,38 @@
 
 /// What the requests of one route usually need.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Typical {
+pub struct Baseline {
     /// Time at a target of ordinary pace, in milliseconds.
-    pub work_ms: f64,
+    pub processing_ms: f64,
     /// Size of the answer, in bytes.
     pub bytes: f64,
     answers: u32,
 }
 
-impl Default for Typical {
+impl Default for Baseline {
     fn default() -> Self {
         Self {
-            work_ms: FIRST_GUESS_MS,
+            processing_ms: FIRST_GUESS_MS,
             bytes: 0.0,
             answers: 0,
         }
     }
 }
 
-impl Typical {
+impl Baseline {
     /// Time at a target of ordinary pace.
     #[must_use]
-    pub fn work(&self) -> Duration {
-        Duration::from_secs_f64(self.work_ms / 1_000.0)
+    pub fn processing(&self) -> Duration {
+        Duration::from_secs_f64(self.processing_ms / 1_000.0)
     }
 
     /// Notes an answer of an upstream whose pace is `factor`.
-    pub fn learn(&mut self, work: Duration, factor: f64, bytes: usize) {
+    pub fn record(&mut self, work: Duration, factor: f64, bytes: usize) {
         self.answers = self.answers.saturating_add(1);
         // The first answers count in full, so that the guess is soon forgotten.
         let weight = (1.0 / f64::from(self.answers)).max(TYPICAL_WEIGHT);
         let work_ms = work.as_secs_f64() * 1_000.0 / factor;
-        self.work_ms += weight * (work_ms - self.work_ms);
+        self.processing_ms += weight * (work_ms - self.processing_ms);
         let bytes = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
         self.bytes += weight * (bytes - self.bytes);
     }
@@ -88,20 +88,20 @@
 
 /// Requests of one daemon that are under way at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Underway {
+pub struct Outstanding {
     /// How many there are.
     pub count: u32,
     /// Time since they were sent, on the mean.
     pub age: Duration,
 }
 
-impl Underway {
+impl Outstanding {
     /// The factor that was learnt from answers, raised by what has not been answered yet.
     ///
     /// Guards against a target that turns many times slower: its answers, which would tell, take as
     /// long to come, and until then it looks as quick as before and draws its share of requests.
-    fn raise(self, factor: f64, typical: &Typical) -> f64 {
-        let aged = self.age.as_secs_f64() * 1_000.0 / typical.work_ms.max(1.0);
+    fn raise(self, factor: f64, typical: &Baseline) -> f64 {
+        let aged = self.age.as_secs_f64() * 1_000.0 / typical.processing_ms.max(1.0);
         let trust = f64::from(self.count) / (f64::from(self.count) + DOUBT);
         factor + (aged - factor).max(0.0) * trust
     }
@@ -109,7 +109,7 @@
 
 /// How one upstream does.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct Profile {
     /// Logarithm of its time in relation to the typical one.
     ln_factor: f64,
     /// Part of the requests that it answers well.
@@ -121,7 +121,7 @@
     reported: Instant,
 }
 
-impl Pace {
+impl Profile {
     /// An upstream of which nothing is known.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
@@ -143,9 +143,9 @@
     }
 
     /// Notes a good answer after `work` at its target.
-    pub fn answered(&mut self, now: Instant, work: Duration, typical: &Typical) {
+    pub fn record_response(&mut self, now: Instant, work: Duration, typical: &Baseline) {
         self.fade(now);
-        let ratio = work.as_secs_f64() * 1_000.0 / typical.work_ms.max(1.0);
+        let ratio = work.as_secs_f64() * 1_000.0 / typical.processing_ms.max(1.0);
         let ratio = ratio.clamp(RATIO.0, RATIO.1);
         self.ln_factor += PACE_WEIGHT * (ratio.ln() - self.ln_factor);
         self.reliability += RELIABILITY_WEIGHT * (1.0 - self.reliability);
@@ -159,16 +159,22 @@
 
     /// Its time in relation to the typical one.
     #[must_use]
-    pub fn factor(&self, now: Instant) -> f64 {
+    pub fn slowdown(&self, now: Instant) -> f64 {
         (self.ln_factor * faded(now, self.learnt, FADING)).exp()
     }
 
     /// Time until an answer, in milliseconds, with requests of this daemon under way there.
     #[must_use]
-    pub fn expected_ms(&self, now: Instant, own: Underway, slots: u32, typical: &Typical) -> f64 {
+    pub fn expected_ms(
+        &self,
+        now: Instant,
+        own: Outstanding,
+        slots: u32,
+        typical: &Baseline,
+    ) -> f64 {
         let slots = f64::from(slots.max(1));
         let load = self.load(now, own.count);
-        let work = typical.work_ms * own.raise(self.factor(now), typical);
+        let work = typical.processing_ms * own.raise(self.slowdown(now), typical);
         let fill = load / slots;
         let crowded = 1.0 + (fill.min(1.0) - KNEE).max(0.0) / (1.0 - KNEE);
         let wait = work * (load + 1.0 - slots).max(0.0) / slots;
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -5,13 +5,13 @@
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Class;
-//! use jackdawpulley::calls::limit::{Admission, Limit};
+//! use jackdawpulley::calls::limit::{Decision, Limit};
 //!
 //! let mut limit = Limit::new(1, 1);
-//! assert_eq!(limit.enter(1, Class::Interactive), Admission::Run);
-//! assert_eq!(limit.enter(2, Class::Background), Admission::Wait { shed: None });
-//! assert_eq!(limit.enter(3, Class::Interactive), Admission::Wait { shed: Some(2) });
-//! assert_eq!(limit.leave(), Some(3));
+//! assert_eq!(limit.acquire(1, Class::Interactive), Decision::Run);
+//! assert_eq!(limit.acquire(2, Class::Background), Decision::Wait { shed: None });
+//! assert_eq!(limit.acquire(3, Class::Interactive), Decision::Wait { shed: Some(2) });
+//! assert_eq!(limit.release(), Some(3));
 //! ```
 
 use std::time::Duration;
@@ -26,7 +26,7 @@
 
 /// What becomes of a request that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum Decision {
     /// It has a slot.
     Run,
     /// It waits; the request of lower priority that it displaced is shed.
@@ -83,29 +83,29 @@
     }
 
     /// Asks for a slot.
-    pub fn enter(&mut self, ticket: Ticket, priority: impl Into<Priority>) -> Admission {
+    pub fn acquire(&mut self, ticket: Ticket, priority: impl Into<Priority>) -> Decision {
         let priority = priority.into();
         if self.running < self.slots && self.waiting.is_empty() {
             self.running += 1;
-            return Admission::Run;
+            return Decision::Run;
         }
         if self.waiting.len() < self.queue as usize {
             self.insert(priority, ticket);
-            return Admission::Wait { shed: None };
+            return Decision::Wait { shed: None };
         }
         match self.waiting.last() {
             Some(&(lowest, loser)) if priority < lowest => {
                 self.waiting.pop();
                 self.insert(priority, ticket);
-                Admission::Wait { shed: Some(loser) }
+                Decision::Wait { shed: Some(loser) }
             }
-            _ => Admission::Shed,
+            _ => Decision::Shed,
         }
     }
 
     /// Requests that would leave before one of `priority` that asked now: 0 while a slot is free.
     #[must_use]
-    pub fn ahead(&self, priority: impl Into<Priority>) -> usize {
+    pub fn position(&self, priority: impl Into<Priority>) -> usize {
         if self.running < self.slots && self.waiting.is_empty() {
             return 0;
         }
@@ -118,14 +118,14 @@
     /// Wait to expect for a request of `priority` that asks now.
     #[must_use]
     pub fn expected_wait(&self, priority: impl Into<Priority>) -> Duration {
-        let ahead = u32::try_from(self.ahead(priority)).unwrap_or(u32::MAX);
+        let ahead = u32::try_from(self.position(priority)).unwrap_or(u32::MAX);
         let slots = f64::from(self.slots.max(1));
         let seconds = f64::from(ahead) * self.hold_s / slots;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
     /// Notes for how long a slot was held.
-    pub fn held(&mut self, time: Duration) {
+    pub fn record_hold(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         if self.hold_s == 0.0 {
             self.hold_s = time;
@@ -143,7 +143,7 @@
     }
 
     /// Gives a slot back; the ticket that gets it runs now.
-    pub fn leave(&mut self) -> Option<Ticket> {
+    pub fn release(&mut self) -> Option<Ticket> {
         self.running = self.running.saturating_sub(1);
         self.promote()
     }
--- a/src/calls/lines.rs
+++ b/src/calls/log_rate.rs
@@ -2,17 +2,17 @@
 //!
 //! Every failed attempt and every call that did not simply succeed gets a line, so that its
 //! identifier leads to its cause. Under overload there would be more of them than a daemon can
-//! write beside its work: a [`Throttle`] admits so many a second and counts the rest.
+//! write beside its work: a [`Limiter`] admits so many a second and counts the rest.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use jackdawpulley::calls::lines::Throttle;
+//! use jackdawpulley::calls::log_rate::Limiter;
 //!
-//! let throttle = Throttle::new(2);
+//! let limiter = Limiter::new(2);
 //! let now = Instant::now();
-//! assert!(throttle.admit(now) && throttle.admit(now));
-//! assert!(!throttle.admit(now));
-//! assert!(throttle.admit(now + Duration::from_secs(1)));
+//! assert!(limiter.admit(now) && limiter.admit(now));
+//! assert!(!limiter.admit(now));
+//! assert!(limiter.admit(now + Duration::from_secs(1)));
 //! ```
 
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,14 +23,14 @@
 
 /// Admits a number of lines a second.
 #[derive(Debug)]
-pub struct Throttle {
+pub struct Limiter {
     per_second: u64,
     began: Instant,
     /// The second since the start, and the lines admitted in it, as one value.
     state: AtomicU64,
 }
 
-impl Throttle {
+impl Limiter {
     /// Admits `per_second` lines in each second.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
--- a/src/calls/origins.rs
+++ b/src/calls/nesting.rs
@@ -9,13 +9,13 @@
 //! with headers that look alike.
 //!
 //! ```
-//! use jackdawpulley::calls::origins::Origins;
+//! use jackdawpulley::calls::nesting::Detector;
 //! use jackdawpulley::units::Service;
 //!
 //! let (shelf, till) = (Service::from("shelf"), Service::from("till"));
 //! let fleet = [(shelf.clone(), 7), (till, 4)];
-//! let mut origins = Origins::default();
-//! let told: Vec<bool> = (0..100).map(|_| origins.note("artwork", &shelf, &fleet)).collect();
+//! let mut detector = Detector::default();
+//! let told: Vec<bool> = (0..100).map(|_| detector.record("artwork", &shelf, &fleet)).collect();
 //! assert!(!told[0] && told[99]);
 //! ```
 
@@ -33,7 +33,7 @@
 
 /// Where the requests of each route began.
 #[derive(Debug, Default)]
-pub struct Origins {
+pub struct Detector {
     /// Sorted by the routes' names.
     routes: Vec<Seen>,
 }
@@ -47,10 +47,10 @@
     hosts: Vec<(Service, f64)>,
 }
 
-impl Origins {
+impl Detector {
     /// Notes a request of a route that began on a host of service `from`, in a `fleet` of so many
     /// hosts of each service; whether the route is nested.
-    pub fn note(&mut self, route: &str, from: &Service, fleet: &[(Service, usize)]) -> bool {
+    pub fn record(&mut self, route: &str, from: &Service, fleet: &[(Service, usize)]) -> bool {
         let seen = self.place(route);
         seen.count(from);
         seen.is_nested(fleet)
--- a/src/calls/pick.rs
+++ b/src/calls/pick.rs
@@ -145,20 +145,20 @@
 
 /// Own evidence about one upstream, and what follows from it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Evidence {
+pub struct Detector {
     /// Failures since the last success.
     pub failures: u32,
     /// Ejections since it last stayed in.
     pub ejections: u32,
     /// When it may come back.
-    pub out_until: Option<Instant>,
+    pub ejected_until: Option<Instant>,
 }
 
-impl Evidence {
+impl Detector {
     /// Whether the upstream is ejected at `now`.
     #[must_use]
     pub fn ejected(&self, now: Instant) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Notes a success.
@@ -166,7 +166,7 @@
         *self = Self {
             failures: 0,
             ejections: 0,
-            out_until: None,
+            ejected_until: None,
         };
     }
 
@@ -174,7 +174,7 @@
     /// at once, since every other request would find out the same way.
     pub fn absent(&mut self, now: Instant) {
         if !self.ejected(now) {
-            self.out_until = Some(now + ABSENCE);
+            self.ejected_until = Some(now + ABSENCE);
         }
     }
 
@@ -193,6 +193,6 @@
         let time = rule.base_ms.duration() * 2_u32.pow(self.ejections.min(MAX_DOUBLINGS));
         self.ejections += 1;
         self.failures = 0;
-        self.out_until = Some(now + time);
+        self.ejected_until = Some(now + time);
     }
 }
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -182,7 +182,7 @@
 /// `made` attempts have been made, `left` is the time until the deadline, and `fate` is what is
 /// known of the last attempt.
 #[must_use]
-pub fn again(rule: &Retry, made: u32, repeatable: bool, fate: Fate, left: Duration) -> bool {
+pub fn is_allowed(rule: &Retry, made: u32, repeatable: bool, fate: Fate, left: Duration) -> bool {
     // Guards the promise of at-most-once: a request whose fate is unknown may have run, and only
     // a repeatable one may run again.
     let harmless = match fate {
--- a/src/calls/route.rs
+++ b/src/calls/route.rs
@@ -15,14 +15,14 @@
     /// The route.
     pub route: Route,
     /// Groups that share its requests; one at least.
-    pub parts: Vec<Part>,
+    pub destinations: Vec<Destination>,
     /// Its retry rule.
     pub retry: Retry,
 }
 
 /// A group with its part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct Destination {
     /// Size in relation to the other parts.
     pub weight: u32,
     /// The group.
@@ -36,13 +36,13 @@
     /// without a word between them.
     #[must_use]
     pub fn group(&self, draw: f64) -> &Arc<Group> {
-        let total: u32 = self.parts.iter().map(|part| part.weight).sum();
+        let total: u32 = self.destinations.iter().map(|part| part.weight).sum();
         let mut rest = draw * f64::from(total);
-        let chosen = self.parts.iter().find(|part| {
+        let chosen = self.destinations.iter().find(|part| {
             rest -= f64::from(part.weight);
             rest < 0.0
         });
-        &chosen.unwrap_or(&self.parts[0]).group
+        &chosen.unwrap_or(&self.destinations[0]).group
     }
 }
 
@@ -63,9 +63,9 @@
         let plan = |route: &Route| {
             let part = |name: &str, weight| {
                 let group = Arc::new(document.group(name)?.clone());
-                Some(Part { weight, group })
+                Some(Destination { weight, group })
             };
-            let parts: Option<Vec<Part>> = if route.split.is_empty() {
+            let parts: Option<Vec<Destination>> = if route.split.is_empty() {
                 Some(vec![part(&route.group, 1)?])
             } else {
                 let split = route.split.iter();
@@ -81,7 +81,7 @@
                     host,
                     ..route.clone()
                 },
-                parts,
+                destinations: parts,
                 retry,
             }))
         };
--- a/src/calls/experience.rs
+++ b/src/calls/statistics.rs
@@ -7,9 +7,9 @@
 use volo_http::body::Body;
 
 use crate::calls::gate::Load;
+use crate::calls::latency::Baseline;
 use crate::calls::outcome::Reason;
-use crate::calls::pace::Typical;
-use crate::calls::patience::Patience;
+use crate::calls::wait::Estimator;
 use crate::membership::roster::Upstream;
 use crate::units::Millis;
 
@@ -24,23 +24,23 @@
 #[derive(Debug)]
 struct Known {
     name: String,
-    typical: Typical,
-    patience: Patience,
+    typical: Baseline,
+    patience: Estimator,
     /// Until when it counts as one that only targets call.
     nested_until: Option<Instant>,
 }
 
 /// What the routes' requests usually need.
 #[derive(Debug, Default)]
-pub struct Experience {
+pub struct Statistics {
     /// Sorted by the routes' names; held for a few instructions.
     routes: Mutex<Vec<Known>>,
 }
 
-impl Experience {
+impl Statistics {
     /// Takes an attempt as evidence on its upstream, with the load that its gate told; whether it speaks against
     /// it.
-    pub fn learn(
+    pub fn record(
         &self,
         upstream: &Upstream,
         attempt: Result<&Response<Body>, Reason>,
@@ -79,18 +79,18 @@
             let work = now.saturating_duration_since(began).saturating_sub(waited);
             let bytes = response.headers().get(header::CONTENT_LENGTH);
             let bytes = bytes.and_then(|v| v.to_str().ok()?.parse().ok());
-            let factor = upstream.pace().factor(now);
+            let factor = upstream.pace().slowdown(now);
             let typical = self.learn_typical(route, work, factor, bytes.unwrap_or(0));
-            upstream.pace().answered(now, work, &typical);
+            upstream.pace().record_response(now, work, &typical);
         }
         failed
     }
 
     /// What the requests of a route usually need.
-    pub fn typical(&self, route: &str) -> Typical {
+    pub fn baseline(&self, route: &str) -> Baseline {
         let routes = self.routes();
         let found = routes.binary_search_by(|known| known.name.as_str().cmp(route));
-        found.map_or_else(|_| Typical::default(), |index| routes[index].typical)
+        found.map_or_else(|_| Baseline::default(), |index| routes[index].typical)
     }
 
     /// Whether only targets call a route, by a gate's word.
@@ -102,15 +102,15 @@
     }
 
     /// For how long the caller of a request has waited that still gives `given`.
-    pub fn waited(&self, route: &str, given: Millis) -> Duration {
+    pub fn caller_wait(&self, route: &str, given: Millis) -> Duration {
         let mut routes = self.routes();
-        place(&mut routes, route).patience.waited(given)
+        place(&mut routes, route).patience.caller_wait(given)
     }
 
-    fn learn_typical(&self, route: &str, work: Duration, factor: f64, bytes: usize) -> Typical {
+    fn learn_typical(&self, route: &str, work: Duration, factor: f64, bytes: usize) -> Baseline {
         let mut routes = self.routes();
         let typical = &mut place(&mut routes, route).typical;
-        typical.learn(work, factor, bytes);
+        typical.record(work, factor, bytes);
         *typical
     }
 
@@ -129,8 +129,8 @@
     let index = found.unwrap_or_else(|index| {
         let known = Known {
             name: route.to_owned(),
-            typical: Typical::default(),
-            patience: Patience::default(),
+            typical: Baseline::default(),
+            patience: Estimator::default(),
             nested_until: None,
         };
         routes.insert(index, known);
--- a/src/calls/transit.rs
+++ b/src/calls/transit_delay.rs
@@ -5,12 +5,12 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use jackdawpulley::calls::transit::Transit;
+//! use jackdawpulley::calls::transit_delay::Estimator;
 //!
-//! let transit = Transit::default();
-//! assert_eq!(transit.late(1_000, 5_000), Duration::ZERO);
-//! assert_eq!(transit.late(2_000, 6_730), Duration::from_millis(730));
-//! assert_eq!(transit.late(3_000, 7_000), Duration::ZERO);
+//! let estimator = Estimator::default();
+//! assert_eq!(estimator.excess(1_000, 5_000), Duration::ZERO);
+//! assert_eq!(estimator.excess(2_000, 6_730), Duration::from_millis(730));
+//! assert_eq!(estimator.excess(3_000, 7_000), Duration::ZERO);
 //! ```
 
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -35,7 +35,7 @@
     /// Time for which a call was on its way beyond the quickest one: sent at `sent_ms` by the clock of its
     /// sender, and come at `now_ms` by the clock here.
     #[must_use]
-    pub fn late(&self, sent_ms: u64, now_ms: u64) -> Duration {
+    pub fn excess(&self, sent_ms: u64, now_ms: u64) -> Duration {
         let difference = now_ms.cast_signed().saturating_sub(sent_ms.cast_signed());
         let least = self.least_ms.fetch_min(difference, Ordering::Relaxed);
         let late = difference.saturating_sub(least.min(difference));
--- a/src/calls/patience.rs
+++ b/src/calls/wait.rs
@@ -1,16 +1,16 @@
 //! How long a request may wait, and how long its caller has waited already.
 //!
 //! Callers that were refused come back with less time than callers of the same route begin with.
-//! That difference tells how old their request is: [`Patience`] learns what they begin with.
+//! That difference tells how old their request is: [`Estimator`] learns what they begin with.
 //!
 //! ```
 //! use std::time::Duration;
-//! use jackdawpulley::calls::patience::Patience;
+//! use jackdawpulley::calls::wait::Estimator;
 //! use jackdawpulley::units::Millis;
 //!
-//! let mut patience = Patience::default();
-//! assert_eq!(patience.waited(Millis(2_000)), Duration::ZERO);
-//! assert_eq!(patience.waited(Millis(1_700)).as_millis().div_ceil(10), 30);
+//! let mut estimator = Estimator::default();
+//! assert_eq!(estimator.caller_wait(Millis(2_000)), Duration::ZERO);
+//! assert_eq!(estimator.caller_wait(Millis(1_700)).as_millis().div_ceil(10), 30);
 //! ```
 
 use std::time::Duration;
@@ -38,13 +38,13 @@
 
 /// The time that callers of one route begin with.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Patience {
+pub struct Estimator {
     longest_ms: f64,
 }
 
-impl Patience {
+impl Estimator {
     /// For how long a caller has waited that still gives `given`.
-    pub fn waited(&mut self, given: Millis) -> Duration {
+    pub fn caller_wait(&mut self, given: Millis) -> Duration {
         let given = given.duration().as_secs_f64() * 1_000.0;
         self.longest_ms = (self.longest_ms * KEPT).max(given);
         Duration::from_secs_f64((self.longest_ms - given) / 1_000.0)
--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -11,14 +11,14 @@
 use volo_http::body::Body;
 
 use crate::board::{Board, InFlight, Target};
+use crate::calls::admission::{Options, Permit, Queue};
 use crate::calls::answer::Answer;
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
 use crate::calls::handover::Handover;
-use crate::calls::line::{Bid, Line, Permit};
 use crate::calls::outcome::{Fate, OUTCOME, Reason};
-use crate::calls::patience;
 use crate::calls::stream::{self, Gathered, Held, HeldBack};
+use crate::calls::wait;
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
 use crate::quarantine::inspect::Inspector;
@@ -68,9 +68,9 @@
     board: Arc<Board>,
     dispatcher: Dispatcher,
     inspector: Inspector,
-    line: Arc<Line>,
+    line: Arc<Queue>,
     /// Bodies that come over the link, and those that wait for that.
-    bodies: Arc<Line>,
+    bodies: Arc<Queue>,
 }
 
 impl Work {
@@ -201,7 +201,7 @@
         if left.is_zero() {
             return Err(Reason::Expired);
         }
-        let mut bid = Bid {
+        let mut bid = Options {
             priority: self.handover.priority,
             tolerance: self.handover.tolerance.duration(),
             patience: left / QUEUE_SHARE,
@@ -212,11 +212,11 @@
             waited = self.take_body(&held_back, work, queue, bid).await?;
             // What the body has cost the link would be lost with a refusal.
             let left = self.deadline.saturating_duration_since(Instant::now());
-            bid.tolerance = patience::tolerance(left, Duration::ZERO);
+            bid.tolerance = wait::tolerance(left, Duration::ZERO);
             bid.patience = left / QUEUE_SHARE;
         }
         let began = Instant::now();
-        let permit = work.line.enter(slots, queue, bid).await?;
+        let permit = work.line.acquire(slots, queue, bid).await?;
         // Guards against a gate that was frozen while the request waited: its caller has given up
         // and been told so, or its target has said good-bye. Deadline and stage are looked at
         // again with the slot in hand, right before the request leaves.
@@ -245,10 +245,10 @@
         held_back: &HeldBack,
         work: &Work,
         queue: u32,
-        bid: Bid,
+        bid: Options,
     ) -> Result<Duration, Reason> {
         let began = Instant::now();
-        let _permit = work.bodies.enter(TRANSFERS, queue, bid).await?;
+        let _permit = work.bodies.acquire(TRANSFERS, queue, bid).await?;
         let waited = began.elapsed();
         held_back.ask();
         let body = std::mem::take(self.request.body_mut());
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use crate::board::Target;
-use crate::calls::pace::{Pace, Typical, Underway};
-use crate::calls::pick::{self, Candidate, Cost, Evidence};
+use crate::calls::latency::{Baseline, Outstanding, Profile};
+use crate::calls::pick::{self, Candidate, Cost, Detector};
 use crate::configuration::document::{Ejection, Group};
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
@@ -84,9 +84,9 @@
     sent_ms: AtomicU64,
     reported: AtomicU32,
     /// Held for a few instructions, as the evidence is.
-    pace: Mutex<Pace>,
+    pace: Mutex<Profile>,
     /// Held for a few instructions, by the path of a request alone.
-    evidence: Mutex<Evidence>,
+    evidence: Mutex<Detector>,
 }
 
 impl Roster {
@@ -229,7 +229,7 @@
             own: AtomicU32::new(0),
             sent_ms: AtomicU64::new(0),
             reported: AtomicU32::new(0),
-            pace: Mutex::new(Pace::new(now)),
+            pace: Mutex::new(Profile::new(now)),
             evidence: Mutex::default(),
         }
     }
@@ -263,7 +263,7 @@
     /// What it would cost a request of a route at `now`; `far_ms` is the price of each kilobyte
     /// from another data centre.
     #[must_use]
-    pub fn cost(&self, group: &Group, typical: &Typical, far_ms: f64, now: Instant) -> Cost {
+    pub fn cost(&self, group: &Group, typical: &Baseline, far_ms: f64, now: Instant) -> Cost {
         let candidate = self.candidate(group, now);
         let own = self.underway();
         let expected = self.pace().expected_ms(now, own, candidate.slots, typical);
@@ -276,7 +276,7 @@
 
     /// Price of the way there and back, as a time that a request of a route could wait instead.
     #[must_use]
-    pub fn way(&self, typical: &Typical, far_ms: f64) -> Duration {
+    pub fn way(&self, typical: &Baseline, far_ms: f64) -> Duration {
         if self.local {
             return Duration::ZERO;
         }
@@ -285,7 +285,7 @@
     }
 
     /// What was learnt of its pace, to read or to add to.
-    pub fn pace(&self) -> MutexGuard<'_, Pace> {
+    pub fn pace(&self) -> MutexGuard<'_, Profile> {
         self.pace.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -297,7 +297,7 @@
 
     /// A copy of the evidence, for the state dump.
     #[must_use]
-    pub fn evidence(&self) -> Evidence {
+    pub fn evidence(&self) -> Detector {
         *self.evidence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -351,7 +351,7 @@
 
     /// Own requests under way there.
     #[must_use]
-    pub fn underway(&self) -> Underway {
+    pub fn underway(&self) -> Outstanding {
         let count = self.own.load(Ordering::Relaxed);
         let sum_ms = self.sent_ms.load(Ordering::Relaxed);
         let mean_ms = sum_ms.checked_div(u64::from(count));
@@ -359,7 +359,7 @@
         let age = mean_ms.map_or(0, |mean_ms| {
             Millis::from(self.came.elapsed()).0.saturating_sub(mean_ms)
         });
-        Underway {
+        Outstanding {
             count,
             age: Millis(age.min(OLDEST_MS)).duration(),
         }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -17,7 +17,7 @@
 use crate::calls::gate::Gate;
 use crate::calls::handover::{HANDOVER, read_handover};
 use crate::calls::stream::{self, HeldBack, Incoming, REQUEST_WINDOW};
-use crate::calls::transit::Transit;
+use crate::calls::transit_delay::Transit;
 use crate::clock;
 use crate::configuration::exchange::{Pull, Reply};
 use crate::configuration::relay::{PULL, PUSH, Relay};
@@ -175,7 +175,7 @@
         // Guards against work for callers that have left: on a full link a call is on its way for most of a
         // second, and its caller's time runs out meanwhile. By what its entry wrote it would run all the
         // same, and the target would get more time than there is. The gate refuses what came too late.
-        let late = Millis::from(transit.late(handover.sent_ms, clock::boot_ms()));
+        let late = Millis::from(transit.excess(handover.sent_ms, clock::boot_ms()));
         handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
         handover.tolerance.0 = handover.tolerance.0.saturating_sub(late.0);
         let held_back = HeldBack::default();
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawpulley::calls::connections::{Admission, Connections, Ticket};
+use jackdawpulley::calls::connections::{Connections, Decision, Ticket};
 use proptest::prelude::*;
 
 const MOST: usize = 4;
@@ -15,16 +15,16 @@
     let mut connections = Connections::new(2);
     assert!(matches!(
         connections.open(now),
-        Admission::Take { ticket: 1, .. }
+        Decision::Accept { ticket: 1, .. }
     ));
     assert!(matches!(
         connections.open(now),
-        Admission::Take { ticket: 2, .. }
+        Decision::Accept { ticket: 2, .. }
     ));
     assert!(connections.begin(1));
     connections.end(1, now + Duration::from_secs(2));
     let admission = connections.open(now + Duration::from_secs(3));
-    let expected = Admission::Take {
+    let expected = Decision::Accept {
         ticket: 3,
         closed: Some(2),
     };
@@ -67,10 +67,10 @@
             now += Duration::from_millis(1);
             match step {
                 Step::Open => match connections.open(now) {
-                    Admission::Full => {
+                    Decision::Full => {
                         prop_assert!(known.len() == MOST && known.iter().all(|k| k.requests > 0));
                     }
-                    Admission::Take { ticket, closed } => {
+                    Decision::Accept { ticket, closed } => {
                         prop_assert_eq!(closed.is_some(), known.len() == MOST);
                         if let Some(closed) = closed {
                             let idle = known.iter().filter(|k| k.requests == 0);
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::fixed;
-use jackdawpulley::calls::limit::{Admission, Limit, Ticket};
+use jackdawpulley::calls::limit::{Decision, Limit, Ticket};
 use jackdawpulley::configuration::document::Class;
 use proptest::prelude::*;
 
@@ -38,21 +38,21 @@
 }
 
 impl Oracle {
-    fn enter(&mut self, ticket: Ticket, class: Class) -> Admission {
+    fn enter(&mut self, ticket: Ticket, class: Class) -> Decision {
         if self.running < SLOTS && self.waiting.is_empty() {
             self.running += 1;
-            return Admission::Run;
+            return Decision::Run;
         }
         self.waiting.push((class, ticket));
         self.waiting.sort_unstable();
         if self.waiting.len() <= QUEUE as usize {
-            return Admission::Wait { shed: None };
+            return Decision::Wait { shed: None };
         }
         let (_, loser) = self.waiting.pop().expect("it is over-full");
         if loser == ticket {
-            Admission::Shed
+            Decision::Shed
         } else {
-            Admission::Wait { shed: Some(loser) }
+            Decision::Wait { shed: Some(loser) }
         }
     }
 
@@ -76,9 +76,9 @@
         for (ticket, step) in (1..).zip(steps) {
             match step {
                 Step::Enter(class) => {
-                    prop_assert_eq!(limit.enter(ticket, class), oracle.enter(ticket, class));
+                    prop_assert_eq!(limit.acquire(ticket, class), oracle.enter(ticket, class));
                 }
-                Step::Leave => prop_assert_eq!(limit.leave(), oracle.leave()),
+                Step::Leave => prop_assert_eq!(limit.release(), oracle.leave()),
                 Step::Cancel(place) => {
                     let waiting = oracle.waiting.get(place).copied();
                     let ticket = waiting.map_or(0, |waiting| waiting.1);
@@ -96,7 +96,7 @@
 fn more_slots_wake_the_waiting() {
     let mut limit = Limit::new(1, 4);
     for ticket in 1..=4 {
-        limit.enter(ticket, Class::Interactive);
+        limit.acquire(ticket, Class::Interactive);
     }
     assert_eq!(limit.resize(3, 4), [2, 3]);
 }
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -2,21 +2,21 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawpulley::calls::pace::{Pace, Typical, Underway};
+use jackdawpulley::calls::latency::{Baseline, Outstanding, Profile};
 use jackdawpulley::calls::pick::{Cost, cheapest};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 const SLOTS: u32 = 18;
-const NONE: Underway = Underway {
+const NONE: Outstanding = Outstanding {
     count: 0,
     age: Duration::ZERO,
 };
 
-fn typical() -> Typical {
-    let mut typical = Typical::default();
+fn typical() -> Baseline {
+    let mut typical = Baseline::default();
     for _ in 0..100 {
-        typical.learn(Duration::from_millis(160), 1.0, 5_000);
+        typical.record(Duration::from_millis(160), 1.0, 5_000);
     }
     typical
 }
@@ -27,11 +27,11 @@
 #[test]
 fn slow_spell_is_noticed_and_forgotten() {
     let (now, typical) = (Instant::now(), typical());
-    let (mut slow, well) = (Pace::new(now), Pace::new(now));
+    let (mut slow, well) = (Profile::new(now), Profile::new(now));
     for _ in 0..30 {
-        slow.answered(now, Duration::from_millis(800), &typical);
+        slow.record_response(now, Duration::from_millis(800), &typical);
     }
-    let full = |pace: &Pace, at| pace.expected_ms(at, NONE, SLOTS, &typical);
+    let full = |pace: &Profile, at| pace.expected_ms(at, NONE, SLOTS, &typical);
     assert!(full(&slow, now) > 3.0 * full(&well, now));
     let later = now + Duration::from_secs(15);
     assert!(full(&slow, later) < 1.1 * full(&well, later));
@@ -42,12 +42,12 @@
 #[test]
 fn quick_refusals_attract_nothing() {
     let (now, typical) = (Instant::now(), typical());
-    let (mut grey, well) = (Pace::new(now), Pace::new(now));
+    let (mut grey, well) = (Profile::new(now), Profile::new(now));
     for _ in 0..30 {
-        grey.answered(now, Duration::from_millis(160), &typical);
+        grey.record_response(now, Duration::from_millis(160), &typical);
         grey.failed(now);
     }
-    let cost = |pace: &Pace| pace.expected_ms(now, NONE, SLOTS, &typical);
+    let cost = |pace: &Profile| pace.expected_ms(now, NONE, SLOTS, &typical);
     assert!(cost(&grey) > 1.7 * cost(&well));
 }
 
@@ -56,9 +56,9 @@
 #[test]
 fn silence_counts_before_answers() {
     let (now, typical) = (Instant::now(), typical());
-    let pace = Pace::new(now);
+    let pace = Profile::new(now);
     let expected = |count, age_ms| {
-        let own = Underway {
+        let own = Outstanding {
             count,
             age: Duration::from_millis(age_ms),
         };
@@ -74,12 +74,12 @@
 #[test]
 fn full_upstream_is_expected_to_wait() {
     let (now, typical) = (Instant::now(), typical());
-    let mut pace = Pace::new(now);
+    let mut pace = Profile::new(now);
     pace.report(now, 2 * SLOTS, 0);
     let busy = pace.expected_ms(now, NONE, SLOTS, &typical);
-    assert!(busy > 2.0 * typical.work_ms);
+    assert!(busy > 2.0 * typical.processing_ms);
     let later = now + Duration::from_secs(5);
-    assert!(pace.expected_ms(later, NONE, SLOTS, &typical) < 1.1 * typical.work_ms);
+    assert!(pace.expected_ms(later, NONE, SLOTS, &typical) < 1.1 * typical.processing_ms);
 }
 
 #[test]
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::fixed;
-use jackdawpulley::calls::patience::{Patience, tolerance};
+use jackdawpulley::calls::wait::{Estimator, tolerance};
 use jackdawpulley::units::Millis;
 use proptest::prelude::*;
 
@@ -17,9 +17,9 @@
 /// well: a third of all answers came late. The time that they give tells that they were here.
 #[test]
 fn returning_caller_waits_less() {
-    let mut patience = Patience::default();
-    assert_eq!(patience.waited(Millis(2_500)), Duration::ZERO);
-    let before = patience.waited(Millis(2_200));
+    let mut patience = Estimator::default();
+    assert_eq!(patience.caller_wait(Millis(2_500)), Duration::ZERO);
+    let before = patience.caller_wait(Millis(2_200));
     assert!(before >= Duration::from_millis(299) && before <= Duration::from_millis(301));
     let fresh = tolerance(LATENCY, WORK);
     let returning = tolerance(LATENCY.saturating_sub(before), WORK);
@@ -36,11 +36,11 @@
 /// Callers of a route give less from some day on. They must not count as returning for ever.
 #[test]
 fn shorter_patience_is_learnt() {
-    let mut patience = Patience::default();
-    patience.waited(Millis(2_500));
+    let mut patience = Estimator::default();
+    patience.caller_wait(Millis(2_500));
     let mut last = Duration::MAX;
     for _ in 0..40_000 {
-        last = patience.waited(Millis(2_000));
+        last = patience.caller_wait(Millis(2_000));
     }
     assert_eq!(last, Duration::ZERO);
 }
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::calls::pick::{Candidate, Evidence, Policy, choose, share};
+use jackdawpulley::calls::pick::{Candidate, Detector, Policy, choose, share};
 use jackdawpulley::configuration::document::Ejection;
 use jackdawpulley::units::{Millis, Percent};
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     fn group_is_never_emptied(total in 1_usize..12, blamed in prop::collection::vec(0_usize..12, 0..200)) {
         let rule = Ejection { failures: 2, base_ms: Millis(1_000), max_share: Percent(50) };
         let now = Instant::now();
-        let mut all = vec![Evidence::default(); total];
+        let mut all = vec![Detector::default(); total];
         for index in blamed {
             let out = all.iter().filter(|evidence| evidence.ejected(now)).count();
             all[index % total].failed(now, &rule, out, total);
@@ -87,13 +87,16 @@
         max_share: Percent(100),
     };
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = Detector::default();
     evidence.failed(now, &rule, 0, 4);
-    let first = evidence.out_until.expect("it is out") - now;
+    let first = evidence.ejected_until.expect("it is out") - now;
     let later = now + first;
     assert!(!evidence.ejected(later));
     evidence.failed(later, &rule, 0, 4);
-    assert_eq!(evidence.out_until.expect("it is out") - later, 2 * first);
+    assert_eq!(
+        evidence.ejected_until.expect("it is out") - later,
+        2 * first
+    );
 }
 
 /// A daemon that stops says so to the first call, and news of it take a while to spread. The next
@@ -101,7 +104,7 @@
 #[test]
 fn absent_one_is_left_alone() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = Detector::default();
     evidence.absent(now);
     assert!(evidence.ejected(now));
     assert!(!evidence.ejected(now + Duration::from_secs(1)));
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -6,7 +6,7 @@
 
 use common::fixed;
 use jackdawpulley::calls::outcome::{Fate, Reason};
-use jackdawpulley::calls::retry::{Budget, again, backoff};
+use jackdawpulley::calls::retry::{Budget, backoff, is_allowed};
 use jackdawpulley::configuration::document::Retry;
 use jackdawpulley::units::{Millis, Percent, Priority};
 use proptest::prelude::*;
@@ -26,16 +26,16 @@
 /// to another target: the viewer is charged twice. Only a proof that it did not run allows that.
 #[test]
 fn unknown_fate_is_final_unless_repeatable() {
-    assert!(!again(&rule(), 1, false, Fate::Unknown, LEFT));
-    assert!(again(&rule(), 1, true, Fate::Unknown, LEFT));
-    assert!(again(&rule(), 1, false, Fate::NotRun, LEFT));
+    assert!(!is_allowed(&rule(), 1, false, Fate::Unknown, LEFT));
+    assert!(is_allowed(&rule(), 1, true, Fate::Unknown, LEFT));
+    assert!(is_allowed(&rule(), 1, false, Fate::NotRun, LEFT));
 }
 
 #[test]
 fn attempts_and_deadline_bound_retries() {
-    assert!(!again(&rule(), 3, true, Fate::NotRun, LEFT));
-    assert!(!again(&rule(), 1, true, Fate::NotRun, Duration::ZERO));
-    assert!(!again(&rule(), 1, true, Fate::Answered, LEFT));
+    assert!(!is_allowed(&rule(), 3, true, Fate::NotRun, LEFT));
+    assert!(!is_allowed(&rule(), 1, true, Fate::NotRun, Duration::ZERO));
+    assert!(!is_allowed(&rule(), 1, true, Fate::Answered, LEFT));
     assert_eq!(backoff(&rule(), LEFT, 1.0), LEFT / 4);
 }
 
--- a/trial/src/load/world.rs
+++ b/trial/src/load/world.rs
@@ -4,10 +4,10 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use jackdawpulley::calls::limit::{Admission, Limit};
-use jackdawpulley::calls::pace::{Pace, Typical, Underway};
-use jackdawpulley::calls::patience::{self, Patience};
+use jackdawpulley::calls::latency::{Baseline, Outstanding, Profile};
+use jackdawpulley::calls::limit::{Decision, Limit};
 use jackdawpulley::calls::pick::{self, Candidate, Cost};
+use jackdawpulley::calls::wait::{self, Estimator};
 use jackdawpulley::units::Millis;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -83,9 +83,9 @@
 #[derive(Debug)]
 struct Entry {
     data_centre: usize,
-    typicals: Vec<Typical>,
-    patiences: Vec<Patience>,
-    paces: Vec<Pace>,
+    typicals: Vec<Baseline>,
+    patiences: Vec<Estimator>,
+    paces: Vec<Profile>,
     own: Vec<u32>,
     /// Times at which own calls were sent to each target, as their sum.
     sent: Vec<u64>,
@@ -93,10 +93,10 @@
 
 impl Entry {
     /// Own calls under way at a target.
-    fn underway(&self, target: usize, now: u64) -> Underway {
+    fn underway(&self, target: usize, now: u64) -> Outstanding {
         let count = self.own[target];
         let mean = self.sent[target].checked_div(u64::from(count));
-        Underway {
+        Outstanding {
             count,
             age: Duration::from_micros(mean.map_or(0, |mean| now - mean)),
         }
@@ -149,9 +149,9 @@
             .collect();
         let entries = targets.iter().map(|target| Entry {
             data_centre: target.data_centre,
-            typicals: vec![Typical::default(); kinds.len()],
-            patiences: vec![Patience::default(); kinds.len()],
-            paces: vec![Pace::new(start); targets.len()],
+            typicals: vec![Baseline::default(); kinds.len()],
+            patiences: vec![Estimator::default(); kinds.len()],
+            paces: vec![Profile::new(start); targets.len()],
             own: vec![0; targets.len()],
             sent: vec![0; targets.len()],
         });
@@ -344,7 +344,7 @@
         let before = if self.policy == Policy::ExpectedAlike {
             Duration::ZERO
         } else {
-            entry.patiences[kind].waited(given)
+            entry.patiences[kind].caller_wait(given)
         };
         let far = entry.data_centre != self.targets[target].data_centre;
         let way_ms = if far {
@@ -353,9 +353,9 @@
             0.0
         };
         let left = aim.duration().saturating_sub(before);
-        patience::tolerance(
+        wait::tolerance(
             left,
-            typical.work() + Duration::from_secs_f64(way_ms / 1_000.0),
+            typical.processing() + Duration::from_secs_f64(way_ms / 1_000.0),
         )
     }
 
@@ -431,14 +431,14 @@
         self.order += 1;
         let ticket = self.order;
         let (_, queue) = limit_of(self.policy);
-        match self.targets[target].limit.enter(ticket, priority) {
-            Admission::Shed => return false,
-            Admission::Run => {
+        match self.targets[target].limit.acquire(ticket, priority) {
+            Decision::Shed => return false,
+            Decision::Run => {
                 self.calls[call].target = target;
                 self.count_own(call, target);
                 self.start(call);
             }
-            Admission::Wait { shed } => {
+            Decision::Wait { shed } => {
                 debug_assert!(queue > 0);
                 self.calls[call].target = target;
                 self.count_own(call, target);
@@ -533,10 +533,10 @@
         let work = Duration::from_micros(self.now - began);
         let load = self.load_of(target);
         let entry = &mut self.entries[host];
-        let factor = entry.paces[target].factor(now);
-        entry.typicals[kind].learn(work, factor, bytes(self.kinds[kind].kb));
+        let factor = entry.paces[target].slowdown(now);
+        entry.typicals[kind].record(work, factor, bytes(self.kinds[kind].kb));
         let typical = entry.typicals[kind];
-        entry.paces[target].answered(now, work, &typical);
+        entry.paces[target].record_response(now, work, &typical);
         entry.paces[target].report(now, load, entry.own[target]);
         self.leave(call);
         let deadline = self.kinds[kind].patience.duration();
@@ -576,8 +576,8 @@
         let held = Duration::from_micros(self.now - began);
         let there = &mut self.targets[target];
         there.running -= 1;
-        there.limit.held(held);
-        let next = there.limit.leave();
+        there.limit.record_hold(held);
+        let next = there.limit.release();
         let place = next.and_then(|next| there.waiting.iter().position(|(t, _)| *t == next));
         if let Some(place) = place {
             let (_, next) = there.waiting.remove(place);
