--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -5,10 +5,10 @@
 //! use jackdawpulley::backoff::Backoff;
 //!
 //! let mut backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
-//! assert_eq!(backoff.pause(1.0), Duration::from_millis(200));
-//! assert_eq!(backoff.pause(1.0), Duration::from_millis(400));
-//! backoff.succeeded();
-//! assert_eq!(backoff.pause(0.0), Duration::from_millis(100));
+//! assert_eq!(backoff.delay_with(1.0), Duration::from_millis(200));
+//! assert_eq!(backoff.delay_with(1.0), Duration::from_millis(400));
+//! backoff.reset();
+//! assert_eq!(backoff.delay_with(0.0), Duration::from_millis(100));
 //! ```
 
 use std::time::Duration;
@@ -25,37 +25,37 @@
 /// down. The random half keeps those that were refused together from coming back together.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
     /// Pauses from `first` up to `longest`.
     #[must_use]
-    pub const fn new(first: Duration, longest: Duration) -> Self {
+    pub const fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            longest,
+            initial,
+            max,
             failures: 0,
         }
     }
 
     /// Notes a failure; the pause after it, with its random half.
-    pub fn random_pause(&mut self) -> Duration {
-        self.pause(rand::rng().random_range(0.0..1.0))
+    pub fn next_delay(&mut self) -> Duration {
+        self.delay_with(rand::rng().random_range(0.0..1.0))
     }
 
     /// Notes a failure; the pause after it, of which `fraction` draws the upper half.
-    pub fn pause(&mut self, fraction: f64) -> Duration {
+    pub fn delay_with(&mut self, fraction: f64) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let pause = (self.first * 2_u32.pow(doublings)).min(self.longest);
-        pause.mul_f64(0.5 + fraction / 2.0)
+        let delay = (self.initial * 2_u32.pow(doublings)).min(self.max);
+        delay.mul_f64(0.5 + fraction / 2.0)
     }
 
     /// Notes a success: the next failure is the first in a row again.
-    pub const fn succeeded(&mut self) {
+    pub const fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/src/calls/admission.rs
+++ b/src/calls/admission.rs
@@ -19,9 +19,9 @@
     pub priority: Priority,
     /// Longest wait with which it is still of use; when a longer one is to be expected it is
     /// refused at once, so that its caller can go elsewhere while there is time.
-    pub tolerance: Duration,
+    pub max_wait: Duration,
     /// Time after which it is refused where the wait was longer than expected.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Who runs and who waits at a gate.
@@ -33,8 +33,8 @@
 #[derive(Debug)]
 struct State {
     limit: Limit,
-    sizes: (u32, u32),
-    next: Ticket,
+    capacity: (u32, u32),
+    last_ticket: Ticket,
     /// Sorted by ticket.
     waiters: Vec<(Ticket, oneshot::Sender<Signal>)>,
 }
@@ -50,8 +50,8 @@
     fn default() -> Self {
         Self {
             limit: Limit::new(0, 0),
-            sizes: (0, 0),
-            next: 0,
+            capacity: (0, 0),
+            last_ticket: 0,
             waiters: Vec::new(),
         }
     }
@@ -67,10 +67,10 @@
         }
     }
 
-    fn resize(&mut self, sizes: (u32, u32)) {
-        if self.sizes != sizes {
-            self.sizes = sizes;
-            for ticket in self.limit.resize(sizes.0, sizes.1) {
+    fn resize(&mut self, capacity: (u32, u32)) {
+        if self.capacity != capacity {
+            self.capacity = capacity;
+            for ticket in self.limit.resize(capacity.0, capacity.1) {
                 self.wake(ticket, Signal::Run);
             }
         }
@@ -88,39 +88,39 @@
         self: &Arc<Self>,
         slots: u32,
         queue: u32,
-        bid: Options,
+        options: Options,
     ) -> Result<Permit, Reason> {
         let (waiting, signal) = {
             let mut state = self.state();
             state.resize((slots, queue));
-            if state.limit.expected_wait(bid.priority) > bid.tolerance {
+            if state.limit.expected_wait(options.priority) > options.max_wait {
                 return Err(Reason::Overloaded);
             }
-            state.next += 1;
-            let ticket = state.next;
-            match state.limit.acquire(ticket, bid.priority) {
+            state.last_ticket += 1;
+            let ticket = state.last_ticket;
+            match state.limit.acquire(ticket, options.priority) {
                 Decision::Run => {
                     return Ok(Permit::new(self));
                 }
                 Decision::Shed => return Err(Reason::Overloaded),
                 Decision::Wait { shed } => {
-                    if let Some(loser) = shed {
-                        state.wake(loser, Signal::Shed);
+                    if let Some(displaced) = shed {
+                        state.wake(displaced, Signal::Shed);
                     }
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.push((ticket, sender));
                     (
                         Waiting {
-                            line: Arc::clone(self),
+                            queue: Arc::clone(self),
                             ticket,
-                            settled: false,
+                            resolved: false,
                         },
                         receiver,
                     )
                 }
             }
         };
-        waiting.wait(signal, bid.patience).await
+        waiting.wait(signal, options.timeout).await
     }
 
     /// Requests that run and that wait.
@@ -146,24 +146,24 @@
 /// A place in the queue, given up when dropped.
 #[derive(Debug)]
 struct Waiting {
-    line: Arc<Queue>,
+    queue: Arc<Queue>,
     ticket: Ticket,
-    settled: bool,
+    resolved: bool,
 }
 
 impl Waiting {
     async fn wait(
         mut self,
         signal: oneshot::Receiver<Signal>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Permit, Reason> {
-        match tokio::time::timeout(patience, signal).await {
+        match tokio::time::timeout(timeout, signal).await {
             Ok(Ok(Signal::Run)) => {
-                self.settled = true;
-                Ok(Permit::new(&self.line))
+                self.resolved = true;
+                Ok(Permit::new(&self.queue))
             }
             Ok(_) => {
-                self.settled = true;
+                self.resolved = true;
                 Err(Reason::Overloaded)
             }
             Err(_) => Err(Reason::Overloaded),
@@ -173,17 +173,17 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        if self.settled {
+        if self.resolved {
             return;
         }
-        let mut state = self.line.state();
-        let waited = state.limit.cancel(self.ticket);
+        let mut state = self.queue.state();
+        let was_waiting = state.limit.cancel(self.ticket);
         if let Ok(index) = state.waiters.binary_search_by_key(&self.ticket, |w| w.0) {
             state.waiters.remove(index);
-        } else if !waited {
+        } else if !was_waiting {
             // The slot was granted while the request gave up: pass it on, or it is lost for good.
             drop(state);
-            self.line.release();
+            self.queue.release();
         }
     }
 }
@@ -191,22 +191,25 @@
 /// A slot of the target, given back when dropped.
 #[derive(Debug)]
 pub struct Permit {
-    line: Arc<Queue>,
-    since: Instant,
+    queue: Arc<Queue>,
+    acquired_at: Instant,
 }
 
 impl Permit {
-    fn new(line: &Arc<Queue>) -> Self {
+    fn new(queue: &Arc<Queue>) -> Self {
         Self {
-            line: Arc::clone(line),
-            since: Instant::now(),
+            queue: Arc::clone(queue),
+            acquired_at: Instant::now(),
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.line.state().limit.record_hold(self.since.elapsed());
-        self.line.release();
+        self.queue
+            .state()
+            .limit
+            .record_hold(self.acquired_at.elapsed());
+        self.queue.release();
     }
 }
--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -63,7 +63,7 @@
     /// What a call's service may spend on retries.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
         let daemons = self.board.roster().members.len();
-        self.budgets.of(&call.handover.service, daemons)
+        self.budgets.for_service(&call.handover.service, daemons)
     }
 
     /// Whether the budget pays for one more request to an upstream.
--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -43,20 +43,20 @@
     /// Guards against paying for the way under a load that is too much everywhere: a request that
     /// waits for a slot far away would displace one that is near, and nobody would be better off.
     /// It takes what is free there, and waits only as long as the price of its way leaves time.
-    pub fn expected_time(&self, upstream: &Upstream, typical: &Baseline) -> Duration {
+    pub fn expected_time(&self, upstream: &Upstream, baseline: &Baseline) -> Duration {
         let settings = &self.board.settings;
         let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
-        typical.processing() + upstream.way(typical, far_ms)
+        baseline.processing() + upstream.way(baseline, far_ms)
     }
 
     /// Chooses the upstream for the next attempt, if any is left: by key where there is one, by
     /// fingerprint where it has to run apart, else by load.
     pub fn choose(&self, call: &Call) -> Option<Arc<Upstream>> {
         let roster = self.board.roster();
-        let fresh = self.eligible(&roster, call);
+        let untried = self.eligible(&roster, call);
         let by_key = |key: &CallKey| {
-            let indices = 0..fresh.len();
-            indices.max_by_key(|index| keys::rank(key, fresh[*index].peer))
+            let indices = 0..untried.len();
+            indices.max_by_key(|index| keys::rank(key, untried[*index].peer))
         };
         let index = if let Some(key) = &call.handover.key {
             by_key(key)
@@ -65,10 +65,10 @@
             // in at several daemons: all of them go to one gate, which runs one at a time.
             by_key(&CallKey(call.handover.fingerprint.to_string()))
         } else {
-            let typical = self.statistics.baseline(&call.plan.route.name);
-            self.best(&fresh, call, &typical, Instant::now())
+            let baseline = self.statistics.baseline(&call.plan.route.name);
+            self.select(&untried, call, &baseline, Instant::now())
         };
-        index.map(|index| Arc::clone(fresh[index]))
+        index.map(|index| Arc::clone(untried[index]))
     }
 
     /// Upstreams that have not been tried and may take the call, by the roll-outs that are known.
@@ -76,24 +76,24 @@
         let service = &call.handover.service;
         let upstreams = roster.upstreams(service).iter();
         let told = upstreams.zip(roster.revisions(service));
-        let fresh = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
+        let untried = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
         let rules = self.board.rollouts.rules();
         let Some(rule) = rules.get(service) else {
             let usual = roster.usual.get(service, Instant::now());
             let staged = self.board.settings.exposure_share.is_some();
-            let may = |revision: &Option<Revision>| {
+            let may_receive = |revision: &Option<Revision>| {
                 !staged || usual.is_none() || revision.is_none() || revision.as_ref() == usual
             };
-            let may = fresh.filter(|(_, revision)| may(revision));
-            return may.map(|(upstream, _)| upstream).collect();
+            let eligible = untried.filter(|(_, revision)| may_receive(revision));
+            return eligible.map(|(upstream, _)| upstream).collect();
         };
         let now = Instant::now();
-        let sides = fresh.filter_map(|(upstream, revision)| {
+        let sides = untried.filter_map(|(upstream, revision)| {
             let side = rule.side(revision.as_ref(), upstream.peer, now)?;
             Some((upstream, side))
         });
         let sides: Vec<(&Arc<Upstream>, Side)> = sides.collect();
-        let draw = rule.draw(draw(call), call.tried.len(), now);
+        let draw = rule.draw(fraction(call), call.tried.len(), now);
         let drawn = sides.iter().filter(|(_, side)| *side == draw);
         let drawn: Vec<&Arc<Upstream>> = drawn.map(|(upstream, _)| *upstream).collect();
         if !drawn.is_empty() || draw == Side::Old {
@@ -110,11 +110,11 @@
     }
 
     /// The best of several by the policy of the settings.
-    fn best(
+    fn select(
         &self,
         upstreams: &[&Arc<Upstream>],
         call: &Call,
-        typical: &Baseline,
+        baseline: &Baseline,
         now: Instant,
     ) -> Option<usize> {
         let settings = &self.board.settings;
@@ -128,7 +128,7 @@
             } else {
                 settings.far_ms_per_kb
             };
-            let costs = all.map(|upstream| upstream.cost(&call.group, typical, far_ms, now));
+            let costs = all.map(|upstream| upstream.cost(&call.group, baseline, far_ms, now));
             return pick::cheapest(&costs.collect::<Vec<Cost>>(), &mut rng);
         }
         let candidates = all.map(|upstream| upstream.candidate(&call.group, now));
@@ -139,7 +139,7 @@
 
 /// A number from 0 to 1: the same for all requests of a key, which belongs to one gate.
 #[expect(clippy::cast_precision_loss, reason = "a share needs few digits")]
-fn draw(call: &Call) -> f64 {
+fn fraction(call: &Call) -> f64 {
     match &call.handover.key {
         Some(key) => xxh3_64(key.as_str().as_bytes()) as f64 / u64::MAX as f64,
         None => rand::rng().random_range(0.0..1.0),
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -13,7 +13,7 @@
 use crate::calls::dialect::Dialect;
 use crate::calls::handover::{Handover, write_handover};
 use crate::calls::outcome::Reason;
-use crate::calls::route::Plan;
+use crate::calls::route::ResolvedRoute;
 use crate::calls::stream::{self, Incoming};
 use crate::calls::wait;
 use crate::clock;
@@ -32,7 +32,7 @@
     /// What its gate needs to know.
     pub handover: Handover,
     /// Its route and retry rule.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<ResolvedRoute>,
     /// The group that serves it.
     pub group: Arc<Group>,
     /// Upstreams that are not asked again.
@@ -204,7 +204,7 @@
             self.deadline
         };
         let left = until.saturating_duration_since(Instant::now());
-        wait::tolerance(left, needs)
+        wait::max_wait(left, needs)
     }
 
     /// What the next attempt sends; a streamed body can be taken only once.
--- a/src/calls/callers.rs
+++ b/src/calls/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections on one address, and closing an idle one for a new one.
+//! Callers' connections on one address, and eviction an idle one for a new one.
 //!
 //! The decisions are those of [`Connections`]; a [`Connection`] and a request under way are values that
 //! give themselves back when dropped, so that no way out of a connection leaks its place among them.
@@ -8,7 +8,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use crate::calls::connections::{Connections, Decision, Ticket};
+use crate::calls::connections::{Connections, Decision, Id};
 
 /// Who is connected on one address.
 #[derive(Debug)]
@@ -21,18 +21,18 @@
 #[derive(Debug)]
 struct State {
     connections: Connections,
-    /// Sorted by ticket.
-    closers: Vec<(Ticket, oneshot::Sender<()>)>,
+    /// Sorted by id.
+    evictions: Vec<(Id, oneshot::Sender<()>)>,
 }
 
 impl Callers {
-    /// Nobody yet, and at most `most` connections later.
+    /// Nobody yet, and at capacity `capacity` connections later.
     #[must_use]
-    pub fn new(most: usize) -> Arc<Self> {
+    pub fn new(capacity: usize) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
-                connections: Connections::new(most),
-                closers: Vec::new(),
+                connections: Connections::new(capacity),
+                evictions: Vec::new(),
             }),
             freed: Notify::new(),
         })
@@ -51,23 +51,23 @@
 
     fn try_admit(self: &Arc<Self>) -> Option<Connection> {
         let mut state = self.state();
-        let Decision::Accept { ticket, closed } = state.connections.open(Instant::now()) else {
+        let Decision::Accept { id, evicted } = state.connections.open(Instant::now()) else {
             return None;
         };
-        if let Some(closed) = closed {
+        if let Some(evicted) = evicted {
             metrics::counter!("jackdaw_idle_connections_closed_total").increment(1);
-            if let Ok(index) = state.closers.binary_search_by_key(&closed, |c| c.0) {
-                let _ = state.closers.remove(index).1.send(());
+            if let Ok(index) = state.evictions.binary_search_by_key(&evicted, |c| c.0) {
+                let _ = state.evictions.remove(index).1.send(());
             }
         }
-        let (closer, closing) = oneshot::channel();
-        state.closers.push((ticket, closer));
+        let (sender, eviction) = oneshot::channel();
+        state.evictions.push((id, sender));
         Some(Connection {
             registration: Registration {
                 callers: Arc::clone(self),
-                ticket,
+                id,
             },
-            closing,
+            eviction,
         })
     }
 
@@ -80,22 +80,22 @@
 #[derive(Debug)]
 pub struct Connection {
     registration: Registration,
-    closing: oneshot::Receiver<()>,
+    eviction: oneshot::Receiver<()>,
 }
 
 impl Connection {
     /// Notes requests of this connection.
     #[must_use]
-    pub fn requests(&self) -> Requests {
-        Requests {
+    pub fn requests(&self) -> RequestCounter {
+        RequestCounter {
             callers: Arc::clone(&self.registration.callers),
-            ticket: self.registration.ticket,
+            id: self.registration.id,
         }
     }
 
     /// Waits until its place is given to another connection.
-    pub async fn displaced(&mut self) {
-        if (&mut self.closing).await.is_err() {
+    pub async fn evicted(&mut self) {
+        if (&mut self.eviction).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -104,15 +104,15 @@
 #[derive(Debug)]
 struct Registration {
     callers: Arc<Callers>,
-    ticket: Ticket,
+    id: Id,
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
         let mut state = self.callers.state();
-        state.connections.close(self.ticket);
-        if let Ok(index) = state.closers.binary_search_by_key(&self.ticket, |c| c.0) {
-            state.closers.remove(index);
+        state.connections.close(self.id);
+        if let Ok(index) = state.evictions.binary_search_by_key(&self.id, |c| c.0) {
+            state.evictions.remove(index);
         }
         drop(state);
         self.callers.freed.notify_one();
@@ -121,33 +121,33 @@
 
 /// Notes the requests of one connection.
 #[derive(Debug, Clone)]
-pub struct Requests {
+pub struct RequestCounter {
     callers: Arc<Callers>,
-    ticket: Ticket,
+    id: Id,
 }
 
-impl Requests {
+impl RequestCounter {
     /// Counts a request until the returned value is dropped.
     #[must_use]
-    pub fn begin(&self) -> UnderWay {
+    pub fn begin(&self) -> ActiveRequest {
         // A request that crosses the close of its connection is answered like any other.
-        self.callers.state().connections.begin(self.ticket);
-        UnderWay {
-            requests: self.clone(),
+        self.callers.state().connections.begin(self.id);
+        ActiveRequest {
+            counter: self.clone(),
         }
     }
 }
 
 /// Counts one request while it exists.
 #[derive(Debug)]
-pub struct UnderWay {
-    requests: Requests,
+pub struct ActiveRequest {
+    counter: RequestCounter,
 }
 
-impl Drop for UnderWay {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        let Requests { callers, ticket } = &self.requests;
-        callers.state().connections.end(*ticket, Instant::now());
+        let RequestCounter { callers, id } = &self.counter;
+        callers.state().connections.end(*id, Instant::now());
         callers.freed.notify_one();
     }
 }
--- a/src/calls/connections.rs
+++ b/src/calls/connections.rs
@@ -2,7 +2,7 @@
 //!
 //! A host has a bounded number of descriptors, and callers keep connections open between their
 //! requests. [`Connections`] bounds how many are open: for a new one the one that has been idle
-//! longest is closed. It is a plain state machine over ticket numbers; the server closes the
+//! longest is closed. It is a plain state machine over id numbers; the server closes the
 //! connections that it names.
 //!
 //! ```
@@ -12,26 +12,26 @@
 //! let now = Instant::now();
 //! let later = now + Duration::from_secs(1);
 //! let mut connections = Connections::new(2);
-//! assert_eq!(connections.open(now), Decision::Accept { ticket: 1, closed: None });
-//! assert_eq!(connections.open(now), Decision::Accept { ticket: 2, closed: None });
+//! assert_eq!(connections.open(now), Decision::Accept { id: 1, evicted: None });
+//! assert_eq!(connections.open(now), Decision::Accept { id: 2, evicted: None });
 //! connections.begin(1);
-//! assert_eq!(connections.open(later), Decision::Accept { ticket: 3, closed: Some(2) });
+//! assert_eq!(connections.open(later), Decision::Accept { id: 3, evicted: Some(2) });
 //! ```
 
 use std::time::Instant;
 
 /// Number of a connection at its daemon.
-pub type Ticket = u64;
+pub type Id = u64;
 
 /// What becomes of a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// It is taken.
     Accept {
-        /// Its ticket.
-        ticket: Ticket,
+        /// Its id.
+        id: Id,
         /// The idle connection that makes room for it and is to be closed.
-        closed: Option<Ticket>,
+        evicted: Option<Id>,
     },
     /// Every connection carries a request: it waits until one is idle or has ended.
     Full,
@@ -39,8 +39,8 @@
 
 /// An open connection.
 #[derive(Debug, Clone, Copy)]
-struct Open {
-    ticket: Ticket,
+struct Connection {
+    id: Id,
     /// Requests under way on it.
     requests: u32,
     idle_since: Instant,
@@ -49,19 +49,19 @@
 /// Callers' open connections.
 #[derive(Debug)]
 pub struct Connections {
-    most: usize,
-    last: Ticket,
-    /// Sorted by ticket.
-    open: Vec<Open>,
+    capacity: usize,
+    last_id: Id,
+    /// Sorted by id.
+    open: Vec<Connection>,
 }
 
 impl Connections {
-    /// No connections yet, and at most `most` later.
+    /// No connections yet, and at capacity `capacity` later.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(capacity: usize) -> Self {
         Self {
-            most,
-            last: 0,
+            capacity,
+            last_id: 0,
             open: Vec::new(),
         }
     }
@@ -77,59 +77,62 @@
     /// Guards against callers that hold idle connections until no descriptor is left: the daemon
     /// could accept nobody, and new callers would wait for a time-out beside an idle process.
     pub fn open(&mut self, now: Instant) -> Decision {
-        let mut closed = None;
-        if self.open.len() >= self.most {
+        let mut evicted = None;
+        if self.open.len() >= self.capacity {
             let Some(index) = self.longest_idle() else {
                 return Decision::Full;
             };
-            closed = Some(self.open.remove(index).ticket);
+            evicted = Some(self.open.remove(index).id);
         }
-        self.last += 1;
-        self.open.push(Open {
-            ticket: self.last,
+        self.last_id += 1;
+        self.open.push(Connection {
+            id: self.last_id,
             requests: 0,
             idle_since: now,
         });
         Decision::Accept {
-            ticket: self.last,
-            closed,
+            id: self.last_id,
+            evicted,
         }
     }
 
     /// Notes that a request begins on a connection; `false` when its place was given away.
-    pub fn begin(&mut self, ticket: Ticket) -> bool {
-        let open = self.find(ticket);
-        open.map(|open| open.requests += 1).is_some()
+    pub fn begin(&mut self, id: Id) -> bool {
+        let connection = self.find(id);
+        connection
+            .map(|connection| connection.requests += 1)
+            .is_some()
     }
 
     /// Notes that the answer to a request has been sent, or was given up.
-    pub fn end(&mut self, ticket: Ticket, now: Instant) {
-        if let Some(open) = self.find(ticket) {
-            open.requests = open.requests.saturating_sub(1);
-            open.idle_since = now;
+    pub fn end(&mut self, id: Id, now: Instant) {
+        if let Some(connection) = self.find(id) {
+            connection.requests = connection.requests.saturating_sub(1);
+            connection.idle_since = now;
         }
     }
 
     /// Notes that a connection is gone.
-    pub fn close(&mut self, ticket: Ticket) {
-        if let Ok(index) = self.place(ticket) {
+    pub fn close(&mut self, id: Id) {
+        if let Ok(index) = self.index_of(id) {
             self.open.remove(index);
         }
     }
 
     fn longest_idle(&self) -> Option<usize> {
         let idle = self.open.iter().enumerate();
-        idle.filter(|(_, open)| open.requests == 0)
-            .min_by_key(|(_, open)| open.idle_since)
+        idle.filter(|(_, connection)| connection.requests == 0)
+            .min_by_key(|(_, connection)| connection.idle_since)
             .map(|(index, _)| index)
     }
 
-    fn place(&self, ticket: Ticket) -> Result<usize, usize> {
-        self.open.binary_search_by_key(&ticket, |open| open.ticket)
+    fn index_of(&self, id: Id) -> Result<usize, usize> {
+        self.open
+            .binary_search_by_key(&id, |connection| connection.id)
     }
 
-    fn find(&mut self, ticket: Ticket) -> Option<&mut Open> {
-        let index = self.place(ticket).ok()?;
+    fn find(&mut self, id: Id) -> Option<&mut Connection> {
+        let index = self.index_of(id).ok()?;
         self.open.get_mut(index)
     }
 }
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -150,7 +150,7 @@
             return;
         }
         () = reach(&mut phases, Phase::Ending) => {}
-        () = admitted.displaced() => {}
+        () = admitted.evicted() => {}
         () = limits.outgrow(bounds.max_head) => {}
     }
     connection.as_mut().graceful_shutdown();
--- a/src/calls/latency.rs
+++ b/src/calls/latency.rs
@@ -10,42 +10,42 @@
 //! use jackdawpulley::calls::latency::{Baseline, Outstanding, Profile};
 //!
 //! let now = Instant::now();
-//! let (mut typical, mut slow, fast) = (Baseline::default(), Profile::new(now), Profile::new(now));
+//! let (mut baseline, mut slow, fast) = (Baseline::default(), Profile::new(now), Profile::new(now));
 //! for _ in 0..50 {
-//!     typical.record(Duration::from_millis(100), 1.0, 1_000);
-//!     slow.record_response(now, Duration::from_millis(300), &typical);
+//!     baseline.record(Duration::from_millis(100), 1.0, 1_000);
+//!     slow.record_response(now, Duration::from_millis(300), &baseline);
 //! }
 //! let none = Outstanding::default();
-//! let expected = |pace: &Profile| pace.expected_ms(now, none, 18, &typical);
+//! let expected = |profile: &Profile| profile.expected_ms(now, none, 18, &baseline);
 //! assert!(expected(&slow) > 2.0 * expected(&fast));
 //! ```
 
 use std::time::{Duration, Instant};
 
 /// Weight of one answer in a route's averages: some fifty answers, under a second of a busy route.
-const TYPICAL_WEIGHT: f64 = 0.02;
+const BASELINE_WEIGHT: f64 = 0.02;
 /// Weight of one answer in an upstream's pace: some twenty answers, so that a target that turns
 /// slow is noticed within about as many requests, and one long request does not look like it.
-const PACE_WEIGHT: f64 = 0.08;
+const SLOWDOWN_WEIGHT: f64 = 0.08;
 /// Weight of one answer or failure in an upstream's reliability.
 const RELIABILITY_WEIGHT: f64 = 0.08;
 /// Bounds of a single answer's ratio to the typical time.
-const RATIO: (f64, f64) = (0.2, 8.0);
+const RATIO_BOUNDS: (f64, f64) = (0.2, 8.0);
 /// Time in which what was learnt of an upstream fades to a third. Without fresh answers it has to:
 /// a target that got a bad name gets no work, and could never show that it is well again.
-const FADING: Duration = Duration::from_secs(4);
+const DECAY_TIME: Duration = Duration::from_secs(4);
 /// Time in which a report of load fades to a third, being overtaken by events.
-const REPORT_FADING: Duration = Duration::from_millis(700);
+const REPORT_DECAY_TIME: Duration = Duration::from_millis(700);
 /// Lowest reliability that is reckoned with.
-const LEAST_RELIABILITY: f64 = 0.15;
+const MIN_RELIABILITY: f64 = 0.15;
 /// What an own request that is younger than the last report counts: others send as well.
-const CROWD: f64 = 2.0;
+const SHARED_LOAD_FACTOR: f64 = 2.0;
 /// Part of the slots from which on a target may slow down.
-const KNEE: f64 = 0.75;
+const SATURATION_KNEE: f64 = 0.75;
 /// Requests under way whose age counts half: one or two of them may just be long.
-const DOUBT: f64 = 3.0;
+const HALF_WEIGHT_COUNT: f64 = 3.0;
 /// Time that a route is thought to need before its first answer.
-const FIRST_GUESS_MS: f64 = 100.0;
+const INITIAL_PROCESSING_MS: f64 = 100.0;
 
 /// What the requests of one route usually need.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -53,16 +53,16 @@
     /// Time at a target of ordinary pace, in milliseconds.
     pub processing_ms: f64,
     /// Size of the answer, in bytes.
-    pub bytes: f64,
-    answers: u32,
+    pub response_bytes: f64,
+    samples: u32,
 }
 
 impl Default for Baseline {
     fn default() -> Self {
         Self {
-            processing_ms: FIRST_GUESS_MS,
-            bytes: 0.0,
-            answers: 0,
+            processing_ms: INITIAL_PROCESSING_MS,
+            response_bytes: 0.0,
+            samples: 0,
         }
     }
 }
@@ -75,14 +75,14 @@
     }
 
     /// Notes an answer of an upstream whose pace is `factor`.
-    pub fn record(&mut self, work: Duration, factor: f64, bytes: usize) {
-        self.answers = self.answers.saturating_add(1);
+    pub fn record(&mut self, processing: Duration, slowdown: f64, bytes: usize) {
+        self.samples = self.samples.saturating_add(1);
         // The first answers count in full, so that the guess is soon forgotten.
-        let weight = (1.0 / f64::from(self.answers)).max(TYPICAL_WEIGHT);
-        let work_ms = work.as_secs_f64() * 1_000.0 / factor;
-        self.processing_ms += weight * (work_ms - self.processing_ms);
+        let weight = (1.0 / f64::from(self.samples)).max(BASELINE_WEIGHT);
+        let processing_ms = processing.as_secs_f64() * 1_000.0 / slowdown;
+        self.processing_ms += weight * (processing_ms - self.processing_ms);
         let bytes = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
-        self.bytes += weight * (bytes - self.bytes);
+        self.response_bytes += weight * (bytes - self.response_bytes);
     }
 }
 
@@ -92,7 +92,7 @@
     /// How many there are.
     pub count: u32,
     /// Time since they were sent, on the mean.
-    pub age: Duration,
+    pub mean_age: Duration,
 }
 
 impl Outstanding {
@@ -100,10 +100,10 @@
     ///
     /// Guards against a target that turns many times slower: its answers, which would tell, take as
     /// long to come, and until then it looks as quick as before and draws its share of requests.
-    fn raise(self, factor: f64, typical: &Baseline) -> f64 {
-        let aged = self.age.as_secs_f64() * 1_000.0 / typical.processing_ms.max(1.0);
-        let trust = f64::from(self.count) / (f64::from(self.count) + DOUBT);
-        factor + (aged - factor).max(0.0) * trust
+    fn adjusted_slowdown(self, slowdown: f64, baseline: &Baseline) -> f64 {
+        let age_ratio = self.mean_age.as_secs_f64() * 1_000.0 / baseline.processing_ms.max(1.0);
+        let weight = f64::from(self.count) / (f64::from(self.count) + HALF_WEIGHT_COUNT);
+        slowdown + (age_ratio - slowdown).max(0.0) * weight
     }
 }
 
@@ -111,14 +111,14 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
     /// Logarithm of its time in relation to the typical one.
-    ln_factor: f64,
+    ln_slowdown: f64,
     /// Part of the requests that it answers well.
     reliability: f64,
-    learnt: Instant,
+    updated: Instant,
     /// Requests in flight there by its own word, and own ones among them.
     load: f64,
-    own: u32,
-    reported: Instant,
+    own_at_report: u32,
+    reported_at: Instant,
 }
 
 impl Profile {
@@ -126,41 +126,41 @@
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
-            ln_factor: 0.0,
+            ln_slowdown: 0.0,
             reliability: 1.0,
-            learnt: now,
+            updated: now,
             load: 0.0,
-            own: 0,
-            reported: now,
+            own_at_report: 0,
+            reported_at: now,
         }
     }
 
     /// Notes its own word on its load; `own` requests of this daemon are in flight there.
-    pub fn report(&mut self, now: Instant, load: u32, own: u32) {
+    pub fn record_load(&mut self, now: Instant, load: u32, own: u32) {
         self.load = f64::from(load);
-        self.own = own;
-        self.reported = now;
+        self.own_at_report = own;
+        self.reported_at = now;
     }
 
     /// Notes a good answer after `work` at its target.
-    pub fn record_response(&mut self, now: Instant, work: Duration, typical: &Baseline) {
-        self.fade(now);
-        let ratio = work.as_secs_f64() * 1_000.0 / typical.processing_ms.max(1.0);
-        let ratio = ratio.clamp(RATIO.0, RATIO.1);
-        self.ln_factor += PACE_WEIGHT * (ratio.ln() - self.ln_factor);
+    pub fn record_response(&mut self, now: Instant, processing: Duration, baseline: &Baseline) {
+        self.decay(now);
+        let ratio = processing.as_secs_f64() * 1_000.0 / baseline.processing_ms.max(1.0);
+        let ratio = ratio.clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
+        self.ln_slowdown += SLOWDOWN_WEIGHT * (ratio.ln() - self.ln_slowdown);
         self.reliability += RELIABILITY_WEIGHT * (1.0 - self.reliability);
     }
 
     /// Notes a refusal, a failure or a fault: being quick with those does not count as pace.
-    pub fn failed(&mut self, now: Instant) {
-        self.fade(now);
+    pub fn record_failure(&mut self, now: Instant) {
+        self.decay(now);
         self.reliability -= RELIABILITY_WEIGHT * self.reliability;
     }
 
     /// Its time in relation to the typical one.
     #[must_use]
     pub fn slowdown(&self, now: Instant) -> f64 {
-        (self.ln_factor * faded(now, self.learnt, FADING)).exp()
+        (self.ln_slowdown * decay_factor(now, self.updated, DECAY_TIME)).exp()
     }
 
     /// Time until an answer, in milliseconds, with requests of this daemon under way there.
@@ -170,34 +170,36 @@
         now: Instant,
         own: Outstanding,
         slots: u32,
-        typical: &Baseline,
+        baseline: &Baseline,
     ) -> f64 {
         let slots = f64::from(slots.max(1));
-        let load = self.load(now, own.count);
-        let work = typical.processing_ms * own.raise(self.slowdown(now), typical);
-        let fill = load / slots;
-        let crowded = 1.0 + (fill.min(1.0) - KNEE).max(0.0) / (1.0 - KNEE);
-        let wait = work * (load + 1.0 - slots).max(0.0) / slots;
-        let lost = (1.0 - self.reliability) * faded(now, self.learnt, FADING);
-        (work * crowded + wait) / (1.0 - lost).max(LEAST_RELIABILITY)
+        let load = self.estimated_load(now, own.count);
+        let processing_ms =
+            baseline.processing_ms * own.adjusted_slowdown(self.slowdown(now), baseline);
+        let utilization = load / slots;
+        let contention =
+            1.0 + (utilization.min(1.0) - SATURATION_KNEE).max(0.0) / (1.0 - SATURATION_KNEE);
+        let wait_ms = processing_ms * (load + 1.0 - slots).max(0.0) / slots;
+        let failure_rate = (1.0 - self.reliability) * decay_factor(now, self.updated, DECAY_TIME);
+        (processing_ms * contention + wait_ms) / (1.0 - failure_rate).max(MIN_RELIABILITY)
     }
 
     /// Requests in flight there: its last word, as far as it still holds, and what was sent since.
-    fn load(&self, now: Instant, own: u32) -> f64 {
-        let since = f64::from(own.saturating_sub(self.own)) * CROWD;
-        let said = self.load * faded(now, self.reported, REPORT_FADING);
-        (said + since).max(f64::from(own))
+    fn estimated_load(&self, now: Instant, own: u32) -> f64 {
+        let sent_since = f64::from(own.saturating_sub(self.own_at_report)) * SHARED_LOAD_FACTOR;
+        let reported = self.load * decay_factor(now, self.reported_at, REPORT_DECAY_TIME);
+        (reported + sent_since).max(f64::from(own))
     }
 
-    fn fade(&mut self, now: Instant) {
-        let rest = faded(now, self.learnt, FADING);
-        self.ln_factor *= rest;
-        self.reliability = 1.0 - (1.0 - self.reliability) * rest;
-        self.learnt = now;
+    fn decay(&mut self, now: Instant) {
+        let factor = decay_factor(now, self.updated, DECAY_TIME);
+        self.ln_slowdown *= factor;
+        self.reliability = 1.0 - (1.0 - self.reliability) * factor;
+        self.updated = now;
     }
 }
 
-fn faded(now: Instant, since: Instant, span: Duration) -> f64 {
+fn decay_factor(now: Instant, since: Instant, time_constant: Duration) -> f64 {
     let age = now.saturating_duration_since(since).as_secs_f64();
-    (-age / span.as_secs_f64()).exp()
+    (-age / time_constant.as_secs_f64()).exp()
 }
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -47,7 +47,7 @@
     /// Sorted by priority, then by ticket: the first is the next to run.
     waiting: Vec<(Priority, Ticket)>,
     /// Average time for which a slot is held, in seconds; 0 before the first was given back.
-    hold_s: f64,
+    mean_hold_s: f64,
 }
 
 impl Limit {
@@ -59,7 +59,7 @@
             queue,
             running: 0,
             waiting: Vec::new(),
-            hold_s: 0.0,
+            mean_hold_s: 0.0,
         }
     }
 
@@ -94,10 +94,12 @@
             return Decision::Wait { shed: None };
         }
         match self.waiting.last() {
-            Some(&(lowest, loser)) if priority < lowest => {
+            Some(&(lowest, displaced)) if priority < lowest => {
                 self.waiting.pop();
                 self.insert(priority, ticket);
-                Decision::Wait { shed: Some(loser) }
+                Decision::Wait {
+                    shed: Some(displaced),
+                }
             }
             _ => Decision::Shed,
         }
@@ -118,28 +120,28 @@
     /// Wait to expect for a request of `priority` that asks now.
     #[must_use]
     pub fn expected_wait(&self, priority: impl Into<Priority>) -> Duration {
-        let ahead = u32::try_from(self.position(priority)).unwrap_or(u32::MAX);
+        let position = u32::try_from(self.position(priority)).unwrap_or(u32::MAX);
         let slots = f64::from(self.slots.max(1));
-        let seconds = f64::from(ahead) * self.hold_s / slots;
+        let seconds = f64::from(position) * self.mean_hold_s / slots;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
     /// Notes for how long a slot was held.
     pub fn record_hold(&mut self, time: Duration) {
         let time = time.as_secs_f64();
-        if self.hold_s == 0.0 {
-            self.hold_s = time;
+        if self.mean_hold_s == 0.0 {
+            self.mean_hold_s = time;
         }
-        self.hold_s += HOLD_WEIGHT * (time - self.hold_s);
+        self.mean_hold_s += HOLD_WEIGHT * (time - self.mean_hold_s);
     }
 
     /// Gives a waiting request up; `false` when it does not wait any more.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let place = self
+        let index = self
             .waiting
             .iter()
             .position(|&(_, waiting)| waiting == ticket);
-        place.map(|index| self.waiting.remove(index)).is_some()
+        index.map(|index| self.waiting.remove(index)).is_some()
     }
 
     /// Gives a slot back; the ticket that gets it runs now.
@@ -157,9 +159,9 @@
     }
 
     fn insert(&mut self, priority: Priority, ticket: Ticket) {
-        let place = self
+        let index = self
             .waiting
             .partition_point(|&waiting| waiting < (priority, ticket));
-        self.waiting.insert(place, (priority, ticket));
+        self.waiting.insert(index, (priority, ticket));
     }
 }
--- a/src/calls/pick.rs
+++ b/src/calls/pick.rs
@@ -25,11 +25,11 @@
 use crate::configuration::document::Ejection;
 
 /// Smallest share of a target that has just come.
-const FIRST_SHARE: f64 = 0.1;
+const MIN_SHARE: f64 = 0.1;
 /// Largest part by which a cost is raised at random: about the error of what is known.
-const SPREAD: f64 = 0.2;
+const COST_JITTER: f64 = 0.2;
 /// Time for which an upstream that is not there is left alone; the membership knows by then.
-const ABSENCE: Duration = Duration::from_millis(500);
+const UNAVAILABLE_TIME: Duration = Duration::from_millis(500);
 /// Doublings after which an ejection grows no longer.
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -76,7 +76,7 @@
 
 impl Candidate {
     /// Load in relation to what it may take now.
-    fn pressure(&self) -> f64 {
+    fn relative_load(&self) -> f64 {
         f64::from(self.load + 1) / (f64::from(self.slots.max(1)) * self.share)
     }
 
@@ -91,21 +91,21 @@
     if policy == Policy::Random {
         return (!candidates.is_empty()).then(|| rng.random_range(0..candidates.len()));
     }
-    let admit = |wanted: &dyn Fn(&Candidate) -> bool| -> Vec<usize> {
+    let matching = |filter: &dyn Fn(&Candidate) -> bool| -> Vec<usize> {
         (0..candidates.len())
-            .filter(|&index| wanted(&candidates[index]))
+            .filter(|&index| filter(&candidates[index]))
             .collect()
     };
     let tiers = [
-        admit(&|c| !c.ejected && c.local && c.has_room()),
-        admit(&|c| !c.ejected && c.has_room()),
-        admit(&|c| !c.ejected),
-        admit(&|_| true),
+        matching(&|c| !c.ejected && c.local && c.has_room()),
+        matching(&|c| !c.ejected && c.has_room()),
+        matching(&|c| !c.ejected),
+        matching(&|_| true),
     ];
     let tier = tiers.into_iter().find(|tier| !tier.is_empty())?;
     let first = tier[rng.random_range(0..tier.len())];
     let second = tier[rng.random_range(0..tier.len())];
-    let better = candidates[second].pressure() < candidates[first].pressure();
+    let better = candidates[second].relative_load() < candidates[first].relative_load();
     Some(if better { second } else { first })
 }
 
@@ -115,11 +115,11 @@
 /// the same upstream.
 #[must_use]
 pub fn cheapest(costs: &[Cost], rng: &mut SmallRng) -> Option<usize> {
-    let stays = costs.iter().any(|cost| !cost.ejected);
+    let any_available = costs.iter().any(|cost| !cost.ejected);
     let candidates = costs.iter().enumerate();
     candidates
-        .filter(|(_, cost)| !(stays && cost.ejected))
-        .map(|(index, cost)| (index, cost.ms * rng.random_range(1.0..1.0 + SPREAD)))
+        .filter(|(_, cost)| !(any_available && cost.ejected))
+        .map(|(index, cost)| (index, cost.ms * rng.random_range(1.0..1.0 + COST_JITTER)))
         .min_by(|a, b| a.1.total_cmp(&b.1))
         .map(|(index, _)| index)
 }
@@ -135,11 +135,11 @@
 
 /// Share of a target that came `age` ago, with a slow start over `span`.
 #[must_use]
-pub fn share(age: Duration, span: Duration) -> f64 {
-    if age >= span {
+pub fn slow_start_share(age: Duration, ramp: Duration) -> f64 {
+    if age >= ramp {
         1.0
     } else {
-        (age.as_secs_f64() / span.as_secs_f64()).max(FIRST_SHARE)
+        (age.as_secs_f64() / ramp.as_secs_f64()).max(MIN_SHARE)
     }
 }
 
@@ -162,7 +162,7 @@
     }
 
     /// Notes a success.
-    pub const fn succeeded(&mut self) {
+    pub const fn record_success(&mut self) {
         *self = Self {
             failures: 0,
             ejections: 0,
@@ -172,22 +172,22 @@
 
     /// Notes that it is not there, or takes no calls by its own word: it is left alone for a moment
     /// at once, since every other request would find out the same way.
-    pub fn absent(&mut self, now: Instant) {
+    pub fn record_unavailable(&mut self, now: Instant) {
         if !self.ejected(now) {
-            self.ejected_until = Some(now + ABSENCE);
+            self.ejected_until = Some(now + UNAVAILABLE_TIME);
         }
     }
 
     /// Notes a failure; `out` of `total` upstreams of the group are ejected already.
-    pub fn failed(&mut self, now: Instant, rule: &Ejection, out: usize, total: usize) {
+    pub fn record_failure(&mut self, now: Instant, rule: &Ejection, ejected: usize, total: usize) {
         self.failures += 1;
         if self.failures < rule.failures || self.ejected(now) {
             return;
         }
         // Guards against ejecting a whole group when the fault is not the targets': the callers
         // would be refused by healthy targets. One upstream always stays in.
-        let allowed = total * usize::from(rule.max_share.0) / 100;
-        if out + 1 > allowed || out + 1 >= total {
+        let max_ejected = total * usize::from(rule.max_share.0) / 100;
+        if ejected + 1 > max_ejected || ejected + 1 >= total {
             return;
         }
         let time = rule.base_ms.duration() * 2_u32.pow(self.ejections.min(MAX_DOUBLINGS));
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -25,11 +25,11 @@
 use crate::units::{Percent, Priority, Service};
 
 /// Retries that a quiet service may do before any deposit.
-const RESERVE: u32 = 10;
+const DEFAULT_RESERVE: u32 = 10;
 /// Retries that are saved up at most, where no other bound is given.
-const CEILING: u32 = 20;
+const DEFAULT_MAX_BALANCE: u32 = 20;
 /// What a retry costs; a request deposits its rule's percentage of it.
-const PRICE: i64 = 100;
+const RETRY_COST: i64 = 100;
 
 /// Retries allowed as a share of requests.
 ///
@@ -41,14 +41,14 @@
     /// Requests and reserve, in hundredths of a retry at 100 percent.
     balance: AtomicI64,
     /// Most that is saved up, in the same unit.
-    ceiling: AtomicI64,
+    max_balance: AtomicI64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            balance: AtomicI64::new(i64::from(RESERVE) * PRICE),
-            ceiling: AtomicI64::new(i64::from(CEILING) * PRICE),
+            balance: AtomicI64::new(i64::from(DEFAULT_RESERVE) * RETRY_COST),
+            max_balance: AtomicI64::new(i64::from(DEFAULT_MAX_BALANCE) * RETRY_COST),
         }
     }
 }
@@ -57,10 +57,10 @@
     /// A budget that saves up to `reserve` retries and begins with that many.
     #[must_use]
     pub const fn with_reserve(reserve: u32) -> Self {
-        let reserve = reserve as i64 * PRICE;
+        let reserve = reserve as i64 * RETRY_COST;
         Self {
             balance: AtomicI64::new(reserve),
-            ceiling: AtomicI64::new(reserve),
+            max_balance: AtomicI64::new(reserve),
         }
     }
 
@@ -70,9 +70,9 @@
     /// repeat at the same moment. One retry is the least, or none would ever be affordable.
     pub fn share_reserve(&self, reserve: u32, daemons: usize) {
         let daemons = i64::try_from(daemons.max(1)).unwrap_or(i64::MAX);
-        let ceiling = (i64::from(reserve) * PRICE / daemons).max(PRICE);
-        self.ceiling.store(ceiling, Ordering::Relaxed);
-        self.balance.fetch_min(ceiling, Ordering::Relaxed);
+        let max_balance = (i64::from(reserve) * RETRY_COST / daemons).max(RETRY_COST);
+        self.max_balance.store(max_balance, Ordering::Relaxed);
+        self.balance.fetch_min(max_balance, Ordering::Relaxed);
     }
 
     /// Notes a first attempt under a rule of the default share.
@@ -82,12 +82,12 @@
 
     /// Notes a first attempt; it pays for `share` of a retry.
     pub fn deposit_share(&self, share: Percent) {
-        let ceiling = self.ceiling.load(Ordering::Relaxed);
-        let save = |balance: i64| Some((balance + i64::from(share.0)).min(ceiling));
+        let max_balance = self.max_balance.load(Ordering::Relaxed);
+        let add = |balance: i64| Some((balance + i64::from(share.0)).min(max_balance));
         // The closure always yields a value, so this never fails.
         let _ = self
             .balance
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, save);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
     /// Takes one retry out; `false` when the budget is spent or `share` allows none.
@@ -102,22 +102,22 @@
     /// Guards against a failing service whose many lists and lookups spend every retry before a
     /// purchase comes by.
     #[must_use]
-    pub fn withdraw_for(&self, share: Percent, rank: Priority) -> bool {
-        let beyond = self.ceiling.load(Ordering::Relaxed) - PRICE;
-        let left = if rank == Priority(0) {
+    pub fn withdraw_for(&self, share: Percent, priority: Priority) -> bool {
+        let beyond_one = self.max_balance.load(Ordering::Relaxed) - RETRY_COST;
+        let remaining = if priority == Priority(0) {
             0
         } else {
-            beyond.min(PRICE)
+            beyond_one.min(RETRY_COST)
         };
-        self.withdraw_leaving(share, left)
+        self.withdraw_leaving(share, remaining)
     }
 
-    fn withdraw_leaving(&self, share: Percent, left: i64) -> bool {
+    fn withdraw_leaving(&self, share: Percent, remaining: i64) -> bool {
         if share.0 == 0 {
             return false;
         }
-        let least = PRICE + left;
-        let take = |balance: i64| (balance >= least).then_some(balance - PRICE);
+        let min_balance = RETRY_COST + remaining;
+        let take = |balance: i64| (balance >= min_balance).then_some(balance - RETRY_COST);
         self.balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
             .is_ok()
@@ -131,7 +131,7 @@
 pub struct Budgets {
     reserve: u32,
     /// What all daemons save up together, in place of the reserve; 0 for none.
-    shared: u32,
+    shared_reserve: u32,
     /// Sorted by service.
     services: ArcSwap<Vec<(Service, Arc<Budget>)>>,
 }
@@ -139,20 +139,20 @@
 impl Budgets {
     /// No budgets yet; each will save up to `reserve` retries, or its part of what is `shared`.
     #[must_use]
-    pub fn new(reserve: u32, shared: u32) -> Self {
+    pub fn new(reserve: u32, shared_reserve: u32) -> Self {
         Self {
             reserve,
-            shared,
+            shared_reserve,
             services: ArcSwap::default(),
         }
     }
 
     /// The budget of a service in a fleet of `daemons`.
     #[must_use]
-    pub fn of(&self, service: &Service, daemons: usize) -> Arc<Budget> {
+    pub fn for_service(&self, service: &Service, daemons: usize) -> Arc<Budget> {
         let budget = self.find(service);
-        if self.shared > 0 {
-            budget.share_reserve(self.shared, daemons);
+        if self.shared_reserve > 0 {
+            budget.share_reserve(self.shared_reserve, daemons);
         }
         budget
     }
@@ -182,15 +182,21 @@
 /// `made` attempts have been made, `left` is the time until the deadline, and `fate` is what is
 /// known of the last attempt.
 #[must_use]
-pub fn is_allowed(rule: &Retry, made: u32, repeatable: bool, fate: Fate, left: Duration) -> bool {
+pub fn is_allowed(
+    rule: &Retry,
+    attempts: u32,
+    repeatable: bool,
+    fate: Fate,
+    left: Duration,
+) -> bool {
     // Guards the promise of at-most-once: a request whose fate is unknown may have run, and only
     // a repeatable one may run again.
-    let harmless = match fate {
+    let safe = match fate {
         Fate::NotRun => true,
         Fate::Unknown => repeatable,
         Fate::Answered => false,
     };
-    harmless && made < rule.attempts && !left.is_zero()
+    safe && attempts < rule.attempts && !left.is_zero()
 }
 
 /// Wait before a retry: full jitter up to the rule's bound, and never most of the time left.
--- a/src/calls/route.rs
+++ b/src/calls/route.rs
@@ -11,7 +11,7 @@
 
 /// A route with the group and rule that it names, all of one version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct ResolvedRoute {
     /// The route.
     pub route: Route,
     /// Groups that share its requests; one at least.
@@ -29,17 +29,21 @@
     pub group: Arc<Group>,
 }
 
-impl Plan {
+impl ResolvedRoute {
     /// The group for one request; `draw` is uniform in 0 to 1.
     ///
     /// Each request is drawn on its own, so that many daemons together keep to the weights
     /// without a word between them.
     #[must_use]
     pub fn group(&self, draw: f64) -> &Arc<Group> {
-        let total: u32 = self.destinations.iter().map(|part| part.weight).sum();
+        let total: u32 = self
+            .destinations
+            .iter()
+            .map(|destination| destination.weight)
+            .sum();
         let mut rest = draw * f64::from(total);
-        let chosen = self.destinations.iter().find(|part| {
-            rest -= f64::from(part.weight);
+        let chosen = self.destinations.iter().find(|destination| {
+            rest -= f64::from(destination.weight);
             rest < 0.0
         });
         &chosen.unwrap_or(&self.destinations[0]).group
@@ -50,7 +54,7 @@
 #[derive(Debug, Default)]
 pub struct Table {
     /// Sorted by path, then by how much else a route names, most first.
-    plans: Vec<Arc<Plan>>,
+    routes: Vec<Arc<ResolvedRoute>>,
 }
 
 impl Table {
@@ -60,57 +64,68 @@
     /// document has none.
     #[must_use]
     pub fn compile(document: &Document) -> Self {
-        let plan = |route: &Route| {
-            let part = |name: &str, weight| {
+        let resolve = |route: &Route| {
+            let destination = |name: &str, weight| {
                 let group = Arc::new(document.group(name)?.clone());
                 Some(Destination { weight, group })
             };
-            let parts: Option<Vec<Destination>> = if route.split.is_empty() {
-                Some(vec![part(&route.group, 1)?])
+            let destinations: Option<Vec<Destination>> = if route.split.is_empty() {
+                Some(vec![destination(&route.group, 1)?])
             } else {
                 let split = route.split.iter();
                 split
-                    .map(|share| part(&share.group, share.weight))
+                    .map(|share| destination(&share.group, share.weight))
                     .collect()
             };
-            let parts = parts?;
+            let destinations = destinations?;
             let retry = document.retry(&route.retry)?.clone();
             let host = route.host.as_deref().map(authority::normalized);
-            Some(Arc::new(Plan {
+            Some(Arc::new(ResolvedRoute {
                 route: Route {
                     host,
                     ..route.clone()
                 },
-                destinations: parts,
+                destinations,
                 retry,
             }))
         };
-        let mut plans: Vec<Arc<Plan>> = document.routes.iter().filter_map(plan).collect();
-        plans.sort_by(|a, b| {
-            let names = |plan: &Plan| (plan.route.host.is_some(), plan.route.method.is_some());
-            let path = stem(&a.route.path).cmp(stem(&b.route.path));
+        let mut routes: Vec<Arc<ResolvedRoute>> =
+            document.routes.iter().filter_map(resolve).collect();
+        routes.sort_by(|a, b| {
+            let names = |resolved: &ResolvedRoute| {
+                (
+                    resolved.route.host.is_some(),
+                    resolved.route.method.is_some(),
+                )
+            };
+            let path = trim_slash(&a.route.path).cmp(trim_slash(&b.route.path));
             path.then_with(|| names(b).cmp(&names(a)))
         });
-        Self { plans }
+        Self { routes }
     }
 
     /// Routes in the table.
     #[must_use]
     pub const fn len(&self) -> usize {
-        self.plans.len()
+        self.routes.len()
     }
 
     /// Whether the table has no route.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
-        self.plans.is_empty()
+        self.routes.is_empty()
     }
 
     /// Finds the plan for a request; `host` may carry a port, and is compared whatever its case.
     #[must_use]
-    pub fn find(&self, method: &str, host: Option<&str>, path: &str) -> Option<&Arc<Plan>> {
+    pub fn find(
+        &self,
+        method: &str,
+        host: Option<&str>,
+        path: &str,
+    ) -> Option<&Arc<ResolvedRoute>> {
         let host = host.map(authority::plain);
-        let fits = |route: &Route| {
+        let matches = |route: &Route| {
             let begins = !route.below || path.starts_with(&route.path);
             begins
                 && route
@@ -122,16 +137,16 @@
                     .as_deref()
                     .is_none_or(|wanted| host.is_some_and(|host| wanted.eq_ignore_ascii_case(host)))
         };
-        let mut prefix = stem(path);
+        let mut prefix = trim_slash(path);
         loop {
             let start = self
-                .plans
-                .partition_point(|plan| stem(&plan.route.path) < prefix);
-            let same = self.plans[start..]
+                .routes
+                .partition_point(|resolved| trim_slash(&resolved.route.path) < prefix);
+            let same = self.routes[start..]
                 .iter()
-                .take_while(|plan| stem(&plan.route.path) == prefix);
-            if let Some(plan) = same.into_iter().find(|plan| fits(&plan.route)) {
-                return Some(plan);
+                .take_while(|resolved| trim_slash(&resolved.route.path) == prefix);
+            if let Some(resolved) = same.into_iter().find(|resolved| matches(&resolved.route)) {
+                return Some(resolved);
             }
             prefix = &prefix[..prefix.rfind('/')?];
         }
@@ -139,6 +154,6 @@
 }
 
 /// A path without its last slash, so that `/a/` and `/a` are one prefix.
-fn stem(path: &str) -> &str {
+fn trim_slash(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
--- a/src/calls/statistics.rs
+++ b/src/calls/statistics.rs
@@ -14,18 +14,18 @@
 use crate::units::Millis;
 
 /// Routes that are remembered at most: far more than a document's busy ones.
-const MOST: usize = 1_024;
+const MAX_ROUTES: usize = 1_024;
 
 /// Time for which a gate's word holds that only targets call a route: one that has started a moment
 /// ago does not know it yet.
-const NESTED: Duration = Duration::from_secs(10);
+const NESTED_TTL: Duration = Duration::from_secs(10);
 
 /// What is known of a route.
 #[derive(Debug)]
-struct Known {
+struct Route {
     name: String,
-    typical: Baseline,
-    patience: Estimator,
+    baseline: Baseline,
+    wait_estimator: Estimator,
     /// Until when it counts as one that only targets call.
     nested_until: Option<Instant>,
 }
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Statistics {
     /// Sorted by the routes' names; held for a few instructions.
-    routes: Mutex<Vec<Known>>,
+    routes: Mutex<Vec<Route>>,
 }
 
 impl Statistics {
@@ -53,14 +53,14 @@
         if let Some(load) = load {
             upstream.report(now, load.in_flight);
             if load.nested {
-                place(&mut self.routes(), route).nested_until = Some(now + NESTED);
+                route_mut(&mut self.routes(), route).nested_until = Some(now + NESTED_TTL);
             }
         }
         let response = match attempt {
             Ok(response) => response,
             Err(reason) => {
                 if reason.blames_upstream() || reason == Reason::Shed {
-                    upstream.pace().failed(now);
+                    upstream.pace().record_failure(now);
                 }
                 // Guards against the time that news of a leaving daemon or target take: until then
                 // every call would go there, be refused and go on to another.
@@ -72,16 +72,16 @@
         };
         let failed = response.status().is_server_error();
         if failed {
-            upstream.pace().failed(now);
+            upstream.pace().record_failure(now);
         } else {
             upstream.succeeded();
             let waited = load.unwrap_or_default().waited.duration();
-            let work = now.saturating_duration_since(began).saturating_sub(waited);
+            let processing = now.saturating_duration_since(began).saturating_sub(waited);
             let bytes = response.headers().get(header::CONTENT_LENGTH);
             let bytes = bytes.and_then(|v| v.to_str().ok()?.parse().ok());
-            let factor = upstream.pace().slowdown(now);
-            let typical = self.learn_typical(route, work, factor, bytes.unwrap_or(0));
-            upstream.pace().record_response(now, work, &typical);
+            let slowdown = upstream.pace().slowdown(now);
+            let baseline = self.update_baseline(route, processing, slowdown, bytes.unwrap_or(0));
+            upstream.pace().record_response(now, processing, &baseline);
         }
         failed
     }
@@ -89,51 +89,59 @@
     /// What the requests of a route usually need.
     pub fn baseline(&self, route: &str) -> Baseline {
         let routes = self.routes();
-        let found = routes.binary_search_by(|known| known.name.as_str().cmp(route));
-        found.map_or_else(|_| Baseline::default(), |index| routes[index].typical)
+        let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
+        found.map_or_else(|_| Baseline::default(), |index| routes[index].baseline)
     }
 
     /// Whether only targets call a route, by a gate's word.
     pub fn is_nested(&self, route: &str) -> bool {
         let routes = self.routes();
-        let found = routes.binary_search_by(|known| known.name.as_str().cmp(route));
+        let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
         let until = found.ok().and_then(|index| routes[index].nested_until);
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// For how long the caller of a request has waited that still gives `given`.
-    pub fn caller_wait(&self, route: &str, given: Millis) -> Duration {
+    /// For how long the caller of a request has waited that still gives `timeout`.
+    pub fn caller_wait(&self, route: &str, timeout: Millis) -> Duration {
         let mut routes = self.routes();
-        place(&mut routes, route).patience.caller_wait(given)
+        route_mut(&mut routes, route)
+            .wait_estimator
+            .caller_wait(timeout)
     }
 
-    fn learn_typical(&self, route: &str, work: Duration, factor: f64, bytes: usize) -> Baseline {
+    fn update_baseline(
+        &self,
+        route: &str,
+        processing: Duration,
+        slowdown: f64,
+        bytes: usize,
+    ) -> Baseline {
         let mut routes = self.routes();
-        let typical = &mut place(&mut routes, route).typical;
-        typical.record(work, factor, bytes);
-        *typical
+        let baseline = &mut route_mut(&mut routes, route).baseline;
+        baseline.record(processing, slowdown, bytes);
+        *baseline
     }
 
-    fn routes(&self) -> MutexGuard<'_, Vec<Known>> {
+    fn routes(&self) -> MutexGuard<'_, Vec<Route>> {
         self.routes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// What is known of a route, made when there is nothing yet.
-fn place<'a>(routes: &'a mut Vec<Known>, route: &str) -> &'a mut Known {
-    if routes.len() == MOST {
+fn route_mut<'a>(routes: &'a mut Vec<Route>, route: &str) -> &'a mut Route {
+    if routes.len() == MAX_ROUTES {
         // Routes that are gone are not told apart; the others are learnt again in a moment.
         routes.clear();
     }
-    let found = routes.binary_search_by(|known| known.name.as_str().cmp(route));
+    let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
     let index = found.unwrap_or_else(|index| {
-        let known = Known {
+        let entry = Route {
             name: route.to_owned(),
-            typical: Baseline::default(),
-            patience: Estimator::default(),
+            baseline: Baseline::default(),
+            wait_estimator: Estimator::default(),
             nested_until: None,
         };
-        routes.insert(index, known);
+        routes.insert(index, entry);
         index
     });
     &mut routes[index]
--- a/src/calls/transit_delay.rs
+++ b/src/calls/transit_delay.rs
@@ -18,27 +18,27 @@
 
 /// The calls of one connection.
 #[derive(Debug)]
-pub struct Transit {
+pub struct Estimator {
     /// Least difference between the two hosts' clocks that a call showed, in milliseconds.
-    least_ms: AtomicI64,
+    min_offset_ms: AtomicI64,
 }
 
-impl Default for Transit {
+impl Default for Estimator {
     fn default() -> Self {
         Self {
-            least_ms: AtomicI64::new(i64::MAX),
+            min_offset_ms: AtomicI64::new(i64::MAX),
         }
     }
 }
 
-impl Transit {
+impl Estimator {
     /// Time for which a call was on its way beyond the quickest one: sent at `sent_ms` by the clock of its
     /// sender, and come at `now_ms` by the clock here.
     #[must_use]
     pub fn excess(&self, sent_ms: u64, now_ms: u64) -> Duration {
-        let difference = now_ms.cast_signed().saturating_sub(sent_ms.cast_signed());
-        let least = self.least_ms.fetch_min(difference, Ordering::Relaxed);
-        let late = difference.saturating_sub(least.min(difference));
-        Duration::from_millis(late.unsigned_abs())
+        let offset = now_ms.cast_signed().saturating_sub(sent_ms.cast_signed());
+        let min_offset = self.min_offset_ms.fetch_min(offset, Ordering::Relaxed);
+        let excess = offset.saturating_sub(min_offset.min(offset));
+        Duration::from_millis(excess.unsigned_abs())
     }
 }
--- a/src/calls/wait.rs
+++ b/src/calls/wait.rs
@@ -22,31 +22,33 @@
 /// Under load a line of requests grows to whatever is tolerated, and stays there: everybody waits
 /// that long. The rest keeps the answers in time, since the work of half of the requests is longer
 /// than usual.
-const TOLERATED: f64 = 0.4;
+const MAX_WAIT_SHARE: f64 = 0.4;
 /// Wait that is tolerated in any case: a request that is late already may use what is free.
-const LEAST: Duration = Duration::from_millis(15);
+const MIN_WAIT: Duration = Duration::from_millis(15);
 /// Part of the longest time that is kept at each request, so that callers who begin with less from
 /// some day on are not taken for ones that come back: half is forgotten in 7,000 requests.
-const KEPT: f64 = 0.9999;
+const TIMEOUT_DECAY: f64 = 0.9999;
 
 /// Longest wait for a slot of a request whose answer is of full use for `left` and whose work
 /// needs `work`.
 #[must_use]
-pub fn tolerance(left: Duration, work: Duration) -> Duration {
-    left.saturating_sub(work).mul_f64(TOLERATED).max(LEAST)
+pub fn max_wait(left: Duration, processing: Duration) -> Duration {
+    left.saturating_sub(processing)
+        .mul_f64(MAX_WAIT_SHARE)
+        .max(MIN_WAIT)
 }
 
 /// The time that callers of one route begin with.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Estimator {
-    longest_ms: f64,
+    max_timeout_ms: f64,
 }
 
 impl Estimator {
-    /// For how long a caller has waited that still gives `given`.
-    pub fn caller_wait(&mut self, given: Millis) -> Duration {
-        let given = given.duration().as_secs_f64() * 1_000.0;
-        self.longest_ms = (self.longest_ms * KEPT).max(given);
-        Duration::from_secs_f64((self.longest_ms - given) / 1_000.0)
+    /// For how long a caller has waited that still gives `timeout`.
+    pub fn caller_wait(&mut self, timeout: Millis) -> Duration {
+        let timeout = timeout.duration().as_secs_f64() * 1_000.0;
+        self.max_timeout_ms = (self.max_timeout_ms * TIMEOUT_DECAY).max(timeout);
+        Duration::from_secs_f64((self.max_timeout_ms - timeout) / 1_000.0)
     }
 }
--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -203,8 +203,8 @@
         }
         let mut bid = Options {
             priority: self.handover.priority,
-            tolerance: self.handover.tolerance.duration(),
-            patience: left / QUEUE_SHARE,
+            max_wait: self.handover.tolerance.duration(),
+            timeout: left / QUEUE_SHARE,
         };
         let (slots, queue) = work.sizes(&self.handover);
         let mut waited = Duration::ZERO;
@@ -212,8 +212,8 @@
             waited = self.take_body(&held_back, work, queue, bid).await?;
             // What the body has cost the link would be lost with a refusal.
             let left = self.deadline.saturating_duration_since(Instant::now());
-            bid.tolerance = wait::tolerance(left, Duration::ZERO);
-            bid.patience = left / QUEUE_SHARE;
+            bid.max_wait = wait::max_wait(left, Duration::ZERO);
+            bid.timeout = left / QUEUE_SHARE;
         }
         let began = Instant::now();
         let permit = work.line.acquire(slots, queue, bid).await?;
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -118,10 +118,10 @@
                     warn!(self.board.logger, "source lost"; "error" => %error,
                         "took_ms" => Millis::from(began.elapsed()).0, "version" => self.board.digest().version.0);
                 }
-                tokio::time::sleep(backoff.random_pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
                 continue;
             }
-            backoff.succeeded();
+            backoff.reset();
             if std::mem::take(&mut lost) {
                 info!(self.board.logger, "source regained";
                     "version" => self.board.digest().version.0);
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -148,7 +148,7 @@
                     let pause = if read {
                         turn_to_read(self.board.roster().members.len())
                     } else {
-                        pauses.random_pause()
+                        pauses.next_delay()
                     };
                     reading = self.reading(pause);
                 }
@@ -229,7 +229,7 @@
                 let _ = found.send(listed).await;
                 return;
             }
-            tokio::time::sleep(pauses.random_pause()).await;
+            tokio::time::sleep(pauses.next_delay()).await;
         }
     }
 
@@ -277,7 +277,7 @@
             if listing.list().await.is_ok() {
                 return;
             }
-            tokio::time::sleep(pauses.random_pause()).await;
+            tokio::time::sleep(pauses.next_delay()).await;
         }
     }
 
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -79,7 +79,7 @@
         let mut warned = false;
         while self.is_stale() {
             self.membership.ask_around().await;
-            let pause = tokio::time::sleep(pauses.random_pause());
+            let pause = tokio::time::sleep(pauses.next_delay());
             tokio::select! {
                 result = &mut reading => {
                     let pause = if matches!(result, Ok(Ok(_))) {
@@ -91,7 +91,7 @@
                         if !std::mem::replace(&mut warned, true) {
                             self.warn();
                         }
-                        read_pauses.random_pause()
+                        read_pauses.next_delay()
                     };
                     reading = tokio::spawn(read(Arc::clone(&self.reader), pause));
                 }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -253,7 +253,7 @@
             local: self.local,
             load: own.max(self.reported.load(Ordering::Relaxed)),
             slots: group.slots.map_or(slots, |bound| slots.min(bound.0)),
-            share: pick::share(age, group.slow_start_ms.duration()),
+            share: pick::slow_start_share(age, group.slow_start_ms.duration()),
             ejected: self.suspect.load(Ordering::Relaxed)
                 || self.ejected(now)
                 || self.link.is_silent(),
@@ -280,7 +280,7 @@
         if self.local {
             return Duration::ZERO;
         }
-        let ms = far_ms * (HEADS_KB + typical.bytes / KB);
+        let ms = far_ms * (HEADS_KB + typical.response_bytes / KB);
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
     }
 
@@ -305,7 +305,7 @@
     pub fn report(&self, now: Instant, load: u32) {
         self.reported.store(load, Ordering::Relaxed);
         let own = self.own.load(Ordering::Relaxed);
-        self.pace().report(now, load, own);
+        self.pace().record_load(now, load, own);
     }
 
     /// Load as known here: own requests and the gate's report.
@@ -322,19 +322,19 @@
         self.evidence
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .succeeded();
+            .record_success();
     }
 
     /// Notes that it could not be reached.
     pub fn absent(&self, now: Instant) {
         let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
-        evidence.absent(now);
+        evidence.record_unavailable(now);
     }
 
     /// Notes a failure; `out` of `total` upstreams of its group are ejected.
     pub fn failed(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
         let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
-        evidence.failed(now, rule, out, total);
+        evidence.record_failure(now, rule, out, total);
     }
 
     /// Counts an own request until the returned value is dropped.
@@ -361,7 +361,7 @@
         });
         Outstanding {
             count,
-            age: Millis(age.min(OLDEST_MS)).duration(),
+            mean_age: Millis(age.min(OLDEST_MS)).duration(),
         }
     }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -17,7 +17,7 @@
 use crate::calls::gate::Gate;
 use crate::calls::handover::{HANDOVER, read_handover};
 use crate::calls::stream::{self, HeldBack, Incoming, REQUEST_WINDOW};
-use crate::calls::transit_delay::Transit;
+use crate::calls::transit_delay::Estimator;
 use crate::clock;
 use crate::configuration::exchange::{Pull, Reply};
 use crate::configuration::relay::{PULL, PUSH, Relay};
@@ -87,7 +87,7 @@
         let _ = stream.set_nodelay(true);
         let counted = Counted::new(stream, Some(Arc::clone(&self.board.meter)));
         let calls = counted.calls();
-        let transit = Arc::new(Transit::default());
+        let transit = Arc::new(Estimator::default());
         let mut connection = h2::server::Builder::new()
             .initial_window_size(REQUEST_WINDOW)
             .initial_connection_window_size(CONNECTION_WINDOW)
@@ -164,7 +164,7 @@
         &self,
         request: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
-        transit: &Transit,
+        transit: &Estimator,
     ) {
         let (mut parts, stream) = request.into_parts();
         let Ok(mut handover) = read_handover(&mut parts.headers) else {
--- a/src/quarantine/keeper.rs
+++ b/src/quarantine/keeper.rs
@@ -107,7 +107,7 @@
                 if archive.note(cause, note.as_ref()).await.is_ok() {
                     return;
                 }
-                tokio::time::sleep(pauses.random_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
         });
     }
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -328,7 +328,7 @@
             let outcome = tell(&board, origin.as_ref(), &order, status).await;
             if outcome.is_err() {
                 let mut pauses = PAUSES;
-                tokio::time::sleep(pauses.random_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
             asked.confirmed.fetch_or(outcome.is_ok(), Ordering::AcqRel);
             asked.under_way.store(false, Ordering::Release);
--- a/tests/backoff.rs
+++ b/tests/backoff_delay.rs
@@ -5,19 +5,19 @@
 use jackdawpulley::backoff::Backoff;
 use proptest::prelude::*;
 
-const FIRST: Duration = Duration::from_millis(200);
-const LONGEST: Duration = Duration::from_secs(1);
+const INITIAL: Duration = Duration::from_millis(200);
+const MAX: Duration = Duration::from_secs(1);
 
 /// A store is busy for eight seconds and answers at once. A daemon that asked every tenth of a second
 /// would ask eighty times; with growing pauses it asks a dozen times, and is back within a second
 /// of the store's return.
 #[test]
 fn tries_thin_out() {
-    let mut backoff = Backoff::new(FIRST, LONGEST);
+    let mut backoff = Backoff::new(INITIAL, MAX);
     let mut at = Duration::ZERO;
     let mut tries = 0;
     while at < Duration::from_secs(8) {
-        at += backoff.pause(0.5);
+        at += backoff.delay_with(0.5);
         tries += 1;
     }
     assert!((10..=13).contains(&tries), "{tries}");
@@ -27,13 +27,13 @@
 proptest! {
     #[test]
     fn pauses_stay_in_bounds(fractions in prop::collection::vec(0.0..1.0_f64, 1..100)) {
-        let mut backoff = Backoff::new(FIRST, LONGEST);
+        let mut backoff = Backoff::new(INITIAL, MAX);
         let mut before = Duration::ZERO;
         for fraction in fractions {
-            let pause = backoff.pause(fraction);
-            prop_assert!(pause >= FIRST / 2 && pause <= LONGEST, "{:?}", pause);
-            prop_assert!(pause >= before / 2, "a pause never falls below half of the last");
-            before = pause;
+            let delay = backoff.delay_with(fraction);
+            prop_assert!(delay >= INITIAL / 2 && delay <= MAX, "{:?}", delay);
+            prop_assert!(delay >= before / 2, "a pause never falls below half of the last");
+            before = delay;
         }
     }
 }
--- a/tests/connections.rs
+++ b/tests/caller_connections.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawpulley::calls::connections::{Connections, Decision, Ticket};
+use jackdawpulley::calls::connections::{Connections, Decision, Id};
 use proptest::prelude::*;
 
-const MOST: usize = 4;
+const CAPACITY: usize = 4;
 
 /// Callers open connections and leave them idle until no place is left. A new caller waited for a
 /// time-out beside them; now the one that has been idle longest makes room.
@@ -15,18 +15,18 @@
     let mut connections = Connections::new(2);
     assert!(matches!(
         connections.open(now),
-        Decision::Accept { ticket: 1, .. }
+        Decision::Accept { id: 1, .. }
     ));
     assert!(matches!(
         connections.open(now),
-        Decision::Accept { ticket: 2, .. }
+        Decision::Accept { id: 2, .. }
     ));
     assert!(connections.begin(1));
     connections.end(1, now + Duration::from_secs(2));
     let admission = connections.open(now + Duration::from_secs(3));
     let expected = Decision::Accept {
-        ticket: 3,
-        closed: Some(2),
+        id: 3,
+        evicted: Some(2),
     };
     assert_eq!(admission, expected);
     assert!(!connections.begin(2), "its place was given away");
@@ -43,16 +43,16 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => Just(Step::Open),
-        2 => (0_usize..MOST).prop_map(Step::Begin),
-        2 => (0_usize..MOST).prop_map(Step::End),
-        1 => (0_usize..MOST).prop_map(Step::Close),
+        2 => (0_usize..CAPACITY).prop_map(Step::Begin),
+        2 => (0_usize..CAPACITY).prop_map(Step::End),
+        1 => (0_usize..CAPACITY).prop_map(Step::Close),
     ]
 }
 
 /// A connection as a plain list has it.
 #[derive(Debug, Clone, Copy)]
 struct Known {
-    ticket: Ticket,
+    id: Id,
     requests: u32,
     idle_since: Instant,
 }
@@ -61,37 +61,37 @@
     #[test]
     fn busy_ones_stay(steps in prop::collection::vec(step(), 1..80)) {
         let mut now = Instant::now();
-        let mut connections = Connections::new(MOST);
+        let mut connections = Connections::new(CAPACITY);
         let mut known: Vec<Known> = Vec::new();
         for step in steps {
             now += Duration::from_millis(1);
             match step {
                 Step::Open => match connections.open(now) {
                     Decision::Full => {
-                        prop_assert!(known.len() == MOST && known.iter().all(|k| k.requests > 0));
+                        prop_assert!(known.len() == CAPACITY && known.iter().all(|k| k.requests > 0));
                     }
-                    Decision::Accept { ticket, closed } => {
-                        prop_assert_eq!(closed.is_some(), known.len() == MOST);
-                        if let Some(closed) = closed {
+                    Decision::Accept { id, evicted } => {
+                        prop_assert_eq!(evicted.is_some(), known.len() == CAPACITY);
+                        if let Some(evicted) = evicted {
                             let idle = known.iter().filter(|k| k.requests == 0);
-                            let longest = idle.min_by_key(|k| k.idle_since).map(|k| k.ticket);
-                            prop_assert_eq!(longest, Some(closed));
-                            known.retain(|k| k.ticket != closed);
+                            let longest = idle.min_by_key(|k| k.idle_since).map(|k| k.id);
+                            prop_assert_eq!(longest, Some(evicted));
+                            known.retain(|k| k.id != evicted);
                         }
-                        known.push(Known { ticket, requests: 0, idle_since: now });
+                        known.push(Known { id, requests: 0, idle_since: now });
                     }
                 },
                 Step::Begin(index) => if let Some(k) = known.get_mut(index) {
                     k.requests += 1;
-                    prop_assert!(connections.begin(k.ticket));
+                    prop_assert!(connections.begin(k.id));
                 },
                 Step::End(index) => if let Some(k) = known.get_mut(index) && k.requests > 0 {
                     k.requests -= 1;
                     k.idle_since = now;
-                    connections.end(k.ticket, now);
+                    connections.end(k.id, now);
                 },
                 Step::Close(index) => if index < known.len() {
-                    connections.close(known.remove(index).ticket);
+                    connections.close(known.remove(index).id);
                 },
             }
             prop_assert_eq!(connections.count(), known.len());
--- a/tests/pace.rs
+++ b/tests/latency_profile.rs
@@ -10,7 +10,7 @@
 const SLOTS: u32 = 18;
 const NONE: Outstanding = Outstanding {
     count: 0,
-    age: Duration::ZERO,
+    mean_age: Duration::ZERO,
 };
 
 fn typical() -> Baseline {
@@ -45,7 +45,7 @@
     let (mut grey, well) = (Profile::new(now), Profile::new(now));
     for _ in 0..30 {
         grey.record_response(now, Duration::from_millis(160), &typical);
-        grey.failed(now);
+        grey.record_failure(now);
     }
     let cost = |pace: &Profile| pace.expected_ms(now, NONE, SLOTS, &typical);
     assert!(cost(&grey) > 1.7 * cost(&well));
@@ -60,7 +60,7 @@
     let expected = |count, age_ms| {
         let own = Outstanding {
             count,
-            age: Duration::from_millis(age_ms),
+            mean_age: Duration::from_millis(age_ms),
         };
         pace.expected_ms(now, own, SLOTS, &typical)
     };
@@ -75,7 +75,7 @@
 fn full_upstream_is_expected_to_wait() {
     let (now, typical) = (Instant::now(), typical());
     let mut pace = Profile::new(now);
-    pace.report(now, 2 * SLOTS, 0);
+    pace.record_load(now, 2 * SLOTS, 0);
     let busy = pace.expected_ms(now, NONE, SLOTS, &typical);
     assert!(busy > 2.0 * typical.processing_ms);
     let later = now + Duration::from_secs(5);
--- a/tests/pick.rs
+++ b/tests/upstream_pick.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::calls::pick::{Candidate, Detector, Policy, choose, share};
+use jackdawpulley::calls::pick::{Candidate, Detector, Policy, choose, slow_start_share};
 use jackdawpulley::configuration::document::Ejection;
 use jackdawpulley::units::{Millis, Percent};
 use proptest::prelude::*;
@@ -54,11 +54,11 @@
         let now = Instant::now();
         let mut all = vec![Detector::default(); total];
         for index in blamed {
-            let out = all.iter().filter(|evidence| evidence.ejected(now)).count();
-            all[index % total].failed(now, &rule, out, total);
+            let ejected = all.iter().filter(|detector| detector.ejected(now)).count();
+            all[index % total].record_failure(now, &rule, ejected, total);
         }
-        let out = all.iter().filter(|evidence| evidence.ejected(now)).count();
-        prop_assert!(out * 2 <= total && out < total);
+        let ejected = all.iter().filter(|detector| detector.ejected(now)).count();
+        prop_assert!(ejected * 2 <= total && ejected < total);
     }
 }
 
@@ -71,9 +71,9 @@
 
 #[test]
 fn newcomer_gets_a_growing_share() {
-    let span = Duration::from_secs(10);
+    let ramp = Duration::from_secs(10);
     let shares: Vec<f64> = [0, 5, 10]
-        .map(|s| share(Duration::from_secs(s), span))
+        .map(|s| slow_start_share(Duration::from_secs(s), ramp))
         .to_vec();
     assert!(shares[0] > 0.0 && shares[0] < shares[1] && shares[1] < shares[2]);
     assert!((shares[2] - 1.0).abs() < f64::EPSILON);
@@ -87,14 +87,14 @@
         max_share: Percent(100),
     };
     let now = Instant::now();
-    let mut evidence = Detector::default();
-    evidence.failed(now, &rule, 0, 4);
-    let first = evidence.ejected_until.expect("it is out") - now;
+    let mut detector = Detector::default();
+    detector.record_failure(now, &rule, 0, 4);
+    let first = detector.ejected_until.expect("it is out") - now;
     let later = now + first;
-    assert!(!evidence.ejected(later));
-    evidence.failed(later, &rule, 0, 4);
+    assert!(!detector.ejected(later));
+    detector.record_failure(later, &rule, 0, 4);
     assert_eq!(
-        evidence.ejected_until.expect("it is out") - later,
+        detector.ejected_until.expect("it is out") - later,
         2 * first
     );
 }
@@ -104,9 +104,9 @@
 #[test]
 fn absent_one_is_left_alone() {
     let now = Instant::now();
-    let mut evidence = Detector::default();
-    evidence.absent(now);
-    assert!(evidence.ejected(now));
-    assert!(!evidence.ejected(now + Duration::from_secs(1)));
-    assert_eq!(evidence.ejections, 0, "it is not held against it");
+    let mut detector = Detector::default();
+    detector.record_unavailable(now);
+    assert!(detector.ejected(now));
+    assert!(!detector.ejected(now + Duration::from_secs(1)));
+    assert_eq!(detector.ejections, 0, "it is not held against it");
 }
--- a/trial/src/load/world.rs
+++ b/trial/src/load/world.rs
@@ -98,7 +98,7 @@
         let mean = self.sent[target].checked_div(u64::from(count));
         Outstanding {
             count,
-            age: Duration::from_micros(mean.map_or(0, |mean| now - mean)),
+            mean_age: Duration::from_micros(mean.map_or(0, |mean| now - mean)),
         }
     }
 }
@@ -318,7 +318,7 @@
         let now = self.at(self.now);
         let load = self.load_of(target);
         let entry = &mut self.entries[self.calls[call].host];
-        entry.paces[target].report(now, load, entry.own[target]);
+        entry.paces[target].record_load(now, load, entry.own[target]);
     }
 
     /// Calls that run at a target or wait at its gate.
@@ -348,12 +348,12 @@
         };
         let far = entry.data_centre != self.targets[target].data_centre;
         let way_ms = if far {
-            FAR.0 * FAR.1 * typical.bytes / 1_024.0
+            FAR.0 * FAR.1 * typical.response_bytes / 1_024.0
         } else {
             0.0
         };
         let left = aim.duration().saturating_sub(before);
-        wait::tolerance(
+        wait::max_wait(
             left,
             typical.processing() + Duration::from_secs_f64(way_ms / 1_000.0),
         )
@@ -392,7 +392,7 @@
                 let free =
                     !self.calls[call].tried.is_empty() && self.policy != Policy::ExpectedNear;
                 let way_ms = if far && !free {
-                    FAR.0 * (0.5 + typical.bytes / 1_024.0)
+                    FAR.0 * (0.5 + typical.response_bytes / 1_024.0)
                 } else {
                     0.0
                 };
@@ -537,7 +537,7 @@
         entry.typicals[kind].record(work, factor, bytes(self.kinds[kind].kb));
         let typical = entry.typicals[kind];
         entry.paces[target].record_response(now, work, &typical);
-        entry.paces[target].report(now, load, entry.own[target]);
+        entry.paces[target].record_load(now, load, entry.own[target]);
         self.leave(call);
         let deadline = self.kinds[kind].patience.duration();
         let took = Duration::from_micros(self.now - came);
