--- a/src/calls/admission.rs
+++ b/src/calls/admission.rs
@@ -1,7 +1,8 @@
-//! The line of requests before a target: who runs, who waits, and waking who may run.
+//! Admission queue in front of a target.
 //!
-//! The decisions are those of [`Limit`]; a slot and a place in the queue are values that give
-//! themselves back when dropped, so that a request that is given up anywhere leaks neither.
+//! [`Limit`] decides which requests run, wait or are shed; this module suspends and wakes their
+//! tasks. A slot and a place in the queue are guards that release on drop, so a request that is
+//! cancelled at any point leaks neither.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,19 +13,19 @@
 use crate::calls::outcome::Reason;
 use crate::units::Priority;
 
-/// What a request asks of the line.
+/// Terms on which a request queues for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Its rank.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Longest wait with which it is still of use; when a longer one is to be expected it is
-    /// refused at once, so that its caller can go elsewhere while there is time.
+    /// Longest expected wait. If a longer one is expected, the request is refused at once, while
+    /// there is still time to try another target.
     pub max_wait: Duration,
-    /// Time after which it is refused where the wait was longer than expected.
+    /// Time after which a request that still waits is refused.
     pub timeout: Duration,
 }
 
-/// Who runs and who waits at a gate.
+/// Admission queue of a gate.
 #[derive(Debug, Default)]
 pub struct Queue {
     state: Mutex<State>,
@@ -39,7 +40,7 @@
     waiters: Vec<(Ticket, oneshot::Sender<Signal>)>,
 }
 
-/// What a waiting request is told.
+/// Wake-up of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Signal {
     Run,
@@ -78,12 +79,12 @@
 }
 
 impl Queue {
-    /// Waits for one of `slots`, in one of `queue` places.
+    /// Acquires one of `slots` slots, waiting in one of `queue` places.
     ///
     /// # Errors
     ///
-    /// [`Reason::Overloaded`] when there is no place, the wait to expect is too long, or no slot
-    /// came in time.
+    /// [`Reason::Overloaded`] if the queue is full, the expected wait is too long, no slot became
+    /// free in time, or a request of higher priority took the place.
     pub async fn acquire(
         self: &Arc<Self>,
         slots: u32,
@@ -123,14 +124,14 @@
         waiting.wait(signal, options.timeout).await
     }
 
-    /// Requests that run and that wait.
+    /// Numbers of running and of waiting requests.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
         let state = self.state();
         (state.limit.running(), state.limit.waiting())
     }
 
-    /// Gives a slot back and wakes the request that gets it.
+    /// Releases a slot and wakes the request that gets it.
     fn release(&self) {
         let mut state = self.state();
         if let Some(ticket) = state.limit.release() {
@@ -143,7 +144,7 @@
     }
 }
 
-/// A place in the queue, given up when dropped.
+/// A place in the queue, released on drop.
 #[derive(Debug)]
 struct Waiting {
     queue: Arc<Queue>,
@@ -181,14 +182,15 @@
         if let Ok(index) = state.waiters.binary_search_by_key(&self.ticket, |w| w.0) {
             state.waiters.remove(index);
         } else if !was_waiting {
-            // The slot was granted while the request gave up: pass it on, or it is lost for good.
+            // The slot was granted while the request was being cancelled. It must be released, or
+            // it is lost for good.
             drop(state);
             self.queue.release();
         }
     }
 }
 
-/// A slot of the target, given back when dropped.
+/// A slot of the target, released on drop.
 #[derive(Debug)]
 pub struct Permit {
     queue: Arc<Queue>,
--- a/src/calls/callers.rs
+++ b/src/calls/callers.rs
@@ -1,7 +1,8 @@
-//! Callers' connections on one address, and eviction an idle one for a new one.
+//! Admission of callers' connections on one address.
 //!
-//! The decisions are those of [`Connections`]; a [`Connection`] and a request under way are values that
-//! give themselves back when dropped, so that no way out of a connection leaks its place among them.
+//! [`Connections`] decides which connections are accepted or evicted. A [`Connection`] and an
+//! [`ActiveRequest`] are guards that release on drop, so that every way in which a connection ends
+//! frees its place.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -10,11 +11,11 @@
 
 use crate::calls::connections::{Connections, Decision, Id};
 
-/// Who is connected on one address.
+/// Callers connected on one address.
 #[derive(Debug)]
 pub struct Callers {
     state: Mutex<State>,
-    /// Told when a connection has ended or is idle again.
+    /// Notified when a connection has closed or a request has ended.
     freed: Notify,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl Callers {
-    /// Nobody yet, and at capacity `capacity` connections later.
+    /// Allows up to `capacity` connections.
     #[must_use]
     pub fn new(capacity: usize) -> Arc<Self> {
         Arc::new(Self {
@@ -38,7 +39,7 @@
         })
     }
 
-    /// Admits a connection that has been accepted; waits while every other one carries a request.
+    /// Admits an accepted connection; waits while all places are taken by busy connections.
     pub async fn admit(self: &Arc<Self>) -> Connection {
         loop {
             let freed = self.freed.notified();
@@ -76,7 +77,7 @@
     }
 }
 
-/// A connection that was admitted; its place is free again when it is dropped.
+/// An admitted connection; its place is freed on drop.
 #[derive(Debug)]
 pub struct Connection {
     registration: Registration,
@@ -84,7 +85,7 @@
 }
 
 impl Connection {
-    /// Notes requests of this connection.
+    /// Returns the counter for this connection's requests.
     #[must_use]
     pub fn requests(&self) -> RequestCounter {
         RequestCounter {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Waits until its place is given to another connection.
+    /// Waits until the connection is evicted.
     pub async fn evicted(&mut self) {
         if (&mut self.eviction).await.is_err() {
             std::future::pending::<()>().await;
@@ -119,7 +120,7 @@
     }
 }
 
-/// Notes the requests of one connection.
+/// Counts the requests of one connection.
 #[derive(Debug, Clone)]
 pub struct RequestCounter {
     callers: Arc<Callers>,
@@ -127,10 +128,10 @@
 }
 
 impl RequestCounter {
-    /// Counts a request until the returned value is dropped.
+    /// Counts a request until the returned guard is dropped.
     #[must_use]
     pub fn begin(&self) -> ActiveRequest {
-        // A request that crosses the close of its connection is answered like any other.
+        // A request that arrives while its connection is being evicted is answered like any other.
         self.callers.state().connections.begin(self.id);
         ActiveRequest {
             counter: self.clone(),
@@ -138,7 +139,7 @@
     }
 }
 
-/// Counts one request while it exists.
+/// Guard that counts one request.
 #[derive(Debug)]
 pub struct ActiveRequest {
     counter: RequestCounter,
--- a/src/calls/connections.rs
+++ b/src/calls/connections.rs
@@ -1,9 +1,8 @@
-//! Which of its callers' connections a daemon keeps.
+//! Limit on callers' open connections.
 //!
-//! A host has a bounded number of descriptors, and callers keep connections open between their
-//! requests. [`Connections`] bounds how many are open: for a new one the one that has been idle
-//! longest is closed. It is a plain state machine over id numbers; the server closes the
-//! connections that it names.
+//! A host has a limited number of file descriptors, and callers keep connections open between
+//! requests. [`Connections`] limits how many are open: a new connection evicts the one that has
+//! been idle longest. It is a state machine without I/O; the server closes the evicted connections.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -20,20 +19,20 @@
 
 use std::time::Instant;
 
-/// Number of a connection at its daemon.
+/// Number of a connection, unique on its listener.
 pub type Id = u64;
 
-/// What becomes of a new connection.
+/// Decision on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It is taken.
+    /// The connection is accepted.
     Accept {
-        /// Its id.
+        /// Its identifier.
         id: Id,
-        /// The idle connection that makes room for it and is to be closed.
+        /// The idle connection that was evicted for it and is to be closed.
         evicted: Option<Id>,
     },
-    /// Every connection carries a request: it waits until one is idle or has ended.
+    /// Every open connection carries a request; the new one waits until one is idle or closed.
     Full,
 }
 
@@ -41,12 +40,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Connection {
     id: Id,
-    /// Requests under way on it.
+    /// Requests in progress.
     requests: u32,
     idle_since: Instant,
 }
 
-/// Callers' open connections.
+/// Open connections of callers.
 #[derive(Debug)]
 pub struct Connections {
     capacity: usize,
@@ -56,7 +55,7 @@
 }
 
 impl Connections {
-    /// No connections yet, and at capacity `capacity` later.
+    /// Creates an empty set with room for `capacity` connections.
     #[must_use]
     pub const fn new(capacity: usize) -> Self {
         Self {
@@ -66,16 +65,16 @@
         }
     }
 
-    /// How many are open.
+    /// Number of open connections.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.open.len()
     }
 
-    /// Asks for a place for a new connection.
+    /// Registers a new connection, evicting an idle one if the set is full.
     ///
-    /// Guards against callers that hold idle connections until no descriptor is left: the daemon
-    /// could accept nobody, and new callers would wait for a time-out beside an idle process.
+    /// Guards against idle connections that use up all file descriptors: an idle daemon could not
+    /// accept new callers, and these would time out.
     pub fn open(&mut self, now: Instant) -> Decision {
         let mut evicted = None;
         if self.open.len() >= self.capacity {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Notes that a request begins on a connection; `false` when its place was given away.
+    /// Records the start of a request; `false` if the connection has been evicted.
     pub fn begin(&mut self, id: Id) -> bool {
         let connection = self.find(id);
         connection
@@ -104,7 +103,7 @@
             .is_some()
     }
 
-    /// Notes that the answer to a request has been sent, or was given up.
+    /// Records that the response to a request has been sent or abandoned.
     pub fn end(&mut self, id: Id, now: Instant) {
         if let Some(connection) = self.find(id) {
             connection.requests = connection.requests.saturating_sub(1);
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Notes that a connection is gone.
+    /// Removes a closed connection.
     pub fn close(&mut self, id: Id) {
         if let Ok(index) = self.index_of(id) {
             self.open.remove(index);
--- a/src/calls/latency.rs
+++ b/src/calls/latency.rs
@@ -1,9 +1,9 @@
-//! How long a request will take at an upstream, learnt from answers.
+//! Expected latency of a request at an upstream, estimated from earlier responses.
 //!
-//! Targets of one service differ in speed, some slow down when they are nearly full, and some
-//! refuse or fail for a spell. A [`Baseline`] holds what a route's requests usually need, a
-//! [`Profile`] how an upstream compares with that, how full it is and how often it fails. Together
-//! they give the time to expect, which [`pick`](crate::calls::pick) compares.
+//! Targets of one service differ in speed, some slow down near saturation, and some refuse or fail
+//! requests for a while. A [`Baseline`] holds the usual processing time of a route, a [`Profile`]
+//! the relative slowdown, the load and the reliability of one upstream. Together they give the
+//! expected latency, which [`pick`](crate::calls::pick) compares.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -22,37 +22,40 @@
 
 use std::time::{Duration, Instant};
 
-/// Weight of one answer in a route's averages: some fifty answers, under a second of a busy route.
+/// Weight of one response in a route's averages: they cover about fifty responses, less than a
+/// second on a busy route.
 const BASELINE_WEIGHT: f64 = 0.02;
-/// Weight of one answer in an upstream's pace: some twenty answers, so that a target that turns
-/// slow is noticed within about as many requests, and one long request does not look like it.
+/// Weight of one response in an upstream's slowdown: it covers about twenty responses, so that a
+/// target that becomes slow is detected within about as many, and not from one long request.
 const SLOWDOWN_WEIGHT: f64 = 0.08;
-/// Weight of one answer or failure in an upstream's reliability.
+/// Weight of one response or failure in an upstream's reliability.
 const RELIABILITY_WEIGHT: f64 = 0.08;
-/// Bounds of a single answer's ratio to the typical time.
+/// Bounds of the ratio of one response's processing time to the baseline.
 const RATIO_BOUNDS: (f64, f64) = (0.2, 8.0);
-/// Time in which what was learnt of an upstream fades to a third. Without fresh answers it has to:
-/// a target that got a bad name gets no work, and could never show that it is well again.
+/// Time constant with which the slowdown and the failure rate decay (to about a third). Without
+/// decay, an upstream with a bad profile would get no requests and could never show its recovery.
 const DECAY_TIME: Duration = Duration::from_secs(4);
-/// Time in which a report of load fades to a third, being overtaken by events.
+/// Time constant with which a load report decays (to about a third), since the load changes.
 const REPORT_DECAY_TIME: Duration = Duration::from_millis(700);
-/// Lowest reliability that is reckoned with.
+/// Lower bound of the reliability, by which the expected latency is divided.
 const MIN_RELIABILITY: f64 = 0.15;
-/// What an own request that is younger than the last report counts: others send as well.
+/// Load that each own request sent since the last report stands for, since other daemons send
+/// requests too.
 const SHARED_LOAD_FACTOR: f64 = 2.0;
-/// Part of the slots from which on a target may slow down.
+/// Utilization above which a target may slow down.
 const SATURATION_KNEE: f64 = 0.75;
-/// Requests under way whose age counts half: one or two of them may just be long.
+/// Number of outstanding requests at which their age has half its weight: one or two of them may
+/// just be long.
 const HALF_WEIGHT_COUNT: f64 = 3.0;
-/// Time that a route is thought to need before its first answer.
+/// Assumed processing time of a route before its first response.
 const INITIAL_PROCESSING_MS: f64 = 100.0;
 
-/// What the requests of one route usually need.
+/// Usual processing time and response size of a route.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Baseline {
-    /// Time at a target of ordinary pace, in milliseconds.
+    /// Processing time at a target of average speed, in milliseconds.
     pub processing_ms: f64,
-    /// Size of the answer, in bytes.
+    /// Size of the response, in bytes.
     pub response_bytes: f64,
     samples: u32,
 }
@@ -68,16 +71,16 @@
 }
 
 impl Baseline {
-    /// Time at a target of ordinary pace.
+    /// Processing time at a target of average speed.
     #[must_use]
     pub fn processing(&self) -> Duration {
         Duration::from_secs_f64(self.processing_ms / 1_000.0)
     }
 
-    /// Notes an answer of an upstream whose pace is `factor`.
+    /// Records a response of an upstream with this `slowdown`.
     pub fn record(&mut self, processing: Duration, slowdown: f64, bytes: usize) {
         self.samples = self.samples.saturating_add(1);
-        // The first answers count in full, so that the guess is soon forgotten.
+        // The first responses are averaged with equal weight, which replaces the initial guess.
         let weight = (1.0 / f64::from(self.samples)).max(BASELINE_WEIGHT);
         let processing_ms = processing.as_secs_f64() * 1_000.0 / slowdown;
         self.processing_ms += weight * (processing_ms - self.processing_ms);
@@ -86,20 +89,20 @@
     }
 }
 
-/// Requests of one daemon that are under way at an upstream.
+/// Outstanding requests of this daemon at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Outstanding {
-    /// How many there are.
+    /// Number of requests.
     pub count: u32,
-    /// Time since they were sent, on the mean.
+    /// Mean time since they were sent.
     pub mean_age: Duration,
 }
 
 impl Outstanding {
-    /// The factor that was learnt from answers, raised by what has not been answered yet.
+    /// Raises the slowdown learnt from responses by the age of outstanding requests.
     ///
-    /// Guards against a target that turns many times slower: its answers, which would tell, take as
-    /// long to come, and until then it looks as quick as before and draws its share of requests.
+    /// A target that becomes many times slower would otherwise keep its share of requests until
+    /// its first slow responses arrive.
     fn adjusted_slowdown(self, slowdown: f64, baseline: &Baseline) -> f64 {
         let age_ratio = self.mean_age.as_secs_f64() * 1_000.0 / baseline.processing_ms.max(1.0);
         let weight = f64::from(self.count) / (f64::from(self.count) + HALF_WEIGHT_COUNT);
@@ -107,22 +110,23 @@
     }
 }
 
-/// How one upstream does.
+/// Slowdown, reliability and load of one upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
-    /// Logarithm of its time in relation to the typical one.
+    /// Natural logarithm of the slowdown.
     ln_slowdown: f64,
-    /// Part of the requests that it answers well.
+    /// Share of successful requests.
     reliability: f64,
     updated: Instant,
-    /// Requests in flight there by its own word, and own ones among them.
+    /// Requests in flight there, as last reported.
     load: f64,
+    /// Own requests outstanding there at the time of the report.
     own_at_report: u32,
     reported_at: Instant,
 }
 
 impl Profile {
-    /// An upstream of which nothing is known.
+    /// Creates the profile of an upstream without history.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -135,14 +139,14 @@
         }
     }
 
-    /// Notes its own word on its load; `own` requests of this daemon are in flight there.
+    /// Records a load report; `own` requests of this daemon are outstanding there.
     pub fn record_load(&mut self, now: Instant, load: u32, own: u32) {
         self.load = f64::from(load);
         self.own_at_report = own;
         self.reported_at = now;
     }
 
-    /// Notes a good answer after `work` at its target.
+    /// Records a successful response after `processing` at the target.
     pub fn record_response(&mut self, now: Instant, processing: Duration, baseline: &Baseline) {
         self.decay(now);
         let ratio = processing.as_secs_f64() * 1_000.0 / baseline.processing_ms.max(1.0);
@@ -151,19 +155,20 @@
         self.reliability += RELIABILITY_WEIGHT * (1.0 - self.reliability);
     }
 
-    /// Notes a refusal, a failure or a fault: being quick with those does not count as pace.
+    /// Records a refusal or failure. Its latency is ignored, so that failing fast does not make an
+    /// upstream look fast.
     pub fn record_failure(&mut self, now: Instant) {
         self.decay(now);
         self.reliability -= RELIABILITY_WEIGHT * self.reliability;
     }
 
-    /// Its time in relation to the typical one.
+    /// Processing time relative to the baseline.
     #[must_use]
     pub fn slowdown(&self, now: Instant) -> f64 {
         (self.ln_slowdown * decay_factor(now, self.updated, DECAY_TIME)).exp()
     }
 
-    /// Time until an answer, in milliseconds, with requests of this daemon under way there.
+    /// Expected time until a response in milliseconds, given this daemon's outstanding requests.
     #[must_use]
     pub fn expected_ms(
         &self,
@@ -184,7 +189,7 @@
         (processing_ms * contention + wait_ms) / (1.0 - failure_rate).max(MIN_RELIABILITY)
     }
 
-    /// Requests in flight there: its last word, as far as it still holds, and what was sent since.
+    /// Estimated requests in flight: the decayed report plus what was sent since.
     fn estimated_load(&self, now: Instant, own: u32) -> f64 {
         let sent_since = f64::from(own.saturating_sub(self.own_at_report)) * SHARED_LOAD_FACTOR;
         let reported = self.load * decay_factor(now, self.reported_at, REPORT_DECAY_TIME);
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -1,7 +1,8 @@
-//! The gate's limit: slots, and a short queue by priority.
+//! Concurrency limit of a gate: a number of slots and a short queue ordered by priority.
 //!
-//! A [`Limit`] decides which request runs, waits or is shed. It is a plain state machine over
-//! ticket numbers; the gate wakes the tickets that it names.
+//! A [`Limit`] decides which request runs, waits or is shed. It is a state machine without I/O:
+//! requests are ticket numbers, and the admission queue wakes those that it
+//! returns.
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Class;
@@ -18,27 +19,27 @@
 
 use crate::units::Priority;
 
-/// Weight of one request in the average time for which a slot is held: some thirty requests.
+/// Weight of one request in the moving average of the hold time: averages about thirty requests.
 const HOLD_WEIGHT: f64 = 0.03;
 
-/// Number of a request at its gate.
+/// Number of a request at its gate, in order of arrival.
 pub type Ticket = u64;
 
-/// What becomes of a request that asks for a slot.
+/// Decision on a request that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It has a slot.
+    /// The request has a slot.
     Run,
-    /// It waits; the request of lower priority that it displaced is shed.
+    /// The request waits.
     Wait {
-        /// Ticket that lost its place.
+        /// Request of lower priority that lost its place in the full queue and is shed.
         shed: Option<Ticket>,
     },
-    /// It is shed itself.
+    /// The request is shed.
     Shed,
 }
 
-/// Slots in use and requests that wait.
+/// Concurrency limit with a priority queue.
 #[derive(Debug)]
 pub struct Limit {
     slots: u32,
@@ -46,12 +47,12 @@
     running: u32,
     /// Sorted by priority, then by ticket: the first is the next to run.
     waiting: Vec<(Priority, Ticket)>,
-    /// Average time for which a slot is held, in seconds; 0 before the first was given back.
+    /// Moving average of the time for which a slot is held; 0 before the first sample.
     mean_hold_s: f64,
 }
 
 impl Limit {
-    /// A limit with `slots` to run and `queue` places to wait.
+    /// Creates a limit with `slots` slots and `queue` places to wait.
     #[must_use]
     pub const fn new(slots: u32, queue: u32) -> Self {
         Self {
@@ -63,26 +64,26 @@
         }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     #[must_use]
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Changes the sizes; returns the tickets that may run now.
+    /// Changes the sizes and returns the tickets that may run now.
     pub fn resize(&mut self, slots: u32, queue: u32) -> Vec<Ticket> {
         self.slots = slots;
         self.queue = queue;
         std::iter::from_fn(|| self.promote()).collect()
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     pub fn acquire(&mut self, ticket: Ticket, priority: impl Into<Priority>) -> Decision {
         let priority = priority.into();
         if self.running < self.slots && self.waiting.is_empty() {
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Requests that would leave before one of `priority` that asked now: 0 while a slot is free.
+    /// Number of slot releases after which a new request of `priority` would run; 0 while a slot
+    /// is free.
     #[must_use]
     pub fn position(&self, priority: impl Into<Priority>) -> usize {
         if self.running < self.slots && self.waiting.is_empty() {
@@ -117,7 +119,7 @@
             .partition_point(|&(other, _)| other <= priority)
     }
 
-    /// Wait to expect for a request of `priority` that asks now.
+    /// Expected wait of a new request of `priority`.
     #[must_use]
     pub fn expected_wait(&self, priority: impl Into<Priority>) -> Duration {
         let position = u32::try_from(self.position(priority)).unwrap_or(u32::MAX);
@@ -126,7 +128,7 @@
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Notes for how long a slot was held.
+    /// Records for how long a slot was held.
     pub fn record_hold(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         if self.mean_hold_s == 0.0 {
@@ -135,7 +137,7 @@
         self.mean_hold_s += HOLD_WEIGHT * (time - self.mean_hold_s);
     }
 
-    /// Gives a waiting request up; `false` when it does not wait any more.
+    /// Removes a waiting request; `false` if it no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let index = self
             .waiting
@@ -144,7 +146,7 @@
         index.map(|index| self.waiting.remove(index)).is_some()
     }
 
-    /// Gives a slot back; the ticket that gets it runs now.
+    /// Releases a slot and returns the ticket that runs next, if any.
     pub fn release(&mut self) -> Option<Ticket> {
         self.running = self.running.saturating_sub(1);
         self.promote()
--- a/src/calls/pick.rs
+++ b/src/calls/pick.rs
@@ -1,9 +1,10 @@
-//! Choosing the upstream for a request.
+//! Load balancing policies and outlier detection.
 //!
-//! Two candidates are drawn at random and the less loaded one is taken: nearly as good as knowing
-//! the least loaded, and without the herd that a shared ranking makes. Candidates in the caller's
-//! data centre go first while one of them has room. A new target gets a growing share, a failing
-//! one is ejected for a while, but never more than the group's ceiling.
+//! By default two random candidates are compared and the less loaded one is picked. This is nearly
+//! as good as picking the least loaded, and avoids the herding of a ranking that all daemons share.
+//! Candidates in the caller's data centre are preferred while one of them has a free slot. A new
+//! target's share grows over its slow start. A failing one is ejected for a while, but only up to
+//! the group's maximum share of ejected targets.
 //!
 //! ```
 //! use jackdawpulley::calls::pick::{Candidate, Policy, choose};
@@ -24,16 +25,16 @@
 
 use crate::configuration::document::Ejection;
 
-/// Smallest share of a target that has just come.
+/// Initial share of a target in its slow start.
 const MIN_SHARE: f64 = 0.1;
-/// Largest part by which a cost is raised at random: about the error of what is known.
+/// Largest relative random increase of a cost: about the error of the estimate.
 const COST_JITTER: f64 = 0.2;
-/// Time for which an upstream that is not there is left alone; the membership knows by then.
+/// Ejection time of an unavailable upstream; by its end the membership view has been updated.
 const UNAVAILABLE_TIME: Duration = Duration::from_millis(500);
-/// Doublings after which an ejection grows no longer.
+/// Number of doublings after which ejections do not get longer.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// How an upstream is chosen.
+/// Load balancing policy.
 #[derive(
     Debug,
     Clone,
@@ -50,42 +51,44 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Policy {
-    /// Any candidate: the baseline.
+    /// A random candidate, as a baseline for comparisons.
     Random,
-    /// The better of two, near ones first.
+    /// The less loaded of two random candidates, preferring the own data centre.
     #[default]
     TwoChoices,
-    /// The one whose answer is expected first, far ones at a price.
+    /// The candidate with the lowest expected latency, plus a cost for other data centres.
     Expected,
 }
 
-/// What is known of an upstream at the moment of the choice.
+/// State of an upstream at the time of the choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Whether it is in the chooser's data centre.
+    /// Whether it is in this daemon's data centre.
     pub local: bool,
-    /// Requests in flight there, as far as known.
+    /// Known number of requests in flight there.
     pub load: u32,
-    /// Requests that it takes at the same time.
+    /// Number of requests that it serves concurrently.
     pub slots: u32,
-    /// Part of its full share that it gets now, above 0 and up to 1.
+    /// Current fraction of its full share, above 0 and up to 1.
     pub share: f64,
-    /// Whether it is left alone for now.
+    /// Whether to avoid it for now: it is ejected, suspected of having failed, or silent.
     pub ejected: bool,
 }
 
 impl Candidate {
-    /// Load in relation to what it may take now.
+    /// Load relative to current capacity, counting the new request.
     fn relative_load(&self) -> f64 {
         f64::from(self.load + 1) / (f64::from(self.slots.max(1)) * self.share)
     }
 
-    const fn has_room(&self) -> bool {
+    const fn has_free_slot(&self) -> bool {
         self.load < self.slots
     }
 }
 
-/// Chooses one of `candidates` by index; ejected ones only when there is no other.
+/// Chooses one of `candidates` and returns its index.
+///
+/// Except under [`Policy::Random`], ejected candidates are chosen only if there is no other.
 #[must_use]
 pub fn choose(policy: Policy, candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize> {
     if policy == Policy::Random {
@@ -97,8 +100,8 @@
             .collect()
     };
     let tiers = [
-        matching(&|c| !c.ejected && c.local && c.has_room()),
-        matching(&|c| !c.ejected && c.has_room()),
+        matching(&|c| !c.ejected && c.local && c.has_free_slot()),
+        matching(&|c| !c.ejected && c.has_free_slot()),
         matching(&|c| !c.ejected),
         matching(&|_| true),
     ];
@@ -109,10 +112,11 @@
     Some(if better { second } else { first })
 }
 
-/// Chooses the upstream with about the least cost by index, among those that are not ejected.
+/// Returns the index of the upstream with about the lowest cost, ejected ones only if there is no
+/// other.
 ///
-/// Each cost is raised by a random part, so that entries with the same knowledge do not all choose
-/// the same upstream.
+/// Each cost is increased by a random amount, so that entries with the same information do not all
+/// choose the same upstream.
 #[must_use]
 pub fn cheapest(costs: &[Cost], rng: &mut SmallRng) -> Option<usize> {
     let any_available = costs.iter().any(|cost| !cost.ejected);
@@ -124,16 +128,16 @@
         .map(|(index, _)| index)
 }
 
-/// What an upstream would cost a request.
+/// Cost of sending a request to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cost {
-    /// Time until its answer and the price of the way there, in milliseconds.
+    /// Expected latency plus the cost of another data centre, in milliseconds.
     pub ms: f64,
-    /// Whether it is left alone for now.
+    /// Whether to avoid it for now: it is ejected, suspected of having failed, or silent.
     pub ejected: bool,
 }
 
-/// Share of a target that came `age` ago, with a slow start over `span`.
+/// Fraction of its full share that a target of this `age` gets in a slow start of length `ramp`.
 #[must_use]
 pub fn slow_start_share(age: Duration, ramp: Duration) -> f64 {
     if age >= ramp {
@@ -143,14 +147,14 @@
     }
 }
 
-/// Own evidence about one upstream, and what follows from it.
+/// Outlier detector for one upstream, fed by this daemon's own requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Detector {
-    /// Failures since the last success.
+    /// Failures since the last success or ejection.
     pub failures: u32,
-    /// Ejections since it last stayed in.
+    /// Ejections since the last success.
     pub ejections: u32,
-    /// When it may come back.
+    /// End of the last ejection.
     pub ejected_until: Option<Instant>,
 }
 
@@ -161,7 +165,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub const fn record_success(&mut self) {
         *self = Self {
             failures: 0,
@@ -170,22 +174,24 @@
         };
     }
 
-    /// Notes that it is not there, or takes no calls by its own word: it is left alone for a moment
-    /// at once, since every other request would find out the same way.
+    /// Records that the upstream could not be reached or said that it takes no calls.
+    ///
+    /// It is ejected at once for a short time; otherwise every other request would find out the
+    /// same way.
     pub fn record_unavailable(&mut self, now: Instant) {
         if !self.ejected(now) {
             self.ejected_until = Some(now + UNAVAILABLE_TIME);
         }
     }
 
-    /// Notes a failure; `out` of `total` upstreams of the group are ejected already.
+    /// Records a failure; `ejected` of the group's `total` upstreams are ejected already.
     pub fn record_failure(&mut self, now: Instant, rule: &Ejection, ejected: usize, total: usize) {
         self.failures += 1;
         if self.failures < rule.failures || self.ejected(now) {
             return;
         }
-        // Guards against ejecting a whole group when the fault is not the targets': the callers
-        // would be refused by healthy targets. One upstream always stays in.
+        // Guards against ejecting a whole group for a fault that is not the targets' own: callers
+        // would be refused although the targets are healthy. One upstream always stays.
         let max_ejected = total * usize::from(rule.max_share.0) / 100;
         if ejected + 1 > max_ejected || ejected + 1 >= total {
             return;
--- a/src/calls/wait.rs
+++ b/src/calls/wait.rs
@@ -1,7 +1,8 @@
-//! How long a request may wait, and how long its caller has waited already.
+//! How long a request may wait for a slot, and how long its caller has waited already.
 //!
-//! Callers that were refused come back with less time than callers of the same route begin with.
-//! That difference tells how old their request is: [`Estimator`] learns what they begin with.
+//! A caller that retries after a refusal sends a shorter time-out than callers of the same route
+//! start with. The difference is the time that has passed since its first try; [`Estimator`]
+//! learns the initial time-out.
 //!
 //! ```
 //! use std::time::Duration;
@@ -17,20 +18,19 @@
 
 use crate::units::Millis;
 
-/// Part of the time that a request can spare that it may wait for a slot.
+/// Share of a request's spare time that it may wait for a slot.
 ///
-/// Under load a line of requests grows to whatever is tolerated, and stays there: everybody waits
-/// that long. The rest keeps the answers in time, since the work of half of the requests is longer
-/// than usual.
+/// Under overload the queue grows until every request waits this long. The remaining share keeps
+/// responses in time, since half of the requests take longer than usual.
 const MAX_WAIT_SHARE: f64 = 0.4;
-/// Wait that is tolerated in any case: a request that is late already may use what is free.
+/// Lower bound of [`max_wait`]: a request that is already late may still use a free slot.
 const MIN_WAIT: Duration = Duration::from_millis(15);
-/// Part of the longest time that is kept at each request, so that callers who begin with less from
-/// some day on are not taken for ones that come back: half is forgotten in 7,000 requests.
+/// Factor by which the longest time-out decays with each request: by half in 7,000 requests.
+/// Without it, callers that lower their initial time-out would count as retrying for ever.
 const TIMEOUT_DECAY: f64 = 0.9999;
 
-/// Longest wait for a slot of a request whose answer is of full use for `left` and whose work
-/// needs `work`.
+/// Longest wait for a slot of a request whose response is useful for another `left` and takes
+/// `processing` to produce.
 #[must_use]
 pub fn max_wait(left: Duration, processing: Duration) -> Duration {
     left.saturating_sub(processing)
@@ -38,17 +38,17 @@
         .max(MIN_WAIT)
 }
 
-/// The time that callers of one route begin with.
+/// Estimator of how long the callers of one route have waited, from their time-outs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Estimator {
     max_timeout_ms: f64,
 }
 
 impl Estimator {
-    /// For how long a caller has waited that still gives `timeout`.
+    /// Records a request with `timeout` left; returns how long its caller has waited already.
     pub fn caller_wait(&mut self, timeout: Millis) -> Duration {
-        let timeout = timeout.duration().as_secs_f64() * 1_000.0;
-        self.max_timeout_ms = (self.max_timeout_ms * TIMEOUT_DECAY).max(timeout);
-        Duration::from_secs_f64((self.max_timeout_ms - timeout) / 1_000.0)
+        let timeout_ms = timeout.duration().as_secs_f64() * 1_000.0;
+        self.max_timeout_ms = (self.max_timeout_ms * TIMEOUT_DECAY).max(timeout_ms);
+        Duration::from_secs_f64((self.max_timeout_ms - timeout_ms) / 1_000.0)
     }
 }
--- a/tests/caller_connections.rs
+++ b/tests/caller_connections.rs
@@ -1,4 +1,4 @@
-//! Which callers' connections are kept, against a list of what must hold.
+//! Limit on callers' connections, checked against a reference model.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,10 @@
 
 const CAPACITY: usize = 4;
 
-/// Callers open connections and leave them idle until no place is left. A new caller waited for a
-/// time-out beside them; now the one that has been idle longest makes room.
+/// Guards against idle connections that take all places, so that a new caller times out: the one
+/// that has been idle longest must be evicted.
 #[test]
-fn longest_idle_goes() {
+fn longest_idle_is_evicted() {
     let now = Instant::now();
     let mut connections = Connections::new(2);
     assert!(matches!(
@@ -29,7 +29,7 @@
         evicted: Some(2),
     };
     assert_eq!(admission, expected);
-    assert!(!connections.begin(2), "its place was given away");
+    assert!(!connections.begin(2), "it has been evicted");
 }
 
 #[derive(Debug, Clone)]
@@ -49,7 +49,7 @@
     ]
 }
 
-/// A connection as a plain list has it.
+/// A connection in the reference model.
 #[derive(Debug, Clone, Copy)]
 struct Known {
     id: Id,
@@ -59,7 +59,7 @@
 
 proptest! {
     #[test]
-    fn busy_ones_stay(steps in prop::collection::vec(step(), 1..80)) {
+    fn busy_connections_are_kept(steps in prop::collection::vec(step(), 1..80)) {
         let mut now = Instant::now();
         let mut connections = Connections::new(CAPACITY);
         let mut known: Vec<Known> = Vec::new();
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The gate's limit against a list of what must hold.
+//! Concurrency limit, checked against a reference model.
 
 mod common;
 
@@ -30,14 +30,14 @@
     ]
 }
 
-/// A plain list of who runs and who waits.
+/// Reference model: a sorted list of waiting requests.
 #[derive(Debug, Default)]
-struct Oracle {
+struct Model {
     running: u32,
     waiting: Vec<(Class, Ticket)>,
 }
 
-impl Oracle {
+impl Model {
     fn enter(&mut self, ticket: Ticket, class: Class) -> Decision {
         if self.running < SLOTS && self.waiting.is_empty() {
             self.running += 1;
@@ -48,11 +48,13 @@
         if self.waiting.len() <= QUEUE as usize {
             return Decision::Wait { shed: None };
         }
-        let (_, loser) = self.waiting.pop().expect("it is over-full");
-        if loser == ticket {
+        let (_, displaced) = self.waiting.pop().expect("the list is not empty");
+        if displaced == ticket {
             Decision::Shed
         } else {
-            Decision::Wait { shed: Some(loser) }
+            Decision::Wait {
+                shed: Some(displaced),
+            }
         }
     }
 
@@ -70,30 +72,30 @@
     #![proptest_config(fixed(300))]
 
     #[test]
-    fn agrees_with_a_plain_list(steps in prop::collection::vec(step(), 1..80)) {
+    fn agrees_with_reference_model(steps in prop::collection::vec(step(), 1..80)) {
         let mut limit = Limit::new(SLOTS, QUEUE);
-        let mut oracle = Oracle::default();
+        let mut model = Model::default();
         for (ticket, step) in (1..).zip(steps) {
             match step {
                 Step::Enter(class) => {
-                    prop_assert_eq!(limit.acquire(ticket, class), oracle.enter(ticket, class));
+                    prop_assert_eq!(limit.acquire(ticket, class), model.enter(ticket, class));
                 }
-                Step::Leave => prop_assert_eq!(limit.release(), oracle.leave()),
+                Step::Leave => prop_assert_eq!(limit.release(), model.leave()),
                 Step::Cancel(place) => {
-                    let waiting = oracle.waiting.get(place).copied();
+                    let waiting = model.waiting.get(place).copied();
                     let ticket = waiting.map_or(0, |waiting| waiting.1);
                     prop_assert_eq!(limit.cancel(ticket), waiting.is_some());
-                    oracle.waiting.retain(|waiting| waiting.1 != ticket);
+                    model.waiting.retain(|waiting| waiting.1 != ticket);
                 }
             }
             prop_assert!(limit.running() <= SLOTS);
-            prop_assert_eq!(limit.waiting(), oracle.waiting.len());
+            prop_assert_eq!(limit.waiting(), model.waiting.len());
         }
     }
 }
 
 #[test]
-fn more_slots_wake_the_waiting() {
+fn more_slots_admit_waiting_requests() {
     let mut limit = Limit::new(1, 4);
     for ticket in 1..=4 {
         limit.acquire(ticket, Class::Interactive);
--- a/tests/upstream_pick.rs
+++ b/tests/upstream_pick.rs
@@ -1,4 +1,4 @@
-//! Choosing and ejecting upstreams.
+//! Choice and ejection of upstreams.
 
 mod common;
 
@@ -33,9 +33,9 @@
     #![proptest_config(fixed(500))]
 
     #[test]
-    fn best_tier_is_kept_to(all in prop::collection::vec(candidate(), 1..12), seed: u64) {
+    fn best_tier_is_preferred(all in prop::collection::vec(candidate(), 1..12), seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let chosen = all[choose(Policy::TwoChoices, &all, &mut rng).expect("there is one")];
+        let chosen = all[choose(Policy::TwoChoices, &all, &mut rng).expect("there are candidates")];
         let room = |c: &Candidate| !c.ejected && c.load < c.slots;
         if all.iter().any(|c| room(c) && c.local) {
             prop_assert!(room(&chosen) && chosen.local);
@@ -46,14 +46,14 @@
         }
     }
 
-    /// A fault that is not the targets' makes every call fail. Without the ceiling each target is
-    /// ejected in turn and callers are refused by a group that is well.
+    /// Guards against refusing callers of a healthy group: if a fault that is not the targets' own
+    /// fails every call, all targets would be ejected one after the other without a maximum share.
     #[test]
-    fn group_is_never_emptied(total in 1_usize..12, blamed in prop::collection::vec(0_usize..12, 0..200)) {
+    fn group_is_never_fully_ejected(total in 1_usize..12, failing in prop::collection::vec(0_usize..12, 0..200)) {
         let rule = Ejection { failures: 2, base_ms: Millis(1_000), max_share: Percent(50) };
         let now = Instant::now();
         let mut all = vec![Detector::default(); total];
-        for index in blamed {
+        for index in failing {
             let ejected = all.iter().filter(|detector| detector.ejected(now)).count();
             all[index % total].record_failure(now, &rule, ejected, total);
         }
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn nobody_is_chosen_from_nobody() {
+fn no_candidate_gives_no_choice() {
     let mut rng = SmallRng::seed_from_u64(1);
     assert_eq!(choose(Policy::TwoChoices, &[], &mut rng), None);
     assert_eq!(choose(Policy::Random, &[], &mut rng), None);
 }
 
 #[test]
-fn newcomer_gets_a_growing_share() {
+fn share_grows_during_slow_start() {
     let ramp = Duration::from_secs(10);
     let shares: Vec<f64> = [0, 5, 10]
         .map(|s| slow_start_share(Duration::from_secs(s), ramp))
@@ -89,24 +89,27 @@
     let now = Instant::now();
     let mut detector = Detector::default();
     detector.record_failure(now, &rule, 0, 4);
-    let first = detector.ejected_until.expect("it is out") - now;
+    let first = detector.ejected_until.expect("it is ejected") - now;
     let later = now + first;
     assert!(!detector.ejected(later));
     detector.record_failure(later, &rule, 0, 4);
     assert_eq!(
-        detector.ejected_until.expect("it is out") - later,
+        detector.ejected_until.expect("it is ejected") - later,
         2 * first
     );
 }
 
-/// A daemon that stops says so to the first call, and news of it take a while to spread. The next
-/// calls must not all be sent there to hear the same; a moment later it is asked again.
+/// Guards against sending every call to a daemon that is stopping: it refuses them until the
+/// membership update has spread. It must be tried again a moment later.
 #[test]
-fn absent_one_is_left_alone() {
+fn unavailable_upstream_is_ejected_briefly() {
     let now = Instant::now();
     let mut detector = Detector::default();
     detector.record_unavailable(now);
     assert!(detector.ejected(now));
     assert!(!detector.ejected(now + Duration::from_secs(1)));
-    assert_eq!(detector.ejections, 0, "it is not held against it");
+    assert_eq!(
+        detector.ejections, 0,
+        "it does not count as an ejection for failures"
+    );
 }
