--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries at something that many daemons try at the same time.
+//! Exponential backoff with jitter, for operations that many daemons retry at the same time.
 //!
 //! ```
 //! use std::time::Duration;
@@ -15,14 +15,14 @@
 
 use rand::RngExt;
 
-/// Doublings that are reckoned with: more would only be cut to the longest pause.
+/// Largest number of doublings: the delay is capped by its maximum anyway.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Pauses that double with each failure in a row, up to a longest one.
+/// Delay that doubles with each consecutive failure, up to a maximum.
 ///
-/// Guards against a service in trouble that answers at once: a fleet that asks again as soon as it
-/// is refused spends everybody's processor time on refusals, and is the load that keeps the service
-/// down. The random half keeps those that were refused together from coming back together.
+/// Guards against a failing service that refuses requests immediately: a fleet that retries without
+/// delay spends processor time on refusals, and its load keeps the service down. The random half of
+/// the delay keeps clients that were refused together from retrying together.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     initial: Duration,
@@ -31,7 +31,7 @@
 }
 
 impl Backoff {
-    /// Pauses from `first` up to `longest`.
+    /// Creates a backoff whose delays grow from `initial` to `max`.
     #[must_use]
     pub const fn new(initial: Duration, max: Duration) -> Self {
         Self {
@@ -41,12 +41,13 @@
         }
     }
 
-    /// Notes a failure; the pause after it, with its random half.
+    /// Records a failure and returns the delay before the next try, its upper half random.
     pub fn next_delay(&mut self) -> Duration {
         self.delay_with(rand::rng().random_range(0.0..1.0))
     }
 
-    /// Notes a failure; the pause after it, of which `fraction` draws the upper half.
+    /// Records a failure and returns the delay before the next try; `fraction`, from 0 to 1, is the
+    /// part of its upper half that is used.
     pub fn delay_with(&mut self, fraction: f64) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
@@ -54,7 +55,7 @@
         delay.mul_f64(0.5 + fraction / 2.0)
     }
 
-    /// Notes a success: the next failure is the first in a row again.
+    /// Records a success, which resets the delay to its initial value.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
--- a/src/calls/admission.rs
+++ b/src/calls/admission.rs
@@ -25,7 +25,7 @@
     pub timeout: Duration,
 }
 
-/// Admission queue of a gate.
+/// Admission queue of a sidecar.
 #[derive(Debug, Default)]
 pub struct Queue {
     state: Mutex<State>,
--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -1,7 +1,7 @@
-//! Who gets the next attempt of a call.
+//! Load balancer: selects the upstream for the next attempt of a call.
 //!
-//! What is known of the upstreams meets the decisions of [`pick`] here: by key where there is one,
-//! else by the time to expect.
+//! A call with an idempotency key goes to the upstream that ranks first for the key. For any other
+//! call, the current state of the upstreams is passed to the policies of [`pick`].
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,16 +20,16 @@
 use crate::rollout::rules::Side;
 use crate::units::{CallKey, Revision};
 
-/// Chooses among the upstreams of a board.
+/// Load balancer over the upstreams of the current roster.
 #[derive(Debug)]
 pub struct Balancer {
     board: Arc<Board>,
-    /// What was learnt from answers.
+    /// Statistics learnt from responses.
     pub statistics: Statistics,
 }
 
 impl Balancer {
-    /// A chooser that has learnt nothing yet.
+    /// Creates a balancer without statistics.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         Self {
@@ -38,19 +38,19 @@
         }
     }
 
-    /// What a request of a route takes at an upstream of ordinary pace, with the price of the way.
+    /// Expected processing time at a target of average speed, plus the weighted transfer cost.
     ///
-    /// Guards against paying for the way under a load that is too much everywhere: a request that
-    /// waits for a slot far away would displace one that is near, and nobody would be better off.
-    /// It takes what is free there, and waits only as long as the price of its way leaves time.
+    /// Guards against useless transfers under global overload: a request that waits for a slot in
+    /// another data centre would displace a local one there. It may use a free remote slot, but
+    /// waits only for the time that its transfer cost leaves.
     pub fn expected_time(&self, upstream: &Upstream, baseline: &Baseline) -> Duration {
         let settings = &self.board.settings;
         let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
         baseline.processing() + upstream.way(baseline, far_ms)
     }
 
-    /// Chooses the upstream for the next attempt, if any is left: by key where there is one, by
-    /// fingerprint where it has to run apart, else by load.
+    /// Chooses the upstream for the next attempt, if any is left: by idempotency key if the call
+    /// has one, by fingerprint if it must be isolated, else by the configured policy.
     pub fn choose(&self, call: &Call) -> Option<Arc<Upstream>> {
         let roster = self.board.roster();
         let untried = self.eligible(&roster, call);
@@ -61,8 +61,8 @@
         let index = if let Some(key) = &call.handover.key {
             by_key(key)
         } else if self.is_suspect(call) {
-            // Guards against a request that ends several targets at the same moment, as its repeats come
-            // in at several daemons: all of them go to one gate, which runs one at a time.
+            // Guards against a request that crashes several targets at the same moment, when its
+            // retries arrive at several daemons: all go to one sidecar, which runs one at a time.
             by_key(&CallKey(call.handover.fingerprint.to_string()))
         } else {
             let baseline = self.statistics.baseline(&call.plan.route.name);
@@ -71,12 +71,12 @@
         index.map(|index| Arc::clone(untried[index]))
     }
 
-    /// Upstreams that have not been tried and may take the call, by the roll-outs that are known.
+    /// Upstreams that have not been tried and may get the call according to known rollouts.
     fn eligible<'a>(&self, roster: &'a Roster, call: &Call) -> Vec<&'a Arc<Upstream>> {
         let service = &call.handover.service;
         let upstreams = roster.upstreams(service).iter();
-        let told = upstreams.zip(roster.revisions(service));
-        let untried = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
+        let revisions = upstreams.zip(roster.revisions(service));
+        let untried = revisions.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
         let rules = self.board.rollouts.rules();
         let Some(rule) = rules.get(service) else {
             let usual = roster.usual.get(service, Instant::now());
@@ -99,17 +99,17 @@
         if !drawn.is_empty() || draw == Side::Old {
             return drawn;
         }
-        // No new target is left to take it.
+        // No target of the new revision is left, so any other eligible one may get the call.
         sides.into_iter().map(|(upstream, _)| upstream).collect()
     }
 
-    /// Whether a call has to run apart, since targets have ended under the same request.
+    /// Whether a call must be isolated because targets have crashed while running the same request.
     pub fn is_suspect(&self, call: &Call) -> bool {
         let fingerprint = call.handover.fingerprint;
         self.board.quarantine.standing(fingerprint).apart()
     }
 
-    /// The best of several by the policy of the settings.
+    /// Selects one of `upstreams` by the configured policy and returns its index.
     fn select(
         &self,
         upstreams: &[&Arc<Upstream>],
@@ -121,8 +121,9 @@
         let mut rng = SmallRng::from_rng(&mut rand::rng());
         let all = upstreams.iter();
         if settings.pick == pick::Policy::Expected {
-            // Guards against a data centre that refuses its callers while others have room: gates refuse a request
-            // before its wait there is as dear as the way.
+            // Once a sidecar has refused the call for lack of capacity, transfers cost nothing.
+            // Guards against a data centre that refuses its callers while others have free slots:
+            // sidecars refuse a request before the wait there costs as much as the transfer.
             let far_ms = if call.crowded {
                 0.0
             } else {
@@ -137,8 +138,9 @@
     }
 }
 
-/// A number from 0 to 1: the same for all requests of a key, which belongs to one gate.
-#[expect(clippy::cast_precision_loss, reason = "a share needs few digits")]
+/// A number from 0 to 1, random without a key; the same for all requests with the same key, since
+/// a key belongs to one sidecar.
+#[expect(clippy::cast_precision_loss, reason = "a fraction needs few digits")]
 fn fraction(call: &Call) -> f64 {
     match &call.handover.key {
         Some(key) => xxh3_64(key.as_str().as_bytes()) as f64 / u64::MAX as f64,
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limit of a gate: a number of slots and a short queue ordered by priority.
+//! Concurrency limit of a sidecar: a number of slots and a short queue ordered by priority.
 //!
 //! A [`Limit`] decides which request runs, waits or is shed. It is a state machine without I/O:
 //! requests are ticket numbers, and the admission queue wakes those that it
@@ -22,7 +22,7 @@
 /// Weight of one request in the moving average of the hold time: averages about thirty requests.
 const HOLD_WEIGHT: f64 = 0.03;
 
-/// Number of a request at its gate, in order of arrival.
+/// Number of a request at its sidecar, in order of arrival.
 pub type Ticket = u64;
 
 /// Decision on a request that asks for a slot.
--- a/src/calls/log_rate.rs
+++ b/src/calls/log_rate.rs
@@ -1,8 +1,8 @@
-//! Bounding the log lines that requests cause.
+//! Rate limit for log lines caused by requests.
 //!
-//! Every failed attempt and every call that did not simply succeed gets a line, so that its
-//! identifier leads to its cause. Under overload there would be more of them than a daemon can
-//! write beside its work: a [`Limiter`] admits so many a second and counts the rest.
+//! Every failed attempt and every call that does not simply succeed is logged, so that a call's
+//! identifier leads to the cause. Under overload these are more lines than a daemon can write
+//! beside its work: a [`Limiter`] admits a fixed number per second and counts the dropped ones.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -18,20 +18,20 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Bits of the state that count lines; the others name the second.
+/// Number of low bits of the state that hold the line count; the others hold the second.
 const COUNT_BITS: u32 = 24;
 
-/// Admits a number of lines a second.
+/// Limiter of log lines per second.
 #[derive(Debug)]
 pub struct Limiter {
     per_second: u64,
     began: Instant,
-    /// The second since the start, and the lines admitted in it, as one value.
+    /// Current second since the start and the lines admitted in it, packed into one value.
     state: AtomicU64,
 }
 
 impl Limiter {
-    /// Admits `per_second` lines in each second.
+    /// Creates a limiter that admits `per_second` lines in each second.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether a line may be written at `now`; one that may not is counted.
+    /// Whether a line may be written at `now`; a dropped line is counted in the metrics.
     #[must_use]
     pub fn admit(&self, now: Instant) -> bool {
         let second = now.saturating_duration_since(self.began).as_secs() + 1;
@@ -50,12 +50,12 @@
             let count = if then == second { count } else { 0 };
             (count < self.per_second).then_some(second << COUNT_BITS | (count + 1))
         };
-        let taken = self
+        let admitted = self
             .state
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take);
-        if taken.is_err() {
+        if admitted.is_err() {
             metrics::counter!("jackdaw_lines_dropped_total").increment(1);
         }
-        taken.is_ok()
+        admitted.is_ok()
     }
 }
--- a/src/calls/nesting.rs
+++ b/src/calls/nesting.rs
@@ -1,12 +1,12 @@
-//! Which routes only targets call, on behalf of the requests that run there.
+//! Detection of nested routes: those that only targets call, while they serve another request.
 //!
-//! Callers are on every host, so their requests come from hosts of all services. A call that a
-//! target makes while it runs a request comes from the hosts of its own service alone. A gate
-//! counts where the requests of each route began; a route of which it hears nothing from some
-//! service's hosts, though their share of so many requests would be large, is *nested*.
+//! Callers are on every host, so their requests come from hosts of all services. Calls made by the
+//! targets of one service come only from the hosts of that service. A sidecar counts, per route, on
+//! which hosts requests originate. If it sees almost none from the hosts of some service, although
+//! their expected share would be large by now, the route is *nested*.
 //!
-//! Nothing else tells the two apart: both come from the host's own address, over connections and
-//! with headers that look alike.
+//! Nothing else distinguishes the two: both come from the host's own address, over the same kind of
+//! connection and with the same headers.
 //!
 //! ```
 //! use jackdawpulley::calls::nesting::Detector;
@@ -15,41 +15,43 @@
 //! let (shelf, till) = (Service::from("shelf"), Service::from("till"));
 //! let fleet = [(shelf.clone(), 7), (till, 4)];
 //! let mut detector = Detector::default();
-//! let told: Vec<bool> = (0..100).map(|_| detector.record("artwork", &shelf, &fleet)).collect();
-//! assert!(!told[0] && told[99]);
+//! let nested: Vec<bool> = (0..100).map(|_| detector.record("artwork", &shelf, &fleet)).collect();
+//! assert!(!nested[0] && nested[99]);
 //! ```
 
 use crate::units::Service;
 
-/// Requests that are missing from a service's hosts before a route counts as nested: were it a
-/// route of callers, the chance of it would be one in a million (the exponential of -14).
+/// Number of requests expected from a service's hosts above which their absence marks a route as
+/// nested. For a route of callers, the probability of this is one in a million (e^-14).
 const MIN_EXPECTED: f64 = 14.0;
-/// Part of its share that may come from such a host all the same: somebody who looks around.
+/// Fraction of the expected requests that may still come from such hosts: occasional exploratory
+/// requests by people.
 const MAX_STRAY_SHARE: f64 = 0.02;
-/// Requests after which the counts are halved, so that a route whose use changes is learnt anew.
+/// Number of requests at which the counts are halved, so that a route whose use changes is
+/// classified anew.
 const HALVE_AT: f64 = 1_000.0;
-/// Routes that are remembered at most: far more than a document's busy ones.
+/// Maximum number of routes: far more than a document has busy ones.
 const MAX_ROUTES: usize = 1_024;
 
-/// Where the requests of each route began.
+/// Detector of nested routes.
 #[derive(Debug, Default)]
 pub struct Detector {
-    /// Sorted by the routes' names.
+    /// Sorted by route name.
     routes: Vec<Counts>,
 }
 
-/// Where the requests of one route began.
+/// Request counts of one route.
 #[derive(Debug)]
 struct Counts {
     route: String,
     total: f64,
-    /// Requests by the service of the host, sorted by it.
+    /// Requests by the service of the originating host, sorted by service.
     hosts: Vec<(Service, f64)>,
 }
 
 impl Detector {
-    /// Notes a request of a route that began on a host of service `from`, in a `fleet` of so many
-    /// hosts of each service; whether the route is nested.
+    /// Records a request of a route that originates on a host of service `from`; returns whether
+    /// the route is nested. `fleet` has the number of hosts of each service.
     pub fn record(&mut self, route: &str, from: &Service, fleet: &[(Service, usize)]) -> bool {
         let counts = self.counts_mut(route);
         counts.add(from);
--- a/src/calls/pick.rs
+++ b/src/calls/pick.rs
@@ -115,7 +115,7 @@
 /// Returns the index of the upstream with about the lowest cost, ejected ones only if there is no
 /// other.
 ///
-/// Each cost is increased by a random amount, so that entries with the same information do not all
+/// Each cost is increased by a random amount, so that ingresses with the same information do not all
 /// choose the same upstream.
 #[must_use]
 pub fn cheapest(costs: &[Cost], rng: &mut SmallRng) -> Option<usize> {
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -1,15 +1,16 @@
-//! When a failed request is tried again.
+//! Retry rules and retry budgets.
 //!
-//! Only the entry retries, so layers never multiply. A request that provably did not run may go
-//! to another target; one whose fate is unknown only if its route is repeatable. Retries come out
-//! of a [`Budget`], a share of recent requests, so that a failing group is not buried under them.
+//! Only the ingress retries, so that retries of several layers do not multiply. A request that
+//! provably did not run may go to another target; one whose outcome is unknown may do so only if
+//! its route is repeatable. Retries are paid from a [`Budget`], a share of recent requests, so that
+//! they do not overload a failing group.
 //!
 //! ```
 //! use jackdawpulley::calls::retry::Budget;
 //! use jackdawpulley::units::Percent;
 //!
 //! let budget = Budget::default();
-//! assert!((0..10).all(|_| budget.withdraw(Percent(20))), "a small reserve");
+//! assert!((0..10).all(|_| budget.withdraw(Percent(20))), "the reserve");
 //! assert!(!budget.withdraw(Percent(20)));
 //! budget.deposit();
 //! ```
@@ -24,23 +25,22 @@
 use crate::configuration::document::Retry;
 use crate::units::{Percent, Priority, Service};
 
-/// Retries that a quiet service may do before any deposit.
+/// Initial balance of a default budget, in retries.
 const DEFAULT_RESERVE: u32 = 10;
-/// Retries that are saved up at most, where no other bound is given.
+/// Maximum balance of a default budget, in retries.
 const DEFAULT_MAX_BALANCE: u32 = 20;
-/// What a retry costs; a request deposits its rule's percentage of it.
+/// Cost of a retry; a request deposits its rule's percentage of it.
 const RETRY_COST: i64 = 100;
 
-/// Retries allowed as a share of requests.
+/// Retry budget of one service, as a share of its requests.
 ///
-/// Within any span of time, retries stay below the share of the requests in that span plus what
-/// was saved up before it. Guards against a quiet time that pays for a storm: the less is saved
-/// up, the closer every window keeps to its own share.
+/// In any time window, retries do not exceed the share of that window's requests plus the balance
+/// at its start. A low maximum balance keeps a quiet period from paying for a retry storm.
 #[derive(Debug)]
 pub struct Budget {
-    /// Requests and reserve, in hundredths of a retry at 100 percent.
+    /// Balance, in units of which a retry costs 100.
     balance: AtomicI64,
-    /// Most that is saved up, in the same unit.
+    /// Maximum balance, in the same unit.
     max_balance: AtomicI64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Budget {
-    /// A budget that saves up to `reserve` retries and begins with that many.
+    /// Creates a budget with a balance of `reserve` retries, which is also its maximum.
     #[must_use]
     pub const fn with_reserve(reserve: u32) -> Self {
         let reserve = reserve as i64 * RETRY_COST;
@@ -64,10 +64,11 @@
         }
     }
 
-    /// Saves up no more than this daemon's part of `reserve` retries, which `daemons` share.
+    /// Limits the balance to this daemon's part of `reserve` retries shared by `daemons`.
     ///
-    /// Guards against a fleet that grows: each daemon's own reserve adds to what all of them may
-    /// repeat at the same moment. One retry is the least, or none would ever be affordable.
+    /// Guards against a growing fleet: the reserves of all daemons add up to the number of retries
+    /// that may be sent at the same moment. The limit is at least one retry, or none could ever be
+    /// paid for.
     pub fn share_reserve(&self, reserve: u32, daemons: usize) {
         let daemons = i64::try_from(daemons.max(1)).unwrap_or(i64::MAX);
         let max_balance = (i64::from(reserve) * RETRY_COST / daemons).max(RETRY_COST);
@@ -75,32 +76,32 @@
         self.balance.fetch_min(max_balance, Ordering::Relaxed);
     }
 
-    /// Notes a first attempt under a rule of the default share.
+    /// Records a first attempt under the default share of 20 percent.
     pub fn deposit(&self) {
         self.deposit_share(Percent(20));
     }
 
-    /// Notes a first attempt; it pays for `share` of a retry.
+    /// Records a first attempt, which pays for `share` of a retry.
     pub fn deposit_share(&self, share: Percent) {
         let max_balance = self.max_balance.load(Ordering::Relaxed);
         let add = |balance: i64| Some((balance + i64::from(share.0)).min(max_balance));
-        // The closure always yields a value, so this never fails.
+        // The closure always returns `Some`, so this cannot fail.
         let _ = self
             .balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
-    /// Takes one retry out; `false` when the budget is spent or `share` allows none.
+    /// Withdraws one retry; `false` if the balance is too low or `share` is zero.
     #[must_use]
     pub fn withdraw(&self, share: Percent) -> bool {
         self.withdraw_leaving(share, 0)
     }
 
-    /// Takes one retry out for a request of this rank; only the most urgent ones get the last, where
-    /// there is room for more than one.
+    /// Withdraws one retry for a request of this priority. If the budget can hold more than one
+    /// retry, the last one is left to requests of the highest priority.
     ///
-    /// Guards against a failing service whose many lists and lookups spend every retry before a
-    /// purchase comes by.
+    /// Guards against a failing service whose many requests of lower priority spend every retry
+    /// before an urgent one fails.
     #[must_use]
     pub fn withdraw_for(&self, share: Percent, priority: Priority) -> bool {
         let beyond_one = self.max_balance.load(Ordering::Relaxed) - RETRY_COST;
@@ -124,20 +125,19 @@
     }
 }
 
-/// The budgets of all services, each with its own.
-///
-/// A service that fails must not spend what the others would need.
+/// Retry budgets by service, so that a failing service does not spend the retries of others.
 #[derive(Debug)]
 pub struct Budgets {
     reserve: u32,
-    /// What all daemons save up together, in place of the reserve; 0 for none.
+    /// Reserve shared by all daemons, which takes the place of `reserve`; 0 for none.
     shared_reserve: u32,
     /// Sorted by service.
     services: ArcSwap<Vec<(Service, Arc<Budget>)>>,
 }
 
 impl Budgets {
-    /// No budgets yet; each will save up to `reserve` retries, or its part of what is `shared`.
+    /// Creates an empty set; each budget's maximum is `reserve` retries, or this daemon's part of
+    /// `shared_reserve` if that is not zero.
     #[must_use]
     pub fn new(reserve: u32, shared_reserve: u32) -> Self {
         Self {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The budget of a service in a fleet of `daemons`.
+    /// Returns the budget of a service in a fleet of `daemons`.
     #[must_use]
     pub fn for_service(&self, service: &Service, daemons: usize) -> Arc<Budget> {
         let budget = self.find(service);
@@ -177,10 +177,9 @@
     }
 }
 
-/// Whether the request may be tried once more.
+/// Whether a request may be retried after `attempts` attempts, with `left` until its deadline.
 ///
-/// `made` attempts have been made, `left` is the time until the deadline, and `fate` is what is
-/// known of the last attempt.
+/// `fate` is the outcome of the last attempt.
 #[must_use]
 pub fn is_allowed(
     rule: &Retry,
@@ -189,8 +188,8 @@
     fate: Fate,
     left: Duration,
 ) -> bool {
-    // Guards the promise of at-most-once: a request whose fate is unknown may have run, and only
-    // a repeatable one may run again.
+    // At-most-once: a request whose outcome is unknown may have run, and only a repeatable one may
+    // run again.
     let safe = match fate {
         Fate::NotRun => true,
         Fate::Unknown => repeatable,
@@ -199,7 +198,7 @@
     safe && attempts < rule.attempts && !left.is_zero()
 }
 
-/// Wait before a retry: full jitter up to the rule's bound, and never most of the time left.
+/// Delay before a retry: full jitter up to the rule's bound, at most a quarter of the time left.
 #[must_use]
 pub fn backoff(rule: &Retry, left: Duration, fraction: f64) -> Duration {
     rule.backoff_ms.duration().mul_f64(fraction).min(left / 4)
--- a/src/calls/route.rs
+++ b/src/calls/route.rs
@@ -1,39 +1,39 @@
-//! Finding the route of a request.
+//! Route lookup.
 //!
-//! A [`Table`] is compiled once for each version. The longest path prefix wins, by whole segments;
-//! among routes with the same prefix one that names the host goes before one that does not, and
-//! then one that names the method.
+//! A [`Table`] is compiled once for each configuration version. The longest path prefix wins, by
+//! whole segments. Among routes with the same prefix, one that names a host goes before one that
+//! does not, and then one that names a method before one that does not.
 
 use std::sync::Arc;
 
 use crate::authority;
 use crate::configuration::document::{Document, Group, Retry, Route};
 
-/// A route with the group and rule that it names, all of one version.
+/// A route with the groups and the retry rule that it names, all of one configuration version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolvedRoute {
     /// The route.
     pub route: Route,
-    /// Groups that share its requests; one at least.
+    /// Groups that share its requests; at least one.
     pub destinations: Vec<Destination>,
     /// Its retry rule.
     pub retry: Retry,
 }
 
-/// A group with its part of a route's requests.
+/// A group with its weight in a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
-    /// Size in relation to the other parts.
+    /// Weight relative to the route's other destinations.
     pub weight: u32,
     /// The group.
     pub group: Arc<Group>,
 }
 
 impl ResolvedRoute {
-    /// The group for one request; `draw` is uniform in 0 to 1.
+    /// Selects the group for one request; `draw` is uniform in 0 to 1.
     ///
-    /// Each request is drawn on its own, so that many daemons together keep to the weights
-    /// without a word between them.
+    /// Each request is drawn independently, so that many daemons together keep to the weights
+    /// without coordination.
     #[must_use]
     pub fn group(&self, draw: f64) -> &Arc<Group> {
         let total: u32 = self
@@ -50,18 +50,17 @@
     }
 }
 
-/// Routes in the order in which they are tried.
+/// Routing table of one configuration version.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// Sorted by path, then by how much else a route names, most first.
+    /// Sorted by path; on the same path, routes that name a host or method come first.
     routes: Vec<Arc<ResolvedRoute>>,
 }
 
 impl Table {
-    /// Compiles a checked and sorted document.
+    /// Compiles a validated and sorted document.
     ///
-    /// A route whose group or rule is missing is left out, so that no call can meet it; a checked
-    /// document has none.
+    /// A route whose group or retry rule is missing is left out; a validated document has none.
     #[must_use]
     pub fn compile(document: &Document) -> Self {
         let resolve = |route: &Route| {
@@ -104,19 +103,19 @@
         Self { routes }
     }
 
-    /// Routes in the table.
+    /// Number of routes.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether the table has no route.
+    /// Whether the table has no routes.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Finds the plan for a request; `host` may carry a port, and is compared whatever its case.
+    /// Finds the route of a request; `host` may have a port and is compared case-insensitively.
     #[must_use]
     pub fn find(
         &self,
@@ -153,7 +152,7 @@
     }
 }
 
-/// A path without its last slash, so that `/a/` and `/a` are one prefix.
+/// Strips one trailing slash, so that `/a/` and `/a` are the same prefix.
 fn trim_slash(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
--- a/src/calls/statistics.rs
+++ b/src/calls/statistics.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from answers, for choosing upstreams.
+//! Statistics that an ingress gathers from responses, by route and upstream, for load balancing.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,33 +13,33 @@
 use crate::membership::roster::Upstream;
 use crate::units::Millis;
 
-/// Routes that are remembered at most: far more than a document's busy ones.
+/// Maximum number of routes: far more than a document has busy ones.
 const MAX_ROUTES: usize = 1_024;
 
-/// Time for which a gate's word holds that only targets call a route: one that has started a moment
-/// ago does not know it yet.
+/// Time for which a sidecar's report holds that a route is nested: a sidecar that has just started
+/// does not know it yet.
 const NESTED_TTL: Duration = Duration::from_secs(10);
 
-/// What is known of a route.
+/// Statistics of one route.
 #[derive(Debug)]
 struct Route {
     name: String,
     baseline: Baseline,
     wait_estimator: Estimator,
-    /// Until when it counts as one that only targets call.
+    /// Until when the route counts as nested, that is, called by targets only.
     nested_until: Option<Instant>,
 }
 
-/// What the routes' requests usually need.
+/// Statistics of all routes.
 #[derive(Debug, Default)]
 pub struct Statistics {
-    /// Sorted by the routes' names; held for a few instructions.
+    /// Sorted by name; locked for a few instructions at a time.
     routes: Mutex<Vec<Route>>,
 }
 
 impl Statistics {
-    /// Takes an attempt as evidence on its upstream, with the load that its gate told; whether it speaks against
-    /// it.
+    /// Records the result of an attempt, with the load that the sidecar reported; returns whether
+    /// it counts as a failure of the upstream.
     pub fn record(
         &self,
         upstream: &Upstream,
@@ -49,7 +49,8 @@
         route: &str,
     ) -> bool {
         let now = Instant::now();
-        // A refusal tells it as well: a gate that has just refused for lack of room is the last to ask again.
+        // Refusals carry the load as well, so that a sidecar that has just refused a request for
+        // lack of capacity gets a high load.
         if let Some(load) = load {
             upstream.report(now, load.in_flight);
             if load.nested {
@@ -62,8 +63,8 @@
                 if reason.blames_upstream() || reason == Reason::Shed {
                     upstream.pace().record_failure(now);
                 }
-                // Guards against the time that news of a leaving daemon or target take: until then
-                // every call would go there, be refused and go on to another.
+                // Until the membership view shows that a daemon or target is leaving, every call
+                // would be sent there, be refused and go on to another upstream.
                 if reason.is_absence() && reason != Reason::Moved {
                     upstream.absent(now);
                 }
@@ -86,14 +87,14 @@
         failed
     }
 
-    /// What the requests of a route usually need.
+    /// Usual processing time and response size of a route.
     pub fn baseline(&self, route: &str) -> Baseline {
         let routes = self.routes();
         let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
         found.map_or_else(|_| Baseline::default(), |index| routes[index].baseline)
     }
 
-    /// Whether only targets call a route, by a gate's word.
+    /// Whether a sidecar has reported lately that only targets call a route.
     pub fn is_nested(&self, route: &str) -> bool {
         let routes = self.routes();
         let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
@@ -101,7 +102,7 @@
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// For how long the caller of a request has waited that still gives `timeout`.
+    /// Records a request with `timeout` left; returns how long its caller has waited already.
     pub fn caller_wait(&self, route: &str, timeout: Millis) -> Duration {
         let mut routes = self.routes();
         route_mut(&mut routes, route)
@@ -127,10 +128,10 @@
     }
 }
 
-/// What is known of a route, made when there is nothing yet.
+/// Returns the statistics of a route, creating them if needed.
 fn route_mut<'a>(routes: &'a mut Vec<Route>, route: &str) -> &'a mut Route {
     if routes.len() == MAX_ROUTES {
-        // Routes that are gone are not told apart; the others are learnt again in a moment.
+        // Removed routes cannot be told from active ones; active ones are learnt again soon.
         routes.clear();
     }
     let found = routes.binary_search_by(|entry| entry.name.as_str().cmp(route));
--- a/src/calls/transit_delay.rs
+++ b/src/calls/transit_delay.rs
@@ -1,7 +1,8 @@
-//! How long calls are on their way over one connection.
+//! Queueing delay of calls in transit over one connection.
 //!
-//! The clocks of two hosts differ by a constant that nobody knows. The call that came quickest tells it, for all
-//! that matters; what another one took longer is the time that it waited at a host or on a link.
+//! The clocks of the two hosts differ by an unknown constant. The fastest call's difference between
+//! arrival and send time is taken as the base; what another call takes longer is the time for which
+//! it was queued at a host or on the link.
 //!
 //! ```
 //! use std::time::Duration;
@@ -16,10 +17,10 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::Duration;
 
-/// The calls of one connection.
+/// Delay estimator of one connection.
 #[derive(Debug)]
 pub struct Estimator {
-    /// Least difference between the two hosts' clocks that a call showed, in milliseconds.
+    /// Smallest difference between arrival and send time so far.
     min_offset_ms: AtomicI64,
 }
 
@@ -32,8 +33,8 @@
 }
 
 impl Estimator {
-    /// Time for which a call was on its way beyond the quickest one: sent at `sent_ms` by the clock of its
-    /// sender, and come at `now_ms` by the clock here.
+    /// Records a call and returns its delay beyond that of the fastest one. It was sent at `sent_ms`
+    /// by the sender's clock and arrived at `now_ms` by the local clock, both in milliseconds.
     #[must_use]
     pub fn excess(&self, sent_ms: u64, now_ms: u64) -> Duration {
         let offset = now_ms.cast_signed().saturating_sub(sent_ms.cast_signed());
--- a/tests/backoff_delay.rs
+++ b/tests/backoff_delay.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries.
+//! Exponential backoff.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 const INITIAL: Duration = Duration::from_millis(200);
 const MAX: Duration = Duration::from_secs(1);
 
-/// A store is busy for eight seconds and answers at once. A daemon that asked every tenth of a second
-/// would ask eighty times; with growing pauses it asks a dozen times, and is back within a second
-/// of the store's return.
+/// Guards against a daemon that overloads a store by retries: the store refuses requests for eight
+/// seconds. Retrying every tenth of a second would send eighty; with backoff it is a dozen, and the
+/// next one comes within a second of the store's recovery.
 #[test]
-fn tries_thin_out() {
+fn tries_become_less_frequent() {
     let mut backoff = Backoff::new(INITIAL, MAX);
     let mut at = Duration::ZERO;
     let mut tries = 0;
@@ -26,13 +26,13 @@
 
 proptest! {
     #[test]
-    fn pauses_stay_in_bounds(fractions in prop::collection::vec(0.0..1.0_f64, 1..100)) {
+    fn delays_stay_in_bounds(fractions in prop::collection::vec(0.0..1.0_f64, 1..100)) {
         let mut backoff = Backoff::new(INITIAL, MAX);
         let mut before = Duration::ZERO;
         for fraction in fractions {
             let delay = backoff.delay_with(fraction);
             prop_assert!(delay >= INITIAL / 2 && delay <= MAX, "{:?}", delay);
-            prop_assert!(delay >= before / 2, "a pause never falls below half of the last");
+            prop_assert!(delay >= before / 2, "a delay is never less than half of the last");
             before = delay;
         }
     }
--- a/tests/call_retries.rs
+++ b/tests/call_retries.rs
@@ -1,4 +1,4 @@
-//! When a failed request is tried again.
+//! Retry rules, retry budgets and the outcomes that allow a retry.
 
 mod common;
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// A rental is charged, the connection breaks before the answer, and the entry sends the request
-/// to another target: the viewer is charged twice. Only a proof that it did not run allows that.
+/// Guards against running a request twice, such as charging a customer twice, when the connection
+/// breaks before the response. Only a request that provably did not run may be retried.
 #[test]
-fn unknown_fate_is_final_unless_repeatable() {
+fn unknown_outcome_is_final_unless_repeatable() {
     assert!(!is_allowed(&rule(), 1, false, Fate::Unknown, LEFT));
     assert!(is_allowed(&rule(), 1, true, Fate::Unknown, LEFT));
     assert!(is_allowed(&rule(), 1, false, Fate::NotRun, LEFT));
@@ -51,31 +51,34 @@
     assert!(!Budget::default().withdraw(Percent(0)));
 }
 
-/// A service refuses half of its requests. Lookups, five times as many as bookings, take every
-/// retry as it is earned, and bookings are given up. They have to find one.
+/// Guards against urgent requests without a retry: a service refuses half of its requests, and
+/// five times as many of lower priority would take every retry as soon as it is paid for.
 #[test]
-fn urgent_ones_find_a_retry() {
+fn urgent_requests_get_retries() {
     let budget = Budget::with_reserve(2);
     let (mut urgent, mut others) = (0, 0);
     for request in 0..1_000 {
         budget.deposit_share(Percent(9));
-        let rank = Priority(u8::from(request % 6 != 0));
-        let granted = u32::from(budget.withdraw_for(Percent(9), rank));
-        if rank == Priority(0) {
+        let priority = Priority(u8::from(request % 6 != 0));
+        let granted = u32::from(budget.withdraw_for(Percent(9), priority));
+        if priority == Priority(0) {
             urgent += granted;
         } else {
             others += granted;
         }
     }
-    assert!(urgent >= 60, "{urgent} of 167 bookings, {others} lookups");
-    assert!(urgent + others <= 92, "the budget holds");
+    assert!(
+        urgent >= 60,
+        "{urgent} of 167 urgent requests, {others} others"
+    );
+    assert!(urgent + others <= 92, "the budget is kept");
 }
 
 proptest! {
     #![proptest_config(fixed(200))]
 
-    /// Forty daemons of a fleet all meet a failing service at the same moment. Each has saved up
-    /// something, and together they must not repeat more than operators allow beside the ratio.
+    /// Guards against a retry storm: all daemons, forty for instance, meet a failing service at the
+    /// same moment, and together must not exceed the shared reserve plus their share of requests.
     #[test]
     fn fleet_keeps_to_its_reserve(
         daemons in 1_usize..60,
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn only_proofs_are_called_not_run() {
+fn only_proven_reasons_are_not_run() {
     for reason in [Reason::Broken, Reason::TimedOut, Reason::KeyInDoubt] {
         assert_eq!(reason.fate(), Fate::Unknown, "{reason}");
     }
@@ -116,9 +119,10 @@
     }
 }
 
-/// A read breaks off at its first target and the second refuses it. "Not run" would be a lie.
+/// Guards against reporting "not run" for a request that broke off at its first target, where it
+/// may have run, and was refused by the second.
 #[test]
-fn doubt_is_not_lost_in_later_attempts() {
+fn unknown_outcome_survives_later_attempts() {
     assert_eq!(Reason::Broken.followed_by(Reason::NoTarget), Reason::Broken);
     assert_eq!(
         Reason::Broken.followed_by(Reason::Overloaded).fate(),
--- a/tests/route_table.rs
+++ b/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding routes.
+//! Route lookup.
 
 mod common;
 
@@ -19,42 +19,45 @@
     document.sorted()
 }
 
-fn found(method: &str, host: Option<&str>, path: &str) -> String {
+fn found_route(method: &str, host: Option<&str>, path: &str) -> String {
     let table = Table::compile(&document());
     table
         .find(method, host, path)
-        .map(|plan| plan.route.name.clone())
+        .map(|resolved| resolved.route.name.clone())
         .unwrap_or_default()
 }
 
 #[test]
 fn longest_prefix_wins_by_segments() {
-    assert_eq!(found("GET", None, "/rentals/7"), "rentals");
-    assert_eq!(found("GET", None, "/rentalsale"), "all");
-    assert_eq!(found("GET", None, "/"), "all");
+    assert_eq!(found_route("GET", None, "/rentals/7"), "rentals");
+    assert_eq!(found_route("GET", None, "/rentalsale"), "all");
+    assert_eq!(found_route("GET", None, "/"), "all");
 }
 
 #[test]
 fn named_host_goes_before_method() {
     assert_eq!(
-        found("POST", Some("studio.example:80"), "/rentals"),
+        found_route("POST", Some("studio.example:80"), "/rentals"),
         "studio"
     );
-    assert_eq!(found("POST", Some("shop.example"), "/rentals"), "post");
+    assert_eq!(
+        found_route("POST", Some("shop.example"), "/rentals"),
+        "post"
+    );
 }
 
 #[test]
-fn route_without_its_group_is_left_out() {
+fn route_without_group_is_left_out() {
     let mut document = document();
     document.groups.retain(|group| group.name != "till");
     let table = Table::compile(&document);
-    let plan = table.find("GET", None, "/rentals/7").expect("the fallback");
-    assert_eq!(plan.route.name, "all");
+    let resolved = table.find("GET", None, "/rentals/7").expect("the fallback");
+    assert_eq!(resolved.route.name, "all");
 }
 
-/// Guards against a 404 for a host that is spelled otherwise than in the document.
+/// Guards against a 404 for a host that is spelled differently than in the document.
 #[test]
-fn hosts_match_in_any_spelling() {
+fn hosts_match_in_any_equivalent_spelling() {
     let mut document = numbered(1);
     document.routes.clear();
     for (name, host) in [("plain", "Shop.Example"), ("six", "[2001:db8::1]")] {
@@ -64,8 +67,10 @@
     }
     let table = Table::compile(&document.sorted());
     let found = |host| {
-        let plan = table.find("GET", Some(host), "/x");
-        plan.map(|plan| plan.route.name.clone()).unwrap_or_default()
+        let resolved = table.find("GET", Some(host), "/x");
+        resolved
+            .map(|resolved| resolved.route.name.clone())
+            .unwrap_or_default()
     };
     for host in [
         "shop.example",
