--- a/src/calls/callers.rs
+++ b/src/calls/callers.rs
@@ -64,7 +64,7 @@
         let (sender, eviction) = oneshot::channel();
         state.evictions.push((id, sender));
         Some(Connection {
-            registration: Registration {
+            guard: ConnectionGuard {
                 callers: Arc::clone(self),
                 id,
             },
@@ -80,7 +80,7 @@
 /// An admitted connection; its place is freed on drop.
 #[derive(Debug)]
 pub struct Connection {
-    registration: Registration,
+    guard: ConnectionGuard,
     eviction: oneshot::Receiver<()>,
 }
 
@@ -89,8 +89,8 @@
     #[must_use]
     pub fn requests(&self) -> RequestCounter {
         RequestCounter {
-            callers: Arc::clone(&self.registration.callers),
-            id: self.registration.id,
+            callers: Arc::clone(&self.guard.callers),
+            id: self.guard.id,
         }
     }
 
@@ -103,12 +103,12 @@
 }
 
 #[derive(Debug)]
-struct Registration {
+struct ConnectionGuard {
     callers: Arc<Callers>,
     id: Id,
 }
 
-impl Drop for Registration {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut state = self.callers.state();
         state.connections.close(self.id);
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -1,8 +1,7 @@
 //! Concurrency limit of a sidecar: a number of slots and a short queue ordered by priority.
 //!
 //! A [`Limit`] decides which request runs, waits or is shed. It is a state machine without I/O:
-//! requests are ticket numbers, and the admission queue wakes those that it
-//! returns.
+//! requests are ticket numbers, and the admission queue wakes those that it returns.
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Class;
--- a/tests/nested_routes.rs
+++ b/tests/nested_routes.rs
@@ -26,7 +26,8 @@
     assert!((40..60).contains(&after), "{after}");
 }
 
-/// A route called from hosts of all services is not nested, even while one of them sends none.
+/// A route called from hosts of all services is not nested, even if a single host sends none for a
+/// while.
 #[test]
 fn route_of_callers_is_not_nested() {
     let mut detector = Detector::default();
