--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -11,8 +11,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
+use crate::calls::balancer::Balancer;
 use crate::calls::call::{Attempt, Call};
-use crate::calls::choice::Chooser;
 use crate::calls::outcome::{OUTCOME, Outcome, REASON, Reason};
 use crate::calls::retry::{Budget, Budgets};
 use crate::calls::sidecar::{Load, Sidecar};
@@ -40,7 +40,7 @@
     sidecar: Arc<Sidecar>,
     budgets: Budgets,
     /// Chooses the upstream of each attempt.
-    pub chooser: Chooser,
+    pub chooser: Balancer,
 }
 
 impl Sender {
@@ -53,7 +53,7 @@
             ..
         } = board.settings;
         Self {
-            chooser: Chooser::new(Arc::clone(&board)),
+            chooser: Balancer::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
             sidecar,
@@ -63,7 +63,7 @@
     /// The retry budget of a call's service.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
         let daemons = self.board.roster().members.len();
-        self.budgets.of(&call.metadata.service, daemons)
+        self.budgets.for_service(&call.metadata.service, daemons)
     }
 
     /// Withdraws one more request from the retry budget; `false` if the budget does not allow it.
@@ -82,8 +82,8 @@
     pub async fn attempt_hedged(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
         let rule = &Arc::clone(&call.plan).retry;
         let ejection = &Arc::clone(&call.group).ejection;
-        let typical = self.chooser.experience.typical(&call.plan.route.name);
-        let expected_time = self.chooser.needs(upstream, &typical);
+        let typical = self.chooser.statistics.baseline(&call.plan.route.name);
+        let expected_time = self.chooser.expected_time(upstream, &typical);
         let mut first =
             Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
         let fixed = self.board.settings.retries == Retries::Fixed;
@@ -104,7 +104,7 @@
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
         call.attempts += 1;
-        let expected_time = self.chooser.needs(&second, &typical);
+        let expected_time = self.chooser.expected_time(&second, &typical);
         let second = Box::pin(self.attempt(&second, call.next_attempt(expected_time), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
@@ -144,8 +144,8 @@
             Reply::Answered(response) => Ok(response),
             Reply::Failed(reason) => Err(*reason),
         };
-        let experience = &self.chooser.experience;
-        if experience.learn(upstream, seen, load, began, &route) {
+        let experience = &self.chooser.statistics;
+        if experience.record(upstream, seen, load, began, &route) {
             let roster = self.board.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
--- a/src/calls/callers.rs
+++ b/src/calls/callers.rs
@@ -1,44 +1,45 @@
-//! Callers' connections on one address, and closing an idle one for a new one.
+//! Admission of callers' connections on one address.
 //!
-//! The decisions are those of [`Connections`]; a [`Connection`] and a request under way are values that
-//! give themselves back when dropped, so that no way out of a connection leaks its place among them.
+//! [`Connections`] decides which connections are accepted or evicted. A [`Connection`] and an
+//! [`ActiveRequest`] are guards that release on drop, so that every way in which a connection ends
+//! frees its place.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
 use tokio::sync::{Notify, oneshot};
 
-use crate::calls::connections::{Admission, Connections, Ticket};
+use crate::calls::connections::{Connections, Decision, Id};
 
-/// Who is connected on one address.
+/// Callers connected on one address.
 #[derive(Debug)]
 pub struct Callers {
     state: Mutex<State>,
-    /// Told when a connection has ended or is idle again.
+    /// Notified when a connection has closed or a request has ended.
     freed: Notify,
 }
 
 #[derive(Debug)]
 struct State {
     connections: Connections,
-    /// Sorted by ticket.
-    closers: Vec<(Ticket, oneshot::Sender<()>)>,
+    /// Sorted by id.
+    evictions: Vec<(Id, oneshot::Sender<()>)>,
 }
 
 impl Callers {
-    /// Nobody yet, and at most `most` connections later.
+    /// Allows up to `capacity` connections.
     #[must_use]
-    pub fn new(most: usize) -> Arc<Self> {
+    pub fn new(capacity: usize) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
-                connections: Connections::new(most),
-                closers: Vec::new(),
+                connections: Connections::new(capacity),
+                evictions: Vec::new(),
             }),
             freed: Notify::new(),
         })
     }
 
-    /// Admits a connection that has been accepted; waits while every other one carries a request.
+    /// Admits an accepted connection; waits while all places are taken by busy connections.
     pub async fn admit(self: &Arc<Self>) -> Connection {
         loop {
             let freed = self.freed.notified();
@@ -51,23 +52,23 @@
 
     fn try_admit(self: &Arc<Self>) -> Option<Connection> {
         let mut state = self.state();
-        let Admission::Take { ticket, closed } = state.connections.open(Instant::now()) else {
+        let Decision::Accept { id, evicted } = state.connections.open(Instant::now()) else {
             return None;
         };
-        if let Some(closed) = closed {
+        if let Some(evicted) = evicted {
             metrics::counter!("jackdaw_idle_connections_closed_total").increment(1);
-            if let Ok(index) = state.closers.binary_search_by_key(&closed, |c| c.0) {
-                let _ = state.closers.remove(index).1.send(());
+            if let Ok(index) = state.evictions.binary_search_by_key(&evicted, |c| c.0) {
+                let _ = state.evictions.remove(index).1.send(());
             }
         }
-        let (closer, closing) = oneshot::channel();
-        state.closers.push((ticket, closer));
+        let (sender, eviction) = oneshot::channel();
+        state.evictions.push((id, sender));
         Some(Connection {
-            registration: Registration {
+            guard: ConnectionGuard {
                 callers: Arc::clone(self),
-                ticket,
+                id,
             },
-            closing,
+            eviction,
         })
     }
 
@@ -76,78 +77,78 @@
     }
 }
 
-/// A connection that was admitted; its place is free again when it is dropped.
+/// An admitted connection; its place is freed on drop.
 #[derive(Debug)]
 pub struct Connection {
-    registration: Registration,
-    closing: oneshot::Receiver<()>,
+    guard: ConnectionGuard,
+    eviction: oneshot::Receiver<()>,
 }
 
 impl Connection {
-    /// Notes requests of this connection.
+    /// Returns the counter for this connection's requests.
     #[must_use]
-    pub fn requests(&self) -> Requests {
-        Requests {
-            callers: Arc::clone(&self.registration.callers),
-            ticket: self.registration.ticket,
+    pub fn requests(&self) -> RequestCounter {
+        RequestCounter {
+            callers: Arc::clone(&self.guard.callers),
+            id: self.guard.id,
         }
     }
 
-    /// Waits until its place is given to another connection.
-    pub async fn displaced(&mut self) {
-        if (&mut self.closing).await.is_err() {
+    /// Waits until the connection is evicted.
+    pub async fn evicted(&mut self) {
+        if (&mut self.eviction).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
 #[derive(Debug)]
-struct Registration {
+struct ConnectionGuard {
     callers: Arc<Callers>,
-    ticket: Ticket,
+    id: Id,
 }
 
-impl Drop for Registration {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut state = self.callers.state();
-        state.connections.close(self.ticket);
-        if let Ok(index) = state.closers.binary_search_by_key(&self.ticket, |c| c.0) {
-            state.closers.remove(index);
+        state.connections.close(self.id);
+        if let Ok(index) = state.evictions.binary_search_by_key(&self.id, |c| c.0) {
+            state.evictions.remove(index);
         }
         drop(state);
         self.callers.freed.notify_one();
     }
 }
 
-/// Notes the requests of one connection.
+/// Counts the requests of one connection.
 #[derive(Debug, Clone)]
-pub struct Requests {
+pub struct RequestCounter {
     callers: Arc<Callers>,
-    ticket: Ticket,
+    id: Id,
 }
 
-impl Requests {
-    /// Counts a request until the returned value is dropped.
+impl RequestCounter {
+    /// Counts a request until the returned guard is dropped.
     #[must_use]
-    pub fn begin(&self) -> UnderWay {
-        // A request that crosses the close of its connection is answered like any other.
-        self.callers.state().connections.begin(self.ticket);
-        UnderWay {
-            requests: self.clone(),
+    pub fn begin(&self) -> ActiveRequest {
+        // A request that arrives while its connection is being evicted is answered like any other.
+        self.callers.state().connections.begin(self.id);
+        ActiveRequest {
+            counter: self.clone(),
         }
     }
 }
 
-/// Counts one request while it exists.
+/// Guard that counts one request.
 #[derive(Debug)]
-pub struct UnderWay {
-    requests: Requests,
+pub struct ActiveRequest {
+    counter: RequestCounter,
 }
 
-impl Drop for UnderWay {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        let Requests { callers, ticket } = &self.requests;
-        callers.state().connections.end(*ticket, Instant::now());
+        let RequestCounter { callers, id } = &self.counter;
+        callers.state().connections.end(*id, Instant::now());
         callers.freed.notify_one();
     }
 }
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -160,7 +160,7 @@
             return;
         }
         () = wait_for_phase(&mut phases, Phase::Ending) => {}
-        () = admitted.displaced() => {}
+        () = admitted.evicted() => {}
         () = bounds_source.wait_for_larger_head(bounds.max_head) => {}
     }
     connection.as_mut().graceful_shutdown();
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -1,15 +1,16 @@
-//! When a failed request is tried again.
+//! Retry rules and retry budgets.
 //!
-//! Only the entry retries, so layers never multiply. A request that provably did not run may go
-//! to another target; one whose fate is unknown only if its route is repeatable. Retries come out
-//! of a [`Budget`], a share of recent requests, so that a failing group is not buried under them.
+//! Only the ingress retries, so that retries of several layers do not multiply. A request that
+//! provably did not run may go to another target; one whose outcome is unknown may do so only if
+//! its route is repeatable. Retries are paid from a [`Budget`], a share of recent requests, so that
+//! they do not overload a failing group.
 //!
 //! ```
 //! use jackdawpulley::calls::retry::Budget;
 //! use jackdawpulley::units::Percent;
 //!
 //! let budget = Budget::default();
-//! assert!((0..10).all(|_| budget.withdraw(Percent(20))), "a small reserve");
+//! assert!((0..10).all(|_| budget.withdraw(Percent(20))), "the reserve");
 //! assert!(!budget.withdraw(Percent(20)));
 //! budget.deposit();
 //! ```
@@ -24,135 +25,134 @@
 use crate::configuration::document::Retry;
 use crate::units::{Percent, Priority, Service};
 
-/// Retries that a quiet service may do before any deposit.
-const RESERVE: u32 = 10;
-/// Retries that are saved up at most, where no other bound is given.
-const CEILING: u32 = 20;
-/// What a retry costs; a request deposits its rule's percentage of it.
-const PRICE: i64 = 100;
+/// Initial balance of a default budget, in retries.
+const DEFAULT_RESERVE: u32 = 10;
+/// Maximum balance of a default budget, in retries.
+const DEFAULT_MAX_BALANCE: u32 = 20;
+/// Cost of a retry; a request deposits its rule's percentage of it.
+const RETRY_COST: i64 = 100;
 
-/// Retries allowed as a share of requests.
+/// Retry budget of one service, as a share of its requests.
 ///
-/// Within any span of time, retries stay below the share of the requests in that span plus what
-/// was saved up before it. Guards against a quiet time that pays for a storm: the less is saved
-/// up, the closer every window keeps to its own share.
+/// In any time window, retries do not exceed the share of that window's requests plus the balance
+/// at its start. A low maximum balance keeps a quiet period from paying for a retry storm.
 #[derive(Debug)]
 pub struct Budget {
-    /// Requests and reserve, in hundredths of a retry at 100 percent.
+    /// Balance, in units of which a retry costs 100.
     balance: AtomicI64,
-    /// Most that is saved up, in the same unit.
-    ceiling: AtomicI64,
+    /// Maximum balance, in the same unit.
+    max_balance: AtomicI64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            balance: AtomicI64::new(i64::from(RESERVE) * PRICE),
-            ceiling: AtomicI64::new(i64::from(CEILING) * PRICE),
+            balance: AtomicI64::new(i64::from(DEFAULT_RESERVE) * RETRY_COST),
+            max_balance: AtomicI64::new(i64::from(DEFAULT_MAX_BALANCE) * RETRY_COST),
         }
     }
 }
 
 impl Budget {
-    /// A budget that saves up to `reserve` retries and begins with that many.
+    /// Creates a budget with a balance of `reserve` retries, which is also its maximum.
     #[must_use]
     pub const fn with_reserve(reserve: u32) -> Self {
-        let reserve = reserve as i64 * PRICE;
+        let reserve = reserve as i64 * RETRY_COST;
         Self {
             balance: AtomicI64::new(reserve),
-            ceiling: AtomicI64::new(reserve),
+            max_balance: AtomicI64::new(reserve),
         }
     }
 
-    /// Saves up no more than this daemon's part of `reserve` retries, which `daemons` share.
+    /// Limits the balance to this daemon's part of `reserve` retries shared by `daemons`.
     ///
-    /// Guards against a fleet that grows: each daemon's own reserve adds to what all of them may
-    /// repeat at the same moment. One retry is the least, or none would ever be affordable.
+    /// Guards against a growing fleet: the reserves of all daemons add up to the number of retries
+    /// that may be sent at the same moment. The limit is at least one retry, or none could ever be
+    /// paid for.
     pub fn share_reserve(&self, reserve: u32, daemons: usize) {
         let daemons = i64::try_from(daemons.max(1)).unwrap_or(i64::MAX);
-        let ceiling = (i64::from(reserve) * PRICE / daemons).max(PRICE);
-        self.ceiling.store(ceiling, Ordering::Relaxed);
-        self.balance.fetch_min(ceiling, Ordering::Relaxed);
+        let max_balance = (i64::from(reserve) * RETRY_COST / daemons).max(RETRY_COST);
+        self.max_balance.store(max_balance, Ordering::Relaxed);
+        self.balance.fetch_min(max_balance, Ordering::Relaxed);
     }
 
-    /// Notes a first attempt under a rule of the default share.
+    /// Records a first attempt under the default share of 20 percent.
     pub fn deposit(&self) {
         self.deposit_share(Percent(20));
     }
 
-    /// Notes a first attempt; it pays for `share` of a retry.
+    /// Records a first attempt, which pays for `share` of a retry.
     pub fn deposit_share(&self, share: Percent) {
-        let ceiling = self.ceiling.load(Ordering::Relaxed);
-        let save = |balance: i64| Some((balance + i64::from(share.0)).min(ceiling));
-        // The closure always yields a value, so this never fails.
+        let max_balance = self.max_balance.load(Ordering::Relaxed);
+        let add = |balance: i64| Some((balance + i64::from(share.0)).min(max_balance));
+        // The closure always returns `Some`, so this cannot fail.
         let _ = self
             .balance
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, save);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
-    /// Takes one retry out; `false` when the budget is spent or `share` allows none.
+    /// Withdraws one retry; `false` if the balance is too low or `share` is zero.
     #[must_use]
     pub fn withdraw(&self, share: Percent) -> bool {
         self.withdraw_leaving(share, 0)
     }
 
-    /// Takes one retry out for a request of this rank; only the most urgent ones get the last, where
-    /// there is room for more than one.
+    /// Withdraws one retry for a request of this priority. If the budget can hold more than one
+    /// retry, the last one is left to requests of the highest priority.
     ///
-    /// Guards against a failing service whose many lists and lookups spend every retry before a
-    /// purchase comes by.
+    /// Guards against a failing service whose many requests of lower priority spend every retry
+    /// before an urgent one fails.
     #[must_use]
-    pub fn withdraw_for(&self, share: Percent, rank: Priority) -> bool {
-        let beyond = self.ceiling.load(Ordering::Relaxed) - PRICE;
-        let left = if rank == Priority(0) {
+    pub fn withdraw_for(&self, share: Percent, priority: Priority) -> bool {
+        let beyond_one = self.max_balance.load(Ordering::Relaxed) - RETRY_COST;
+        let remaining = if priority == Priority(0) {
             0
         } else {
-            beyond.min(PRICE)
+            beyond_one.min(RETRY_COST)
         };
-        self.withdraw_leaving(share, left)
+        self.withdraw_leaving(share, remaining)
     }
 
-    fn withdraw_leaving(&self, share: Percent, left: i64) -> bool {
+    fn withdraw_leaving(&self, share: Percent, remaining: i64) -> bool {
         if share.0 == 0 {
             return false;
         }
-        let least = PRICE + left;
-        let take = |balance: i64| (balance >= least).then_some(balance - PRICE);
+        let min_balance = RETRY_COST + remaining;
+        let take = |balance: i64| (balance >= min_balance).then_some(balance - RETRY_COST);
         self.balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
             .is_ok()
     }
 }
 
-/// The budgets of all services, each with its own.
-///
-/// A service that fails must not spend what the others would need.
+/// Retry budgets by service, so that a failing service does not spend the retries of others.
 #[derive(Debug)]
 pub struct Budgets {
     reserve: u32,
-    /// What all daemons save up together, in place of the reserve; 0 for none.
-    shared: u32,
+    /// Reserve shared by all daemons, which takes the place of `reserve`; 0 for none.
+    shared_reserve: u32,
     /// Sorted by service.
     services: ArcSwap<Vec<(Service, Arc<Budget>)>>,
 }
 
 impl Budgets {
-    /// No budgets yet; each will save up to `reserve` retries, or its part of what is `shared`.
+    /// Creates an empty set; each budget's maximum is `reserve` retries, or this daemon's part of
+    /// `shared_reserve` if that is not zero.
     #[must_use]
-    pub fn new(reserve: u32, shared: u32) -> Self {
+    pub fn new(reserve: u32, shared_reserve: u32) -> Self {
         Self {
             reserve,
-            shared,
+            shared_reserve,
             services: ArcSwap::default(),
         }
     }
 
-    /// The budget of a service in a fleet of `daemons`.
+    /// Returns the budget of a service in a fleet of `daemons`.
     #[must_use]
-    pub fn of(&self, service: &Service, daemons: usize) -> Arc<Budget> {
+    pub fn for_service(&self, service: &Service, daemons: usize) -> Arc<Budget> {
         let budget = self.find(service);
-        if self.shared > 0 {
-            budget.share_reserve(self.shared, daemons);
+        if self.shared_reserve > 0 {
+            budget.share_reserve(self.shared_reserve, daemons);
         }
         budget
     }
@@ -177,23 +177,28 @@
     }
 }
 
-/// Whether the request may be tried once more.
+/// Whether a request may be retried after `attempts` attempts, with `left` until its deadline.
 ///
-/// `made` attempts have been made, `left` is the time until the deadline, and `fate` is what is
-/// known of the last attempt.
+/// `fate` is the outcome of the last attempt.
 #[must_use]
-pub fn again(rule: &Retry, made: u32, repeatable: bool, fate: Outcome, left: Duration) -> bool {
-    // Guards the promise of at-most-once: a request whose fate is unknown may have run, and only
-    // a repeatable one may run again.
-    let harmless = match fate {
+pub fn is_allowed(
+    rule: &Retry,
+    attempts: u32,
+    repeatable: bool,
+    fate: Outcome,
+    left: Duration,
+) -> bool {
+    // At-most-once: a request whose outcome is unknown may have run, and only a repeatable one may
+    // run again.
+    let safe = match fate {
         Outcome::NotRun => true,
         Outcome::Unknown => repeatable,
         Outcome::Answered => false,
     };
-    harmless && made < rule.attempts && !left.is_zero()
+    safe && attempts < rule.attempts && !left.is_zero()
 }
 
-/// Wait before a retry: full jitter up to the rule's bound, and never most of the time left.
+/// Delay before a retry: full jitter up to the rule's bound, at most a quarter of the time left.
 #[must_use]
 pub fn backoff(rule: &Retry, left: Duration, fraction: f64) -> Duration {
     rule.backoff_ms.duration().mul_f64(fraction).min(left / 4)
