--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -9,8 +9,8 @@
 
 use serde::Serialize;
 
+use crate::membership::controller::{Membership, State};
 use crate::membership::datagram::Probe;
-use crate::membership::probe::{Membership, State};
 use crate::membership::view::Send;
 use crate::quarantine::crash::Crash;
 use crate::rollout::progress::Progress;
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -19,11 +19,11 @@
 use crate::error::Result;
 use crate::membership::announce::Desk;
 use crate::membership::contacts::{Contacts, RENEWAL};
-use crate::membership::greeters::{Listed, greeters};
-use crate::membership::greeting::{Greeting, Heard, Round};
-use crate::membership::listing::Listing;
+use crate::membership::controller::Membership;
+use crate::membership::join_client::{Greeting, Heard, Round};
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
+use crate::membership::registration::Listing;
+use crate::membership::seeds::{Listed, greeters};
 use crate::quarantine::archive::Archive;
 use crate::units::{DataCentre, Millis, Offset, Version};
 
--- a/src/membership/census.rs
+++ b/src/membership/member_count.rs
@@ -2,7 +2,7 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use jackdawpulley::membership::census::Census;
+//! use jackdawpulley::membership::member_count::Census;
 //!
 //! let now = Instant::now();
 //! let mut census = Census::default();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -4,22 +4,22 @@
 //! it. A [`target`] announces itself to the daemon beside it.
 
 pub mod announce;
-pub mod census;
 pub mod datagram;
 pub mod entries;
 pub mod member;
+pub mod member_count;
 pub mod roster;
 pub mod target;
 pub mod timing;
 pub mod view;
 
 pub(crate) mod contacts;
+pub(crate) mod controller;
 pub(crate) mod gossip;
-pub(crate) mod greeters;
-pub(crate) mod greeting;
 pub(crate) mod join;
-pub(crate) mod listing;
-pub(crate) mod probe;
+pub(crate) mod join_client;
 pub(crate) mod refresh;
+pub(crate) mod registration;
 pub(crate) mod rounds;
+pub(crate) mod seeds;
 pub(crate) mod versions;
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -16,8 +16,8 @@
 use crate::configuration::reader::Reader;
 use crate::configuration::relay::jitter;
 use crate::error::Result;
+use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
 use crate::units::{Millis, Offset};
 
 /// Longest pause between two times that members are asked.
--- a/src/membership/listing.rs
+++ b/src/membership/registration.rs
@@ -10,7 +10,7 @@
 use crate::clock;
 use crate::configuration::origin::{Contact, Directory, Origin};
 use crate::error::Result;
-use crate::membership::greeters::Listed;
+use crate::membership::seeds::Listed;
 use crate::units::Millis;
 
 /// Listed daemons with which a list is long enough: many more than a newcomer joins through, so that
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -4,9 +4,9 @@
 
 use crate::configuration::reader::duty;
 use crate::configuration::relay::jitter;
+use crate::membership::controller::{Membership, State};
 use crate::membership::datagram::Datagram;
 use crate::membership::member::Stage;
-use crate::membership::probe::{Membership, State};
 use crate::settings::Delivery;
 use crate::units::Version;
 
--- a/src/quarantine/keeper.rs
+++ b/src/quarantine/keeper.rs
@@ -8,7 +8,7 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::membership::probe::Membership;
+use crate::membership::controller::Membership;
 use crate::quarantine::archive::Archive;
 use crate::quarantine::evidence::Verdicts;
 use crate::quarantine::fingerprint::Fingerprint;
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -16,9 +16,9 @@
 use crate::error::{Error, Result};
 use crate::extension::Reread;
 use crate::idempotency::guard::Keys;
-use crate::membership::listing::Listing;
+use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::probe::Membership;
+use crate::membership::registration::Listing;
 
 /// Exit status after a planned stop.
 pub const EXIT_STOPPED: u8 = 0;
--- a/tests/census.rs
+++ b/tests/member_count.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawpulley::membership::census::Census;
+use jackdawpulley::membership::member_count::Census;
 
 /// Three hundred daemons start within a second, later a third of them restart in turn. Each change was
 /// a line at every daemon, 300 in the first second; now there is a line a second at most, and the last
