--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -30,7 +30,7 @@
 use crate::membership::contacts::Contacts;
 use crate::membership::controller::Membership;
 use crate::membership::join::Joiner;
-use crate::membership::join_client::Greeting;
+use crate::membership::join_client::JoinClient;
 use crate::membership::member::Stage;
 use crate::membership::refresh::Refresher;
 use crate::operation::operator::Operator;
@@ -179,7 +179,7 @@
         links: Arc::clone(&links),
         membership: Arc::clone(&membership),
     };
-    let greeting = Arc::new(Greeting {
+    let greeting = Arc::new(JoinClient {
         board: Arc::clone(&board),
         links,
         membership: Arc::clone(&membership),
@@ -190,7 +190,7 @@
         board: Arc::clone(&board),
         store,
         membership: Arc::clone(&membership),
-        greeting,
+        join_client: greeting,
         reader: Arc::clone(&reader),
         contacts,
         origin: origin.clone(),
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -16,7 +16,7 @@
 use crate::membership::datagram::{Datagram, Join, Probe, Welcome};
 use crate::membership::entries::Entry;
 use crate::membership::member::{Health, Member, Offer, Stage};
-use crate::membership::member_count::Census;
+use crate::membership::member_count::Throttle;
 use crate::membership::roster::{Departed, Home, Roster};
 use crate::membership::timing::Timing;
 use crate::membership::view::{Effects, Send, View};
@@ -90,7 +90,7 @@
         let voucher = Arc::clone(&self);
         tokio::spawn(async move { voucher.vouch().await });
         let period = self.board.settings.probe_period_ms;
-        let mut census = Census::default();
+        let mut census = Throttle::default();
         let mut ticks = tokio::time::interval(Millis((period.0 / TICKS).max(1)).duration());
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -20,30 +20,30 @@
 use crate::membership::announce::Desk;
 use crate::membership::contacts::{Contacts, RENEWAL};
 use crate::membership::controller::Membership;
-use crate::membership::join_client::{Greeting, Heard, Round};
+use crate::membership::join_client::{JoinClient, Requests, Welcomes};
 use crate::membership::member::Stage;
-use crate::membership::registration::Listing;
-use crate::membership::seeds::{Listed, greeters};
+use crate::membership::registration::Registration;
+use crate::membership::seeds::{Peers, choose_seeds};
 use crate::quarantine::archive::Archive;
 use crate::units::{DataCentre, Millis, Offset, Version};
 
 /// Welcomes after which a joiner asks nobody else while a platform lists daemons: in a joint start
 /// of many each of them would otherwise be sent the view of every other one.
-const WELCOMES: usize = 8;
+const ENOUGH_WELCOMES: usize = 8;
 /// Pause between two rounds while no floor has been reached.
-const ROUND: Duration = Duration::from_millis(200);
+const ROUND_PAUSE: Duration = Duration::from_millis(200);
 /// Pauses after calls to the platform that failed: who lapsed from the list while it was away is back
 /// within two seconds.
-const PAUSES: Backoff = Backoff::new(ROUND, Duration::from_secs(2));
+const RETRY_BACKOFF: Backoff = Backoff::new(ROUND_PAUSE, Duration::from_secs(2));
 /// Time between two first reads of the configuration in a joint start, over all daemons that are known:
 /// whoever has read it tells the others in less time than all of them would take to read.
 const READ_SPACING: Duration = Duration::from_millis(10);
 /// Time that a read waits for the first version while there is none.
-const ORIGIN_WAIT: Millis = Millis(1_500);
+const FIRST_VERSION_WAIT: Millis = Millis(1_500);
 /// Time over which listed daemons list themselves again.
-const LIST_SPREAD: Duration = Duration::from_secs(1);
+const REREGISTRATION_SPREAD: Duration = Duration::from_secs(1);
 /// Time between two looks at the list for a daemon that knows nobody; each look doubles it.
-const ALONE: Duration = Duration::from_secs(2);
+const ISOLATED_PAUSE: Duration = Duration::from_secs(2);
 
 /// Brings a daemon from its start to serving, and keeps contacts fresh.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     /// The membership view.
     pub membership: Arc<Membership>,
     /// Joins through peers.
-    pub greeting: Arc<Greeting>,
+    pub join_client: Arc<JoinClient>,
     /// Reads the log.
     pub reader: Arc<Reader>,
     /// The log's list of contacts.
@@ -72,28 +72,29 @@
     /// Joins, waits for the floor, then serves and keeps contacts for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         // A whole data centre that comes back must not ask in the same instant.
-        tokio::time::sleep(jitter(ROUND)).await;
+        tokio::time::sleep(jitter(ROUND_PAUSE)).await;
         let Some(origin) = self.origin.clone() else {
-            self.reach_floor().await;
-            self.recall().await;
+            self.start_from_log().await;
+            self.restore_quarantine().await;
             self.serve().await;
             self.contacts.keep().await;
             return;
         };
-        let listing = Listing::new(Arc::clone(&self.board), origin);
-        let listed = self.reach_origin(&listing).await;
+        let listing = Registration::new(Arc::clone(&self.board), origin);
+        let listed = self.start_from_control_plane(&listing).await;
         self.serve().await;
-        self.meet_listed(listed).await;
+        self.join_late_peers(listed).await;
         if self.is_alone() {
             // Guards against a list on which those that are read first are gone for good: this daemon
             // would know nobody, and nobody would learn of it. An error leaves it for the next look.
-            self.meet(listing.enter().await.unwrap_or_default()).await;
+            self.join_unknown(listing.register_and_read().await.unwrap_or_default())
+                .await;
         }
-        self.keep_listed(&listing).await;
+        self.maintain_registration(&listing).await;
     }
 
     /// Takes in what is kept of requests in quarantine. With the log away, the peers have told it.
-    async fn recall(&self) {
+    async fn restore_quarantine(&self) {
         match self.archive.recall().await {
             Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
             Err(error) => {
@@ -116,19 +117,22 @@
     /// The list of daemons and the configuration are read side by side, and peers that make
     /// themselves known are asked at once: with the platform away, nothing waits for a time-out.
     /// Returns where the list is still to come from, if it has not come.
-    async fn reach_origin(self: &Arc<Self>, listing: &Listing) -> mpsc::Receiver<Listed> {
+    async fn start_from_control_plane(
+        self: &Arc<Self>,
+        listing: &Registration,
+    ) -> mpsc::Receiver<Peers> {
         let patience = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
         let mut told = false;
-        let mut heard = Heard::default();
-        let mut round = Round::new(&self.greeting);
+        let mut heard = Welcomes::default();
+        let mut round = Requests::new(&self.join_client);
         round.ask(self.board.settings.contacts.clone());
         let mut rosters = self.board.rosters();
         let mut versions = self.board.versions();
         let mut stages = self.board.stages();
         let (sender, mut listed) = mpsc::channel(1);
-        tokio::spawn(Arc::clone(self).consult(listing.clone(), sender));
-        let mut pauses = PAUSES;
-        let mut reading = self.reading(ROUND);
+        tokio::spawn(Arc::clone(self).discover(listing.clone(), sender));
+        let mut pauses = RETRY_BACKOFF;
+        let mut reading = self.read_after(ROUND_PAUSE);
         let mut read = false;
         while self.board.stage() == Stage::Starting {
             let late = tokio::time::Instant::now() >= patience;
@@ -136,8 +140,8 @@
             let known = have > Version(0) && have >= heard.floor.version();
             // Peers have the targets that this daemon's callers need, and remember what its own
             // target offered.
-            let early = heard.welcomes == 0 && (!told || round.is_open()) && !late;
-            let peers = (told || late) && heard.floor.met_by_peers(have, self.data_centres());
+            let early = heard.count == 0 && (!told || round.is_pending()) && !late;
+            let peers = (told || late) && heard.floor.met_by_peers(have, self.count_data_centres());
             if known && !early && (read || peers) {
                 break;
             }
@@ -146,31 +150,31 @@
                 result = &mut reading => {
                     read = result.is_ok();
                     let pause = if read {
-                        turn_to_read(self.board.roster().members.len())
+                        read_delay(self.board.roster().members.len())
                     } else {
                         pauses.random_pause()
                     };
-                    reading = self.reading(pause);
+                    reading = self.read_after(pause);
                 }
                 Some(peers) = listed.recv() => {
                     told = true;
-                    reading = self.reading(turn_to_read(peers.len()));
+                    reading = self.read_after(read_delay(peers.len()));
                     strangers = peers;
                 }
                 (peer, answer) = round.next() => {
                     if let Ok(welcome) = answer {
-                        self.greeting.take(peer, &welcome, &mut heard);
+                        self.join_client.apply(peer, &welcome, &mut heard);
                     }
                 }
-                _ = rosters.changed() => strangers = self.known(),
+                _ = rosters.changed() => strangers = self.known_peers(),
                 _ = versions.changed() => {}
                 () = tokio::time::sleep_until(patience), if !late => {
                     warn!(self.board.logger, "no floor yet"; "version" => have.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
-            if heard.welcomes < WELCOMES {
-                round.ask_few(strangers, &self.board.settings.data_centre);
+            if heard.count < ENOUGH_WELCOMES {
+                round.ask_seeds(strangers, &self.board.settings.data_centre);
             }
         }
         if !self.board.settings.first_start {
@@ -185,22 +189,22 @@
     /// Guards against a platform that answers late while this daemon starts: it has a configuration,
     /// but nobody else's target, and refused every caller until the list was looked at the next
     /// time, minutes later.
-    async fn meet_listed(&self, mut listed: mpsc::Receiver<Listed>) {
+    async fn join_late_peers(&self, mut listed: mpsc::Receiver<Peers>) {
         if let Some(peers) = listed.recv().await {
-            self.meet(peers).await;
+            self.join_unknown(peers).await;
         }
     }
 
     /// Joins through a few of `peers` that are not known yet; through others where none of those
     /// answers, since a list may be full of hosts that are gone.
-    async fn meet(&self, mut peers: Listed) {
+    async fn join_unknown(&self, mut peers: Peers) {
         let roster = self.board.roster();
         peers.retain(|(peer, _)| roster.member(*peer).is_none());
-        let mut heard = Heard::default();
+        let mut heard = Welcomes::default();
         while !peers.is_empty() {
-            let strangers = greeters(peers.clone(), &self.board.settings.data_centre);
+            let strangers = choose_seeds(peers.clone(), &self.board.settings.data_centre);
             peers.retain(|(peer, _)| !strangers.contains(peer));
-            if self.greeting.greet_all(strangers, &mut heard).await > 0 {
+            if self.join_client.join_through(strangers, &mut heard).await > 0 {
                 return;
             }
         }
@@ -212,19 +216,19 @@
     }
 
     /// Reads the newest version, or waits a while for one, after a pause.
-    fn reading(self: &Arc<Self>, pause: Duration) -> BoxFuture<'static, Result<Offset>> {
+    fn read_after(self: &Arc<Self>, pause: Duration) -> BoxFuture<'static, Result<Offset>> {
         let reader = Arc::clone(&self.reader);
         Box::pin(async move {
             tokio::time::sleep(pause).await;
-            reader.turn(ORIGIN_WAIT).await
+            reader.turn(FIRST_VERSION_WAIT).await
         })
     }
 
     /// Tells who is listed, as soon as the platform does.
-    async fn consult(self: Arc<Self>, listing: Listing, found: mpsc::Sender<Listed>) {
-        let mut pauses = PAUSES;
+    async fn discover(self: Arc<Self>, listing: Registration, found: mpsc::Sender<Peers>) {
+        let mut pauses = RETRY_BACKOFF;
         while !self.board.stage().is_stopping() {
-            if let Ok(listed) = listing.consult().await {
+            if let Ok(listed) = listing.discover().await {
                 // Whoever waited for them may have found others meanwhile.
                 let _ = found.send(listed).await;
                 return;
@@ -234,15 +238,15 @@
     }
 
     /// Members that are there, as far as known.
-    fn known(&self) -> Listed {
+    fn known_peers(&self) -> Peers {
         let roster = self.board.roster();
         let members = roster.members.iter();
         members.map(|m| (m.peer, m.data_centre.clone())).collect()
     }
 
     /// Keeps enough daemons listed, and meets those that were listed meanwhile.
-    async fn keep_listed(&self, listing: &Listing) {
-        let mut alone = ALONE;
+    async fn maintain_registration(&self, listing: &Registration) {
+        let mut alone = ISOLATED_PAUSE;
         let mut eras = self.board.eras();
         loop {
             // It has just read who was listed before it.
@@ -251,17 +255,17 @@
             let pause = if is_alone { pause.min(alone) } else { pause };
             let waiting = tokio::time::timeout(pause, eras.changed());
             if waiting.await.is_ok_and(|changed| changed.is_ok()) {
-                self.list_again(listing).await;
+                self.register_again(listing).await;
                 continue;
             }
             let listed = if is_alone {
                 alone *= 2;
-                listing.enter().await
+                listing.register_and_read().await
             } else {
-                listing.tend().await
+                listing.maintain().await
             };
             // An error leaves it for the next round.
-            self.meet(listed.unwrap_or_default()).await;
+            self.join_unknown(listed.unwrap_or_default()).await;
         }
     }
 
@@ -270,24 +274,24 @@
     /// Guards against a platform that comes back from a copy of before that: with too few daemons on the
     /// list, one that starts alone in its view would find nobody. Those that were listed do it alone, each
     /// after a random pause, so the calls fit the platform however large the fleet is.
-    async fn list_again(&self, listing: &Listing) {
-        let mut pauses = PAUSES;
-        tokio::time::sleep(jitter(LIST_SPREAD)).await;
+    async fn register_again(&self, listing: &Registration) {
+        let mut pauses = RETRY_BACKOFF;
+        tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
         while self.board.is_listed() && !self.board.stage().is_stopping() {
-            if listing.list().await.is_ok() {
+            if listing.register().await.is_ok() {
                 return;
             }
             tokio::time::sleep(pauses.random_pause()).await;
         }
     }
 
-    async fn reach_floor(&self) {
+    async fn start_from_log(&self) {
         let began = Instant::now();
-        let mut heard = Heard::default();
+        let mut heard = Welcomes::default();
         let mut warned = false;
         while self.board.stage() == Stage::Starting {
-            let contacts = self.addresses().await;
-            self.greeting.greet_all(contacts, &mut heard).await;
+            let contacts = self.seed_addresses().await;
+            self.join_client.join_through(contacts, &mut heard).await;
             let floor = &mut heard.floor;
             let log_read = self.read_log(floor).await;
             let have = self.board.digest().version;
@@ -295,7 +299,7 @@
                 return;
             }
             let patient = began.elapsed() < self.board.settings.log_patience_ms.duration();
-            if !log_read && !patient && floor.met_by_peers(have, self.data_centres()) {
+            if !log_read && !patient && floor.met_by_peers(have, self.count_data_centres()) {
                 warn!(self.board.logger, "the log is away, peers decide"; "version" => have.0);
                 return;
             }
@@ -306,7 +310,7 @@
                     "no floor yet: neither the log nor enough peers answer"
                 );
             }
-            tokio::time::sleep(ROUND + jitter(ROUND)).await;
+            tokio::time::sleep(ROUND_PAUSE + jitter(ROUND_PAUSE)).await;
         }
     }
 
@@ -324,7 +328,7 @@
     }
 
     /// A few addresses to join through: known members, settings, then the log's contacts.
-    async fn addresses(&self) -> Vec<SocketAddr> {
+    async fn seed_addresses(&self) -> Vec<SocketAddr> {
         let me = self.board.settings.identity();
         let roster = self.board.roster();
         let known = roster.members.iter().map(|member| member.peer);
@@ -345,7 +349,7 @@
         contacts
     }
 
-    fn data_centres(&self) -> usize {
+    fn count_data_centres(&self) -> usize {
         let roster = self.board.roster();
         let mut names: Vec<&DataCentre> = roster.members.iter().map(|m| &m.data_centre).collect();
         names.sort_unstable();
@@ -356,6 +360,6 @@
 
 /// Pause before a daemon that knows of `others` reads the configuration, unless one of them tells it
 /// by then.
-fn turn_to_read(others: usize) -> Duration {
+fn read_delay(others: usize) -> Duration {
     jitter(READ_SPACING.saturating_mul(u32::try_from(others).unwrap_or(u32::MAX)))
 }
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -15,25 +15,25 @@
 use crate::membership::controller::Membership;
 use crate::membership::datagram::{Join, Welcome};
 use crate::membership::member::{Health, Member};
-use crate::membership::seeds::{GREETERS, Listed, greeters};
+use crate::membership::seeds::{JOIN_FANOUT, Peers, choose_seeds};
 use crate::peer::Links;
 use crate::peer::server::JOIN;
 use crate::units::{DataCentre, Slots};
 
 /// What a starting daemon has heard from its peers.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct Welcomes {
     /// The configuration that it has to reach.
     pub floor: Floor,
     /// Peers that have welcomed it.
-    pub welcomes: usize,
+    pub count: usize,
     /// The last entry of an earlier daemon at this address.
-    earlier: Option<Member>,
+    predecessor: Option<Member>,
     /// Slots that this address's target offered.
     slots: Option<Slots>,
 }
 
-impl Heard {
+impl Welcomes {
     /// Slots that this address's target offered last, by a peer's word.
     #[must_use]
     pub const fn slots(&self) -> Option<Slots> {
@@ -43,7 +43,7 @@
 
 /// Joins through peers on behalf of a daemon.
 #[derive(Debug)]
-pub struct Greeting {
+pub struct JoinClient {
     /// The blackboard.
     pub board: Arc<Board>,
     /// Connections to peers.
@@ -56,7 +56,7 @@
     pub keys: Arc<Keys>,
 }
 
-impl Greeting {
+impl JoinClient {
     /// Asks one peer to let this daemon in.
     async fn ask(&self, peer: SocketAddr) -> Result<Welcome> {
         let join = Join {
@@ -66,8 +66,8 @@
     }
 
     /// Takes a welcome in, and fetches what its sender has in force where that is newer.
-    pub fn take(&self, peer: SocketAddr, welcome: &Welcome, heard: &mut Heard) {
-        self.note(welcome, heard);
+    pub fn apply(&self, peer: SocketAddr, welcome: &Welcome, heard: &mut Welcomes) {
+        self.record(welcome, heard);
         if self.is_ahead(welcome) {
             let relay = Arc::clone(&self.relay);
             tokio::spawn(async move { relay.pull(peer).await });
@@ -76,11 +76,11 @@
 
     /// Joins through a few of `contacts` at once and fetches what they have in force; how many
     /// welcomed this daemon.
-    pub async fn greet_all(&self, mut contacts: Vec<SocketAddr>, heard: &mut Heard) -> usize {
-        let before = heard.welcomes;
+    pub async fn join_through(&self, mut contacts: Vec<SocketAddr>, heard: &mut Welcomes) -> usize {
+        let before = heard.count;
         contacts.retain(|peer| *peer != self.board.settings.identity());
         contacts.shuffle(&mut rand::rng());
-        contacts.truncate(GREETERS);
+        contacts.truncate(JOIN_FANOUT);
         let asking = contacts
             .into_iter()
             .map(|peer| async move { (peer, self.ask(peer).await) });
@@ -88,20 +88,20 @@
             let Ok(welcome) = welcome else {
                 continue;
             };
-            self.note(&welcome, heard);
+            self.record(&welcome, heard);
             if self.is_ahead(&welcome) {
                 let _ = self.relay.pull(peer).await;
             }
         }
-        heard.welcomes - before
+        heard.count - before
     }
 
     fn is_ahead(&self, welcome: &Welcome) -> bool {
         welcome.digest.version > self.board.digest().version
     }
 
-    fn note(&self, welcome: &Welcome, heard: &mut Heard) {
-        heard.welcomes += 1;
+    fn record(&self, welcome: &Welcome, heard: &mut Welcomes) {
+        heard.count += 1;
         let greeter = welcome.members.first();
         let greeter = greeter.map(|m| m.data_centre.clone()).unwrap_or_default();
         heard
@@ -111,12 +111,12 @@
         self.board.note_era(welcome.era);
         self.board.quarantine.merge(&welcome.crashes);
         self.board.rollouts.merge(&welcome.rollouts);
-        self.look_back(&welcome.members, heard);
+        self.track_predecessor(&welcome.members, heard);
         self.membership.learn(&welcome.members, &welcome.usual);
     }
 
     /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
-    fn look_back(&self, members: &[Member], heard: &mut Heard) {
+    fn track_predecessor(&self, members: &[Member], heard: &mut Welcomes) {
         let me = self.membership.me();
         // Entries between the birth of this daemon and now are its own; those from the future
         // are of an earlier one whose clock was ahead.
@@ -127,20 +127,20 @@
         let word = |member: &Member| (member.incarnation, member.health);
         if let Some(told) = told
             && heard
-                .earlier
+                .predecessor
                 .as_ref()
                 .is_none_or(|known| word(known) < word(told))
         {
-            heard.earlier = Some(told.clone());
+            heard.predecessor = Some(told.clone());
         }
-        let earlier = heard.earlier.as_ref();
+        let earlier = heard.predecessor.as_ref();
         let lost = earlier.is_some_and(|known| known.health != Health::Left);
         self.keys.set_lived(lost);
     }
 }
 
 /// What a peer that was asked came to.
-pub type Answer = (SocketAddr, Result<Welcome>);
+pub type Reply = (SocketAddr, Result<Welcome>);
 
 /// Peers that a starting daemon asks side by side.
 ///
@@ -148,23 +148,23 @@
 /// mostly still dark, and a daemon that waits for them before it takes the others' welcomes refuses its
 /// callers for as long.
 #[derive(Debug)]
-pub struct Round {
-    greeting: Arc<Greeting>,
+pub struct Requests {
+    greeting: Arc<JoinClient>,
     asked: Vec<SocketAddr>,
-    open: usize,
-    sender: mpsc::Sender<Answer>,
-    answers: mpsc::Receiver<Answer>,
+    pending: usize,
+    sender: mpsc::Sender<Reply>,
+    answers: mpsc::Receiver<Reply>,
 }
 
-impl Round {
+impl Requests {
     /// Nobody has been asked yet.
     #[must_use]
-    pub fn new(greeting: &Arc<Greeting>) -> Self {
-        let (sender, answers) = mpsc::channel(GREETERS);
+    pub fn new(greeting: &Arc<JoinClient>) -> Self {
+        let (sender, answers) = mpsc::channel(JOIN_FANOUT);
         Self {
             greeting: Arc::clone(greeting),
             asked: vec![greeting.board.settings.identity()],
-            open: 0,
+            pending: 0,
             sender,
             answers,
         }
@@ -172,21 +172,21 @@
 
     /// Whether an answer is still to come.
     #[must_use]
-    pub const fn is_open(&self) -> bool {
-        self.open > 0
+    pub const fn is_pending(&self) -> bool {
+        self.pending > 0
     }
 
     /// Asks a few of `peers` that were not asked yet, mostly of the data centre `home`.
-    pub fn ask_few(&mut self, mut peers: Listed, home: &DataCentre) {
+    pub fn ask_seeds(&mut self, mut peers: Peers, home: &DataCentre) {
         peers.retain(|(peer, _)| !self.asked.contains(peer));
-        self.ask(greeters(peers, home));
+        self.ask(choose_seeds(peers, home));
     }
 
     /// Asks all of `peers`.
     pub fn ask(&mut self, peers: Vec<SocketAddr>) {
         for peer in peers {
             self.asked.push(peer);
-            self.open += 1;
+            self.pending += 1;
             let (greeting, sender) = (Arc::clone(&self.greeting), self.sender.clone());
             tokio::spawn(async move {
                 let answer = greeting.ask(peer).await;
@@ -197,19 +197,19 @@
     }
 
     /// Takes the answers that are still to come.
-    pub async fn finish(mut self, mut heard: Heard) {
-        while self.is_open() {
+    pub async fn finish(mut self, mut heard: Welcomes) {
+        while self.is_pending() {
             if let (peer, Ok(welcome)) = self.next().await {
-                self.greeting.take(peer, &welcome, &mut heard);
+                self.greeting.apply(peer, &welcome, &mut heard);
             }
         }
     }
 
     /// Waits for the next answer.
-    pub async fn next(&mut self) -> Answer {
+    pub async fn next(&mut self) -> Reply {
         match self.answers.recv().await {
             Some(answer) => {
-                self.open -= 1;
+                self.pending -= 1;
                 answer
             }
             // Not reached, as the round holds a sender.
--- a/src/membership/member_count.rs
+++ b/src/membership/member_count.rs
@@ -14,26 +14,26 @@
 use std::time::{Duration, Instant};
 
 /// Shortest time between two lines.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What was said last of the number of members.
 ///
 /// Guards against lines that grow with the square of a fleet: a joint start changes the view of every
 /// daemon once for each of the others.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Census {
+pub struct Throttle {
     members: usize,
-    said: Option<Instant>,
+    logged_at: Option<Instant>,
 }
 
-impl Census {
+impl Throttle {
     /// The number that was said before, where `members` should be said now.
     pub fn due(&mut self, now: Instant, members: usize) -> Option<usize> {
-        let soon = self.said.is_some_and(|said| now < said + PAUSE);
+        let soon = self.logged_at.is_some_and(|said| now < said + MIN_INTERVAL);
         if soon || members == self.members {
             return None;
         }
-        self.said = Some(now);
+        self.logged_at = Some(now);
         Some(std::mem::replace(&mut self.members, members))
     }
 }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -10,25 +10,25 @@
 use crate::clock;
 use crate::configuration::origin::{Contact, Directory, Origin};
 use crate::error::Result;
-use crate::membership::seeds::Listed;
+use crate::membership::seeds::Peers;
 use crate::units::Millis;
 
 /// Listed daemons with which a list is long enough: many more than a newcomer joins through, so that
 /// hosts that are lost together are not all of them.
-const ENOUGH: usize = 16;
+const MIN_CONTACTS: usize = 16;
 
 /// Spans of the quarantine after which a note of it is taken off the platform: one would do, but for hosts
 /// whose clock is wrong.
-const FORGOTTEN: u64 = 2;
+const NOTE_EXPIRY_SPANS: u64 = 2;
 
 /// One daemon's dealings with the list.
 #[derive(Debug, Clone)]
-pub struct Listing {
+pub struct Registration {
     board: Arc<Board>,
     origin: Arc<dyn Origin>,
 }
 
-impl Listing {
+impl Registration {
     /// The list of `origin`, for the daemon of `board`.
     #[must_use]
     pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
@@ -42,12 +42,12 @@
     /// # Errors
     ///
     /// As [`Origin::directory`] and [`Origin::list`].
-    pub async fn consult(&self) -> Result<Listed> {
-        let contacts = self.read(ENOUGH).await?;
-        if contacts.len() >= ENOUGH {
-            return Ok(listed(contacts));
+    pub async fn discover(&self) -> Result<Peers> {
+        let contacts = self.read(MIN_CONTACTS).await?;
+        if contacts.len() >= MIN_CONTACTS {
+            return Ok(peers(contacts));
         }
-        self.enter().await
+        self.register_and_read().await
     }
 
     /// Lists this daemon, then reads everybody who is listed.
@@ -55,9 +55,9 @@
     /// # Errors
     ///
     /// As [`Listing::consult`].
-    pub async fn enter(&self) -> Result<Listed> {
-        self.list().await?;
-        Ok(listed(self.read(usize::MAX).await?))
+    pub async fn register_and_read(&self) -> Result<Peers> {
+        self.register().await?;
+        Ok(peers(self.read(usize::MAX).await?))
     }
 
     /// Lists this daemon.
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// As [`Origin::list`].
-    pub async fn list(&self) -> Result<()> {
+    pub async fn register(&self) -> Result<()> {
         // It may be done although no answer comes.
         self.board.set_listed();
         self.origin.list(&self.contact()).await
@@ -76,15 +76,15 @@
     /// # Errors
     ///
     /// As [`Listing::consult`].
-    pub async fn tend(&self) -> Result<Listed> {
+    pub async fn maintain(&self) -> Result<Peers> {
         let contacts = self.read(usize::MAX).await?;
         let roster = self.board.roster();
         let there = contacts.iter().filter(|c| roster.member(c.peer).is_some());
-        let few = there.count() < ENOUGH;
+        let few = there.count() < MIN_CONTACTS;
         if few && !contacts.contains(&self.contact()) && !self.board.stage().is_stopping() {
-            return self.enter().await;
+            return self.register_and_read().await;
         }
-        Ok(listed(contacts))
+        Ok(peers(contacts))
     }
 
     /// Takes this daemon off the list, where it may stand on it.
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// As [`Origin::unlist`].
-    pub async fn leave(&self) -> Result<()> {
+    pub async fn deregister(&self) -> Result<()> {
         if self.board.is_listed() {
             self.origin.unlist(&self.contact()).await?;
         }
@@ -105,7 +105,7 @@
         let (now, memory) = (clock::unix_ms(), self.board.settings.quarantine_ms);
         self.board.quarantine.recall(&notes, now);
         for (cause, note) in notes {
-            if note.age(now) >= Millis(FORGOTTEN * memory.0) {
+            if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * memory.0) {
                 // One that stays is read once more, and counts for nothing.
                 let _ = self.origin.note(cause, None).await;
             }
@@ -122,7 +122,7 @@
     }
 }
 
-fn listed(contacts: Vec<Contact>) -> Listed {
+fn peers(contacts: Vec<Contact>) -> Peers {
     let contacts = contacts.into_iter();
     contacts.map(|c| (c.peer, c.data_centre)).collect()
 }
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -18,7 +18,7 @@
 use crate::idempotency::guard::Keys;
 use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::registration::Listing;
+use crate::membership::registration::Registration;
 
 /// Exit status after a planned stop.
 pub const EXIT_STOPPED: u8 = 0;
@@ -107,9 +107,9 @@
         let (board, began) = (&self.board, Instant::now());
         self.membership.reflect().await;
         if let Some(origin) = self.origin.clone() {
-            let listing = Listing::new(Arc::clone(board), origin);
+            let listing = Registration::new(Arc::clone(board), origin);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
-            tokio::spawn(async move { listing.leave().await });
+            tokio::spawn(async move { listing.deregister().await });
         }
         let accept = board.settings.accept_ms.duration();
         tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
--- a/tests/member_count.rs
+++ b/tests/member_count.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawpulley::membership::member_count::Census;
+use jackdawpulley::membership::member_count::Throttle;
 
 /// Three hundred daemons start within a second, later a third of them restart in turn. Each change was
 /// a line at every daemon, 300 in the first second; now there is a line a second at most, and the last
@@ -10,7 +10,7 @@
 #[test]
 fn storms_are_summed_up() {
     let start = Instant::now();
-    let mut census = Census::default();
+    let mut census = Throttle::default();
     let mut lines = Vec::new();
     let changes = (1..=300).chain((200..300).rev()).chain(201..=300);
     for (tick, members) in (0_u64..).zip(changes) {
