--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -26,7 +26,7 @@
 use crate::error::{ListenSnafu, Result};
 use crate::extension::{Extension, Face, Handles};
 use crate::idempotency::guard::Keys;
-use crate::membership::announce::Desk;
+use crate::membership::announce::Endpoint;
 use crate::membership::contacts::Contacts;
 use crate::membership::controller::Membership;
 use crate::membership::join::Joiner;
@@ -172,7 +172,7 @@
         log.clone(),
     );
     let operator = operator(&board, publisher, &gate, &keys);
-    let desk = Arc::new(Desk::new(Arc::clone(&board), Arc::clone(&membership)));
+    let desk = Arc::new(Endpoint::new(Arc::clone(&board), Arc::clone(&membership)));
     let contacts = Contacts {
         board: Arc::clone(&board),
         log,
@@ -195,7 +195,7 @@
         contacts,
         origin: origin.clone(),
         archive: archive.clone(),
-        desk: Arc::clone(&desk),
+        endpoint: Arc::clone(&desk),
     };
     let entry = Arc::new(Entry::new(Arc::clone(&board), gate));
     let refresher = Refresher::new(&board, &membership, &reader);
@@ -297,13 +297,13 @@
 /// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
 async fn serve_faces(
     board: &Arc<Board>,
-    desk: &Arc<Desk>,
+    desk: &Arc<Endpoint>,
     operator: Arc<Operator>,
     faces: Vec<Face>,
 ) -> Result<()> {
     let handles = Handles {
         board: Arc::clone(board),
-        desk: Arc::clone(desk),
+        endpoint: Arc::clone(desk),
     };
     let mut routers = vec![
         (board.settings.operator_addr, operator.router()),
--- a/src/extension.rs
+++ b/src/extension.rs
@@ -8,7 +8,7 @@
 use crate::board::Board;
 use crate::calls::dialect::Dialect;
 use crate::configuration::origin::Origin;
-use crate::membership::announce::Desk;
+use crate::membership::announce::Endpoint;
 use crate::membership::member::Stage;
 use crate::settings::Settings;
 
@@ -41,7 +41,7 @@
 pub struct Handles {
     pub(crate) board: Arc<Board>,
     /// Takes announcements of the co-located target.
-    pub desk: Arc<Desk>,
+    pub endpoint: Arc<Endpoint>,
 }
 
 impl Handles {
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
-use crate::membership::target::{Beat, Life, Lives, Standing};
+use crate::membership::target::{Process, Processes, Recency, Renewal};
 use crate::quarantine::inspect::{Inspector, lock};
 use crate::units::{Birth, Instance, Millis, Revision, Service, Slots, Version};
 
@@ -29,19 +29,19 @@
 pub const MAX_LEASE_MS: u64 = 60_000;
 /// Time by which a birth may lie ahead of this host's clock, in milliseconds: clocks differ by
 /// seconds at most.
-const MAX_AHEAD_MS: u64 = 60_000;
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 /// Longest name of a revision, in bytes: it travels with each target's entry.
-pub const MAX_REVISION: usize = 64;
+pub const MAX_REVISION_BYTES: usize = 64;
 /// Largest announcement, in bytes.
-const MAX_BODY: usize = 4_096;
+const MAX_BODY_BYTES: usize = 4_096;
 /// Time for a target to tell its health; it is on the same host.
-const HEALTH: Duration = Duration::from_millis(400);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 /// Slots of a target that has answered but not announced itself, where no peer remembers them: a
 /// usual size. A target queues or refuses by itself what it can't do, and that is no harm; with a
 /// small guess it would stand half idle after every daemon was killed, for an announcement's time.
-const UNTOLD_SLOTS: Slots = Slots(16);
+const DEFAULT_SLOTS: Slots = Slots(16);
 /// Lease of such a target: several times the usual time between two announcements.
-const UNTOLD_LEASE: Duration = Duration::from_secs(10);
+const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 
 /// What a target says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
 impl Announcement {
     /// What is wrong with it, with a remedy.
     #[must_use]
-    pub fn fault(&self) -> Option<&'static str> {
+    pub fn problem(&self) -> Option<&'static str> {
         if !self.service.is_valid() {
             return Some("service must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
@@ -80,13 +80,13 @@
             return Some("lease_ms must be 1 to 60000; renew at a third of it");
         }
         let revision = self.revision.as_ref().map_or("", Revision::as_str);
-        if revision.len() > MAX_REVISION {
+        if revision.len() > MAX_REVISION_BYTES {
             return Some("revision must have at most 64 bytes");
         }
         if self.cold_ms.0 > MAX_LEASE_MS {
             return Some("cold_ms must be at most 60000; tell what is left of it");
         }
-        let latest = Birth(clock::unix_ms() + MAX_AHEAD_MS);
+        let latest = Birth(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
         if self.born.is_some_and(|born| born > latest) {
             return Some("born lies in the future; tell the time of the start");
         }
@@ -96,21 +96,21 @@
 
 /// Serves the co-located target.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Endpoint {
     board: Arc<Board>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
     inspector: Inspector,
-    lives: Mutex<Lives>,
+    processes: Mutex<Processes>,
     /// When the last target began that has no names for its lives, in milliseconds since 1970; 0 for not told.
-    born_ms: AtomicU64,
+    latest_start_ms: AtomicU64,
 }
 
 /// Why an announcement was not taken: it contradicts itself, and the text names the remedy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Faulty(pub &'static str);
+pub struct Rejection(pub &'static str);
 
-impl Desk {
+impl Endpoint {
     /// A desk that writes the target on `board`.
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
@@ -119,8 +119,8 @@
             board,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
-            lives: Mutex::default(),
-            born_ms: AtomicU64::new(0),
+            processes: Mutex::default(),
+            latest_start_ms: AtomicU64::new(0),
         }
     }
 
@@ -150,8 +150,8 @@
     ///
     /// # Errors
     ///
-    /// [`Faulty`], and nothing is changed by it.
-    pub async fn beat(&self, beat: Beat) -> Result<(), Faulty> {
+    /// [`Rejection`], and nothing is changed by it.
+    pub async fn renew_lease(&self, beat: Renewal) -> Result<(), Rejection> {
         let announcement = Announcement {
             service: beat.service.clone(),
             address: beat.address,
@@ -159,51 +159,52 @@
             lease_ms: beat.lease,
             revision: beat.revision.clone(),
             cold_ms: beat.cold,
-            born: beat.life.born,
+            born: beat.process.born,
         };
-        let fault = announcement.fault().or_else(|| self.fault(&beat));
+        let fault = announcement.problem().or_else(|| self.fault(&beat));
         if let Some(fault) = fault {
-            return Err(Faulty(fault));
+            return Err(Rejection(fault));
         }
         let (standing, contested, leaving) = {
-            let mut lives = self.lives();
-            let contested = lives.contest(&beat.life);
-            let standing = lives.hear(&beat.life, beat.sequence);
-            if beat.leaving && matches!(standing, Standing::New | Standing::Current) {
+            let mut lives = self.processes();
+            let contested = lives.may_replace_another(&beat.process);
+            let standing = lives.observe(&beat.process, beat.sequence);
+            if beat.leaving && matches!(standing, Recency::New | Recency::Current) {
                 lives.leave();
             }
             (standing, contested, lives.leaving())
         };
         match standing {
-            Standing::Stale | Standing::Past => {
+            Recency::Stale | Recency::Ended => {
                 debug!(self.board.logger, "late announcement passed over";
-                    "instance" => %beat.life.instance, "sequence" => beat.sequence);
+                    "instance" => %beat.process.instance, "sequence" => beat.sequence);
                 return Ok(());
             }
-            Standing::New => {
+            Recency::New => {
                 info!(self.board.logger, "target announced"; "service" => %beat.service,
-                    "instance" => %beat.life.instance, "born" => beat.life.born.map(|born| born.0),
+                    "instance" => %beat.process.instance, "born" => beat.process.born.map(|born| born.0),
                     "sequence" => beat.sequence,
                     "revision" => beat.revision.as_ref().map(ToString::to_string),
                     "slots" => beat.slots.0);
             }
-            Standing::Current => {}
+            Recency::Current => {}
         }
         if leaving {
-            self.close("target leaves", &beat.life.instance).await;
+            self.clear_target("target leaves", &beat.process.instance)
+                .await;
             return Ok(());
         }
         // Two lives have claimed the address, in an order that proves nothing: ask who is there.
-        if standing == Standing::New && contested {
-            let asked = self.ask_health(beat.address, &beat.service).await;
-            if let Some(there) = asked.filter(|there| *there != beat.life.instance) {
-                self.lives().prove(&there);
+        if standing == Recency::New && contested {
+            let asked = self.check_health(beat.address, &beat.service).await;
+            if let Some(there) = asked.filter(|there| *there != beat.process.instance) {
+                self.processes().confirm(&there);
                 return Ok(());
             }
         }
         let target = Target {
-            instance: Some(beat.life.instance),
-            born: beat.life.born,
+            instance: Some(beat.process.instance),
+            born: beat.process.born,
             address: beat.address,
             service: beat.service,
             slots: beat.slots,
@@ -211,10 +212,10 @@
             cold_until: Instant::now() + beat.cold.duration(),
             lease_until: Instant::now() + beat.lease.duration(),
         };
-        if standing == Standing::New && contested {
+        if standing == Recency::New && contested {
             self.inspector.succeed(&target);
         }
-        self.open(target).await;
+        self.set_target(target).await;
         Ok(())
     }
 
@@ -222,7 +223,7 @@
     ///
     /// Guards against an announcement that is not the target's: taken for the word of its next life,
     /// it would put the one that serves out of use until it announces itself again.
-    fn fault(&self, beat: &Beat) -> Option<&'static str> {
+    fn fault(&self, beat: &Renewal) -> Option<&'static str> {
         let config = self.board.config();
         let groups = &config.document.groups;
         let named = groups.iter().any(|group| group.service == beat.service);
@@ -233,15 +234,15 @@
     }
 
     /// Notes an announcement that could not be read, and why.
-    pub fn unreadable(&self, problem: &str) {
+    pub fn record_unreadable(&self, problem: &str) {
         metrics::counter!("jackdaw_bad_announcements_total").increment(1);
         warn!(self.board.logger, "announcement refused"; "problem" => problem);
     }
 
     /// Notes that a life of the target ends: it gets no new work.
-    pub async fn deregister(&self, life: &Life) {
-        if self.lives().close(life) {
-            self.close("target ends", &life.instance).await;
+    pub async fn deregister(&self, life: &Process) {
+        if self.processes().close(life) {
+            self.clear_target("target ends", &life.instance).await;
         }
     }
 
@@ -249,38 +250,38 @@
     ///
     /// Guards against a daemon that was killed beside a healthy target: until the next
     /// announcement the target would stand idle and its share of the work go to the others.
-    pub async fn find_target(&self, slots: Option<Slots>) {
+    pub async fn discover_target(&self, slots: Option<Slots>) {
         let settings = &self.board.settings;
         let (Some(address), Some(service)) = (settings.service_addr, settings.service.clone())
         else {
             return;
         };
-        if !self.lives().is_empty() {
+        if !self.processes().is_empty() {
             return;
         }
-        let Some(instance) = self.ask_health(address, &service).await else {
+        let Some(instance) = self.check_health(address, &service).await else {
             return;
         };
-        if !self.lives().is_empty() {
+        if !self.processes().is_empty() {
             return;
         }
-        self.lives().prove(&instance);
+        self.processes().confirm(&instance);
         info!(self.board.logger, "target found"; "instance" => %instance, "slots" => ?slots);
-        self.open(Target {
+        self.set_target(Target {
             instance: Some(instance),
             born: None,
             address,
             service,
-            slots: slots.unwrap_or(UNTOLD_SLOTS),
+            slots: slots.unwrap_or(DEFAULT_SLOTS),
             revision: None,
             cold_until: Instant::now(),
-            lease_until: Instant::now() + UNTOLD_LEASE,
+            lease_until: Instant::now() + DEFAULT_LEASE,
         })
         .await;
     }
 
     /// The life that is healthy at `address`, where targets of the service tell it.
-    async fn ask_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
+    async fn check_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         let group = groups.find(|group| group.service == *service)?;
@@ -292,13 +293,16 @@
             .body(Body::empty());
         let request = request.ok()?;
         let asking = self.dispatcher.send(address, request, true);
-        let (response, _lease) = tokio::time::timeout(HEALTH, asking).await.ok()?.ok()?;
+        let (response, _lease) = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, asking)
+            .await
+            .ok()?
+            .ok()?;
         let healthy = response.status().is_success();
         let instance = response.headers().get(name).filter(|_| healthy)?;
         instance.to_str().ok().map(Instance::from)
     }
 
-    async fn open(&self, target: Target) {
+    async fn set_target(&self, target: Target) {
         let life = |target: &Target| (target.instance.clone(), target.born);
         let before = self.board.target();
         let same = before.is_some_and(|before| life(&before) == life(&target));
@@ -307,7 +311,7 @@
         self.membership.reflect().await;
     }
 
-    async fn close(&self, event: &'static str, instance: &Instance) {
+    async fn clear_target(&self, event: &'static str, instance: &Instance) {
         if self.board.target().is_some() {
             info!(self.board.logger, "{}", event; "instance" => %instance);
         }
@@ -316,12 +320,14 @@
         self.membership.reflect().await;
     }
 
-    fn lives(&self) -> MutexGuard<'_, Lives> {
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner)
+    fn processes(&self) -> MutexGuard<'_, Processes> {
+        self.processes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn announce(&self, body: &[u8]) -> (StatusCode, String) {
-        if body.len() > MAX_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return (
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "announce in under 4096 bytes".to_owned(),
@@ -336,7 +342,7 @@
                 );
             }
         };
-        if let Some(fault) = announcement.fault() {
+        if let Some(fault) = announcement.problem() {
             return (StatusCode::UNPROCESSABLE_ENTITY, fault.to_owned());
         }
         if self.board.stage() == Stage::Draining {
@@ -359,19 +365,19 @@
         if !known {
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
-        if self.follows_another(target.born) {
+        if self.replaces_earlier(target.born) {
             self.inspector.succeed(&target);
         }
-        self.open(target).await;
+        self.set_target(target).await;
         (StatusCode::OK, "announced".to_owned())
     }
 
     /// Whether a target that began then follows one that began earlier; notes when it began.
-    fn follows_another(&self, born: Option<Birth>) -> bool {
+    fn replaces_earlier(&self, born: Option<Birth>) -> bool {
         let Some(Birth(born_ms)) = born else {
             return false;
         };
-        let before_ms = self.born_ms.fetch_max(born_ms, Ordering::AcqRel);
+        let before_ms = self.latest_start_ms.fetch_max(born_ms, Ordering::AcqRel);
         before_ms != 0 && before_ms < born_ms
     }
 
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -17,7 +17,7 @@
 use crate::configuration::reader::Reader;
 use crate::configuration::relay::jitter;
 use crate::error::Result;
-use crate::membership::announce::Desk;
+use crate::membership::announce::Endpoint;
 use crate::membership::contacts::{Contacts, RENEWAL};
 use crate::membership::controller::Membership;
 use crate::membership::join_client::{JoinClient, Requests, Welcomes};
@@ -65,7 +65,7 @@
     /// What is kept of requests in quarantine.
     pub archive: Archive,
     /// Finds the target of a daemon that was killed.
-    pub desk: Arc<Desk>,
+    pub endpoint: Arc<Endpoint>,
 }
 
 impl Joiner {
@@ -178,7 +178,7 @@
             }
         }
         if !self.board.settings.first_start {
-            self.desk.find_target(heard.slots()).await;
+            self.endpoint.discover_target(heard.slots()).await;
         }
         tokio::spawn(round.finish(heard));
         listed
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -2,7 +2,7 @@
 //!
 //! A target that starts again is another life at the same address, under another name or under the
 //! same one with a later [`Birth`]. Its announcements can be late by seconds, so one of an earlier
-//! life may arrive when the next one has announced itself: [`Lives`] tells which to believe.
+//! life may arrive when the next one has announced itself: [`Processes`] tells which to believe.
 //!
 //! Births order the lives of one name only, so a clock that is wrong does no harm between names. A
 //! life whose birth is not known, such as one that has only answered its health check, is taken for
@@ -10,34 +10,34 @@
 //! has told one, is not that target's.
 //!
 //! ```
-//! use jackdawpulley::membership::target::{Life, Lives, Standing};
+//! use jackdawpulley::membership::target::{Process, Processes, Recency};
 //! use jackdawpulley::units::Birth;
 //!
-//! let (old, new) = (Life::new("a", Some(Birth(10))), Life::new("a", Some(Birth(20))));
-//! let mut lives = Lives::default();
-//! assert_eq!(lives.hear(&old, 4), Standing::New);
-//! assert_eq!(lives.hear(&new, 1), Standing::New, "it started again under its name");
-//! assert_eq!(lives.hear(&old, 5), Standing::Past, "it was on its way when its sender died");
-//! assert_eq!(lives.hear(&new, 1), Standing::Stale);
+//! let (old, new) = (Process::new("a", Some(Birth(10))), Process::new("a", Some(Birth(20))));
+//! let mut processes = Processes::default();
+//! assert_eq!(processes.observe(&old, 4), Recency::New);
+//! assert_eq!(processes.observe(&new, 1), Recency::New, "it started again under its name");
+//! assert_eq!(processes.observe(&old, 5), Recency::Ended, "it was on its way when its sender died");
+//! assert_eq!(processes.observe(&new, 1), Recency::Stale);
 //! ```
 
 use std::net::SocketAddr;
 
 use crate::units::{Birth, Instance, Millis, Revision, Service, Slots};
 
-/// Lives that are remembered after their end.
-const REMEMBERED: usize = 32;
+/// Processes that are remembered after their end.
+const MAX_ENDED: usize = 32;
 
 /// One life of a target, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Life {
+pub struct Process {
     /// Name of the life, which the next one may have as well.
     pub instance: Instance,
     /// When it began, where that is known.
     pub born: Option<Birth>,
 }
 
-impl Life {
+impl Process {
     /// The life of this name that began then.
     #[must_use]
     pub fn new(instance: impl Into<Instance>, born: Option<Birth>) -> Self {
@@ -49,7 +49,7 @@
 
     /// Whether it has the name of `other` and began later.
     #[must_use]
-    pub fn succeeds(&self, other: &Self) -> bool {
+    pub fn is_successor_of(&self, other: &Self) -> bool {
         self.instance == other.instance
             && matches!((self.born, other.born), (Some(own), Some(others)) if own > others)
     }
@@ -57,9 +57,9 @@
 
 /// One announcement of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct Renewal {
     /// The life that announces itself.
-    pub life: Life,
+    pub process: Process,
     /// Service that it belongs to.
     pub service: Service,
     /// Where it takes calls, on this host.
@@ -80,7 +80,7 @@
 
 /// What an announcement is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Recency {
     /// The first of a life that was not known: it is the current one from now on.
     New,
     /// The newest of the current life.
@@ -88,65 +88,65 @@
     /// Of the current life, overtaken by a later one.
     Stale,
     /// Of a life that has ended.
-    Past,
+    Ended,
 }
 
 /// The lives of the targets at one address.
 #[derive(Debug, Default)]
-pub struct Lives {
+pub struct Processes {
     /// The current life and the highest sequence of its announcements.
-    current: Option<(Life, u64)>,
+    current: Option<(Process, u64)>,
     /// Whether the current life has said that it takes no more calls.
     leaving: bool,
-    /// Lives that have ended, the last one last; the latest of each name.
-    past: Vec<Life>,
+    /// Processes that have ended, the last one last; the latest of each name.
+    ended: Vec<Process>,
 }
 
-impl Lives {
+impl Processes {
     /// Notes an announcement.
-    pub fn hear(&mut self, life: &Life, sequence: u64) -> Standing {
+    pub fn observe(&mut self, life: &Process, sequence: u64) -> Recency {
         let same = self.current.as_mut();
         if let Some((current, last)) = same.filter(|(now, _)| now.instance == life.instance) {
-            if current.succeeds(life) {
-                return Standing::Past;
+            if current.is_successor_of(life) {
+                return Recency::Ended;
             }
             // One that announced itself without a birth is not the one that tells its birth.
             let told_first = current.born.is_none() && life.born.is_some() && *last > 0;
-            if !life.succeeds(current) && !told_first {
+            if !life.is_successor_of(current) && !told_first {
                 if current.born.is_some() && life.born.is_none() || sequence <= *last {
-                    return Standing::Stale;
+                    return Recency::Stale;
                 }
                 current.born = life.born;
                 *last = sequence;
-                return Standing::Current;
+                return Recency::Current;
             }
         } else if self.has_ended(life) {
-            return Standing::Past;
+            return Recency::Ended;
         }
-        self.end();
+        self.retire_current();
         self.current = Some((life.clone(), sequence));
-        Standing::New
+        Recency::New
     }
 
     /// Whether another life was, or may have been, at the address before `life`: then an
     /// announcement alone does not prove who is there.
     #[must_use]
-    pub fn contest(&self, life: &Life) -> bool {
-        let namesake = |past: &Life| past.instance == life.instance;
-        self.current.is_some() || self.past.iter().any(namesake)
+    pub fn may_replace_another(&self, life: &Process) -> bool {
+        let namesake = |past: &Process| past.instance == life.instance;
+        self.current.is_some() || self.ended.iter().any(namesake)
     }
 
     /// Notes which life has answered at the address: better evidence than any announcement.
     ///
     /// Guards against an announcement of a dead life that arrives first after a restart of this
     /// daemon: the living one would count as ended for good.
-    pub fn prove(&mut self, instance: &Instance) {
-        let namesake = |past: &Life| past.instance == *instance;
-        let known = self.past.iter().position(namesake);
-        let known = known.map(|index| self.past.remove(index));
+    pub fn confirm(&mut self, instance: &Instance) {
+        let namesake = |past: &Process| past.instance == *instance;
+        let known = self.ended.iter().position(namesake);
+        let known = known.map(|index| self.ended.remove(index));
         if !self.is_current(instance) {
-            self.end();
-            let life = known.unwrap_or_else(|| Life::new(instance.clone(), None));
+            self.retire_current();
+            let life = known.unwrap_or_else(|| Process::new(instance.clone(), None));
             self.current = Some((life, 0));
         }
     }
@@ -178,14 +178,14 @@
 
     /// Notes that a life ends by its own word; whether it is the current one, which takes no more
     /// calls from now on.
-    pub fn close(&mut self, life: &Life) -> bool {
+    pub fn close(&mut self, life: &Process) -> bool {
         let current = self.current.as_ref().map(|(now, _)| now);
         let same = current.filter(|now| now.instance == life.instance);
         match same {
             // Guards against a farewell that comes late: the next life of its name would go with it.
-            Some(now) if now.succeeds(life) => false,
-            Some(now) if life.succeeds(now) => {
-                self.end();
+            Some(now) if now.is_successor_of(life) => false,
+            Some(now) if life.is_successor_of(now) => {
+                self.retire_current();
                 self.remember(life.clone());
                 true
             }
@@ -204,24 +204,28 @@
 
     /// Whether a life is known to have ended. One without a birth is taken for any of its name; one
     /// that tells its birth may follow one that did not.
-    fn has_ended(&self, life: &Life) -> bool {
-        let namesake = self.past.iter().find(|past| past.instance == life.instance);
-        namesake
-            .is_some_and(|past| life.born.is_none() || past.born.is_some() && !life.succeeds(past))
+    fn has_ended(&self, life: &Process) -> bool {
+        let namesake = self
+            .ended
+            .iter()
+            .find(|past| past.instance == life.instance);
+        namesake.is_some_and(|past| {
+            life.born.is_none() || past.born.is_some() && !life.is_successor_of(past)
+        })
     }
 
-    fn end(&mut self) {
+    fn retire_current(&mut self) {
         if let Some((life, _)) = self.current.take() {
             self.remember(life);
         }
         self.leaving = false;
     }
 
-    fn remember(&mut self, life: Life) {
-        self.past.retain(|past| past.instance != life.instance);
-        if self.past.len() == REMEMBERED {
-            self.past.remove(0);
+    fn remember(&mut self, life: Process) {
+        self.ended.retain(|past| past.instance != life.instance);
+        if self.ended.len() == MAX_ENDED {
+            self.ended.remove(0);
         }
-        self.past.push(life);
+        self.ended.push(life);
     }
 }
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -5,7 +5,7 @@
 use strum::{Display, EnumString, VariantNames};
 
 use crate::configuration::origin::Position;
-use crate::membership::announce::MAX_REVISION;
+use crate::membership::announce::MAX_REVISION_BYTES;
 use crate::units::{Millis, Revision, Service};
 
 /// Longest time that an order may give, a day: a longer one is taken for a slip of the unit.
@@ -86,7 +86,7 @@
         let length = self.revision.as_str().len();
         let service = service.clone();
         ensure!(
-            (1..=MAX_REVISION).contains(&length),
+            (1..=MAX_REVISION_BYTES).contains(&length),
             NoRevisionSnafu {
                 service: service.clone()
             }
