--- a/src/board.rs
+++ b/src/board.rs
@@ -28,7 +28,7 @@
 use crate::rollout::shared::Rollouts;
 use crate::settings::Settings;
 use crate::telemetry::Meter;
-use crate::units::{Birth, Era, Instance, Millis, Revision, Slots, Version};
+use crate::units::{Era, Instance, Millis, Revision, Slots, StartTime, Version};
 
 /// Lines a second that requests may cause, so that an overload is not made worse by being logged.
 const LINES: u32 = 40;
@@ -70,7 +70,8 @@
     /// The life that announced itself, where targets tell theirs.
     pub instance: Option<Instance>,
     /// When that life began, where targets tell it.
-    pub born: Option<Birth>,
+    #[serde(rename = "born")]
+    pub start_time: Option<StartTime>,
     /// Where it takes calls.
     pub address: SocketAddr,
     /// What it offers.
@@ -94,7 +95,7 @@
         Offer {
             service: self.service.clone(),
             slots: self.slots,
-            born: self.born,
+            start_time: self.start_time,
             revision: self.revision.clone(),
             open: true,
         }
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -23,7 +23,7 @@
 use crate::membership::member::Stage;
 use crate::membership::target::{Process, Processes, Recency, Renewal};
 use crate::quarantine::inspect::{Inspector, lock};
-use crate::units::{Birth, Instance, Millis, Revision, Service, Slots, Version};
+use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime, Version};
 
 /// Longest lease, in milliseconds.
 pub const MAX_LEASE_MS: u64 = 60_000;
@@ -62,8 +62,8 @@
     #[serde(default)]
     pub cold_ms: Millis,
     /// When it began, in milliseconds since 1970; with it, a restart is told apart from a renewal.
-    #[serde(default)]
-    pub born: Option<Birth>,
+    #[serde(default, rename = "born")]
+    pub start_time: Option<StartTime>,
 }
 
 impl Announcement {
@@ -86,8 +86,8 @@
         if self.cold_ms.0 > MAX_LEASE_MS {
             return Some("cold_ms must be at most 60000; tell what is left of it");
         }
-        let latest = Birth(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
-        if self.born.is_some_and(|born| born > latest) {
+        let latest = StartTime(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
+        if self.start_time.is_some_and(|born| born > latest) {
             return Some("born lies in the future; tell the time of the start");
         }
         None
@@ -159,7 +159,7 @@
             lease_ms: beat.lease,
             revision: beat.revision.clone(),
             cold_ms: beat.cold,
-            born: beat.process.born,
+            start_time: beat.process.start_time,
         };
         let fault = announcement.problem().or_else(|| self.fault(&beat));
         if let Some(fault) = fault {
@@ -182,7 +182,7 @@
             }
             Recency::New => {
                 info!(self.board.logger, "target announced"; "service" => %beat.service,
-                    "instance" => %beat.process.instance, "born" => beat.process.born.map(|born| born.0),
+                    "instance" => %beat.process.instance, "born" => beat.process.start_time.map(|born| born.0),
                     "sequence" => beat.sequence,
                     "revision" => beat.revision.as_ref().map(ToString::to_string),
                     "slots" => beat.slots.0);
@@ -204,7 +204,7 @@
         }
         let target = Target {
             instance: Some(beat.process.instance),
-            born: beat.process.born,
+            start_time: beat.process.start_time,
             address: beat.address,
             service: beat.service,
             slots: beat.slots,
@@ -269,7 +269,7 @@
         info!(self.board.logger, "target found"; "instance" => %instance, "slots" => ?slots);
         self.set_target(Target {
             instance: Some(instance),
-            born: None,
+            start_time: None,
             address,
             service,
             slots: slots.unwrap_or(DEFAULT_SLOTS),
@@ -303,12 +303,12 @@
     }
 
     async fn set_target(&self, target: Target) {
-        let life = |target: &Target| (target.instance.clone(), target.born);
+        let life = |target: &Target| (target.instance.clone(), target.start_time);
         let before = self.board.target();
         let same = before.is_some_and(|before| life(&before) == life(&target));
         lock(&self.board.running).open(!same);
         self.board.set_target(Some(target));
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
     }
 
     async fn clear_target(&self, event: &'static str, instance: &Instance) {
@@ -317,7 +317,7 @@
         }
         lock(&self.board.running).leave();
         self.board.set_target(None);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
     }
 
     fn processes(&self) -> MutexGuard<'_, Processes> {
@@ -354,7 +354,7 @@
         let known = self.board.target().is_some();
         let target = Target {
             instance: None,
-            born: announcement.born,
+            start_time: announcement.start_time,
             address: announcement.address,
             service: announcement.service,
             slots: announcement.slots,
@@ -365,7 +365,7 @@
         if !known {
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
-        if self.replaces_earlier(target.born) {
+        if self.replaces_earlier(target.start_time) {
             self.inspector.succeed(&target);
         }
         self.set_target(target).await;
@@ -373,8 +373,8 @@
     }
 
     /// Whether a target that began then follows one that began earlier; notes when it began.
-    fn replaces_earlier(&self, born: Option<Birth>) -> bool {
-        let Some(Birth(born_ms)) = born else {
+    fn replaces_earlier(&self, born: Option<StartTime>) -> bool {
+        let Some(StartTime(born_ms)) = born else {
             return false;
         };
         let before_ms = self.latest_start_ms.fetch_max(born_ms, Ordering::AcqRel);
@@ -385,7 +385,7 @@
         info!(self.board.logger, "target left");
         lock(&self.board.running).leave();
         self.board.set_target(None);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         (StatusCode::OK, "left".to_owned())
     }
 }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -18,11 +18,11 @@
 use crate::units::{DataCentre, Millis, Offset};
 
 /// Records of the contacts stream that a joiner looks at.
-const CONTACTS_READ: u64 = 32;
+const RECENT_RECORDS: u64 = 32;
 /// Daemons of a data centre that keep a contact.
-const CONTACTS_KEPT: usize = 2;
+const LISTED_PER_DATA_CENTRE: usize = 2;
 /// Time between two renewals of a contact, on average.
-pub const RENEWAL: Duration = Duration::from_mins(2);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_mins(2);
 
 /// One record of the `contacts` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,14 +48,14 @@
 
 impl Contacts {
     /// The latest contacts of the log.
-    pub async fn listed(&self) -> Vec<Contact> {
+    pub async fn read_recent(&self) -> Vec<Contact> {
         let Ok(bounds) = self.log.bounds(Stream::Contacts).await else {
             return Vec::new();
         };
         let from = bounds
             .first
             .0
-            .max(bounds.head.0.saturating_sub(CONTACTS_READ));
+            .max(bounds.head.0.saturating_sub(RECENT_RECORDS));
         let page = self
             .log
             .read(Stream::Contacts, Offset(from), Millis(0))
@@ -68,33 +68,33 @@
     }
 
     /// Keeps a bounded number of contacts of each data centre fresh on the log.
-    pub async fn keep(&self) {
+    pub async fn maintain(&self) {
         let settings = &self.board.settings;
         loop {
             let order = order(&self.board.roster().members, &settings.data_centre);
             let mine = order
                 .iter()
-                .take(CONTACTS_KEPT)
+                .take(LISTED_PER_DATA_CENTRE)
                 .any(|peer| *peer == settings.identity());
             let contact = Contact {
                 peer: settings.identity(),
                 data_centre: settings.data_centre.clone(),
             };
-            if mine && !self.listed().await.contains(&contact) {
+            if mine && !self.read_recent().await.contains(&contact) {
                 let _ = self.log.append(Stream::Contacts, &contact).await;
             }
-            self.meet_strangers().await;
-            tokio::time::sleep(RENEWAL / 2 + jitter(RENEWAL)).await;
+            self.join_unknown().await;
+            tokio::time::sleep(RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL)).await;
         }
     }
 
     /// Heals a split that outlived the memory of gone members: joins contacts it does not know.
-    async fn meet_strangers(&self) {
+    async fn join_unknown(&self) {
         let roster = self.board.roster();
         let join = Join {
             member: self.membership.me(),
         };
-        for contact in self.listed().await {
+        for contact in self.read_recent().await {
             if roster.member(contact.peer).is_some() || contact.peer == join.member.peer {
                 continue;
             }
@@ -103,7 +103,8 @@
                 .send::<_, Welcome>(contact.peer, JOIN, &join)
                 .await
             {
-                self.membership.learn(&welcome.members, &welcome.usual);
+                self.membership
+                    .merge_members(&welcome.members, &welcome.usual);
             }
         }
     }
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::configuration::relay::Relay;
 use crate::error::{ListenSnafu, Result};
-use crate::membership::datagram::{Datagram, Join, Probe, Welcome};
+use crate::membership::datagram::{Datagram, Join, Message, Welcome};
 use crate::membership::entries::Entry;
 use crate::membership::member::{Health, Member, Offer, Stage};
 use crate::membership::member_count::Throttle;
@@ -27,7 +27,7 @@
 use snafu::ResultExt;
 
 /// Ticks of the view in one probe period.
-const TICKS: u64 = 5;
+const TICKS_PER_PERIOD: u64 = 5;
 /// Keeps the membership view.
 #[derive(Debug)]
 pub struct Membership {
@@ -43,7 +43,7 @@
     pub view: View,
     pub rng: SmallRng,
     /// When another daemon was told everything that is known of ends of targets.
-    pub reconciled: Option<Instant>,
+    pub last_full_sync: Option<Instant>,
     /// Revisions that get requests without an order.
     usual: Usual,
 }
@@ -60,14 +60,14 @@
         let socket = UdpSocket::bind(address)
             .await
             .context(ListenSnafu { address })?;
-        let me = newborn(settings);
+        let me = initial_member(settings);
         let born = me.incarnation;
         let view = View::new(me, timing(settings));
         let rng = SmallRng::from_rng(&mut rand::rng());
         let state = Mutex::new(State {
             view,
             rng,
-            reconciled: None,
+            last_full_sync: None,
             usual: Usual::default(),
         });
         let membership = Self {
@@ -77,7 +77,7 @@
             born,
             state,
         };
-        membership.rebuild(&mut membership.state());
+        membership.rebuild_roster(&mut membership.state());
         Ok(membership)
     }
 
@@ -86,16 +86,17 @@
         let receiver = Arc::clone(&self);
         tokio::spawn(async move { receiver.receive().await });
         let announcer = Arc::clone(&self);
-        tokio::spawn(async move { announcer.announce().await });
+        tokio::spawn(async move { announcer.announce_version().await });
         let voucher = Arc::clone(&self);
-        tokio::spawn(async move { voucher.vouch().await });
+        tokio::spawn(async move { voucher.send_watermark().await });
         let period = self.board.settings.probe_period_ms;
         let mut census = Throttle::default();
-        let mut ticks = tokio::time::interval(Millis((period.0 / TICKS).max(1)).duration());
+        let mut ticks =
+            tokio::time::interval(Millis((period.0 / TICKS_PER_PERIOD).max(1)).duration());
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.reflect().await;
+            self.publish_own_entry().await;
             self.close_idle_links();
             let live = self.board.roster().members.len();
             if let Some(before) = census.due(Instant::now(), live) {
@@ -103,13 +104,13 @@
             }
             let effects = {
                 let mut guard = self.state();
-                self.refresh(&mut guard);
+                self.refresh_view(&mut guard);
                 let State { view, rng, .. } = &mut *guard;
                 let effects = view.tick(Instant::now(), rng);
-                self.settle(&mut guard, &effects);
+                self.rebuild_if_changed(&mut guard, &effects);
                 effects
             };
-            self.carry_out(effects).await;
+            self.apply_effects(effects).await;
         }
     }
 
@@ -120,7 +121,7 @@
     }
 
     /// Shows the others what the board says of this daemon and its target.
-    pub async fn reflect(&self) {
+    pub async fn publish_own_entry(&self) {
         let stage = self.board.stage();
         let now = Instant::now();
         let target = self
@@ -139,8 +140,8 @@
                 None => view.me().offer.clone().map(closed),
             };
             let sends = view.update(stage, offer, rng);
-            if !sends.is_empty() || view.me().incarnation != self.published(view) {
-                self.rebuild(&mut guard);
+            if !sends.is_empty() || view.me().incarnation != self.published_incarnation(view) {
+                self.rebuild_roster(&mut guard);
             }
             sends
         };
@@ -161,18 +162,18 @@
     #[must_use]
     pub fn welcome(&self, join: &Join) -> Welcome {
         let mut guard = self.state();
-        let ran = guard.view.ran(join.member.peer);
+        let ran = guard.view.highest_version(join.member.peer);
         let slots = guard.view.slots(join.member.peer);
         // The view goes out as it was before the join, so that the joiner sees what is said of
         // its own address and can refute it.
         let members = guard.view.members();
         if guard.view.merge(Instant::now(), &join.member) {
-            self.rebuild(&mut guard);
+            self.rebuild_roster(&mut guard);
         }
         Welcome {
             members,
             digest: self.board.digest(),
-            ran,
+            highest_version: ran,
             slots,
             crashes: self.board.quarantine.told(),
             rollouts: self.board.rollouts.told(),
@@ -182,14 +183,14 @@
     }
 
     /// Takes over the view of a peer, and which revisions it has as the usual ones.
-    pub fn learn(&self, members: &[Member], usual: &[(Service, Revision)]) {
+    pub fn merge_members(&self, members: &[Member], usual: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
         guard.usual.adopt(usual);
         for member in members {
             guard.view.merge(now, member);
         }
-        self.rebuild(&mut guard);
+        self.rebuild_roster(&mut guard);
     }
 
     /// Incarnation with which this daemon started.
@@ -219,7 +220,7 @@
             self.board.meter.received(length);
             match wire::decode::<Datagram>(&buffer[..length]) {
                 Ok(datagram) if datagram.release == wire::RELEASE => {
-                    self.take(&datagram).await;
+                    self.handle(&datagram).await;
                 }
                 Ok(_) => {
                     debug!(self.board.logger, "datagram of another release"; "from" => %sender);
@@ -232,50 +233,50 @@
         }
     }
 
-    async fn take(&self, datagram: &Datagram) {
+    async fn handle(&self, datagram: &Datagram) {
         self.board.note_era(datagram.era);
         self.note_watermark(datagram);
-        match &datagram.probe {
-            Probe::Crashes(crashes) => self.board.quarantine.merge(crashes),
-            Probe::Rollouts(told) => self.board.rollouts.merge(told),
-            Probe::Report(report) => {
+        match &datagram.message {
+            Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
+            Message::Rollouts(told) => self.board.rollouts.merge(told),
+            Message::Report(report) => {
                 self.board.rollouts.hear(datagram.from.peer, report.clone());
             }
             _ => {}
         }
         let effects = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
+            self.refresh_view(&mut guard);
             let effects = guard.view.receive(Instant::now(), datagram);
-            self.settle(&mut guard, &effects);
+            self.rebuild_if_changed(&mut guard, &effects);
             effects
         };
-        self.carry_out(effects).await;
+        self.apply_effects(effects).await;
     }
 
     /// Hash of what this daemon knows of requests that end targets and of roll-outs.
-    pub(super) fn evidence(&self) -> u64 {
+    pub(super) fn gossip_hash(&self) -> u64 {
         self.board.quarantine.hash() ^ self.board.rollouts.hash()
     }
 
-    fn settle(&self, state: &mut State, effects: &Effects) {
+    fn rebuild_if_changed(&self, state: &mut State, effects: &Effects) {
         if effects.changed {
-            self.rebuild(state);
+            self.rebuild_roster(state);
         }
     }
 
-    async fn carry_out(&self, effects: Effects) {
-        if let Some(peer) = effects.ahead {
-            self.catch_up(peer);
+    async fn apply_effects(&self, effects: Effects) {
+        if let Some(peer) = effects.newer_config_at {
+            self.pull_from(peer);
         }
-        if let Some(peer) = effects.differs {
-            self.send(self.reconcile(peer)).await;
+        if let Some(peer) = effects.gossip_differs_at {
+            self.send(self.full_sync(peer)).await;
         }
         self.send(effects.sends).await;
     }
 
     /// Repairs what the tree lost: fetches from a peer that is ahead.
-    fn catch_up(&self, peer: SocketAddr) {
+    fn pull_from(&self, peer: SocketAddr) {
         if self.board.settings.delivery == Delivery::Poll {
             return;
         }
@@ -291,14 +292,14 @@
         }
     }
 
-    fn published(&self, view: &View) -> Incarnation {
+    fn published_incarnation(&self, view: &View) -> Incarnation {
         let roster = self.board.roster();
         roster
             .member(view.me().peer)
             .map_or(Incarnation(0), |me| me.incarnation)
     }
 
-    fn rebuild(&self, state: &mut State) {
+    fn rebuild_roster(&self, state: &mut State) {
         let now = Instant::now();
         let old = self.board.roster();
         let settings = &self.board.settings;
@@ -334,13 +335,13 @@
     }
 
     /// Has the view tell what this daemon has and knows now.
-    pub(super) fn refresh(&self, state: &mut State) {
+    pub(super) fn refresh_view(&self, state: &mut State) {
         // Before the version, which may rise meanwhile: the watermark holds for a newer one as well.
         let latest = self.board.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.board.digest());
         state.view.set_era(self.board.era());
-        state.view.set_evidence(self.evidence());
+        state.view.set_gossip_hash(self.gossip_hash());
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
@@ -349,7 +350,7 @@
 }
 
 /// The entry of a daemon that starts now.
-fn newborn(settings: &Settings) -> Member {
+fn initial_member(settings: &Settings) -> Member {
     // A restarted daemon has to win over what is said of its earlier life: the clock mostly does
     // that at once, and the welcome of any peer does it when the clock was set back.
     Member {
@@ -365,9 +366,9 @@
 
 fn timing(settings: &Settings) -> Timing {
     Timing {
-        period: settings.probe_period_ms.duration(),
-        patience: settings.probe_timeout_ms.duration(),
-        suspicion: settings.suspicion_ms.duration(),
-        memory: settings.gone_memory_ms.duration(),
+        probe_period: settings.probe_period_ms.duration(),
+        probe_timeout: settings.probe_timeout_ms.duration(),
+        suspicion_timeout: settings.suspicion_ms.duration(),
+        gone_retention: settings.gone_memory_ms.duration(),
     }
 }
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -28,17 +28,17 @@
     /// Highest era of the platform that the sender knows.
     pub era: Era,
     /// Hash of what the sender knows of requests that end targets and of roll-outs; 0 for nothing.
-    pub evidence: u64,
+    pub gossip_hash: u64,
     /// What it is about.
-    pub probe: Probe,
+    pub message: Message,
     /// News about other members.
-    pub news: Vec<Member>,
+    pub updates: Vec<Member>,
 }
 
 /// Purpose of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Probe {
-    /// Asks for a [`Probe::Pong`] with the same number.
+pub enum Message {
+    /// Asks for a [`Message::Pong`] with the same number.
     Ping {
         /// Number of the probe.
         seq: u64,
@@ -56,7 +56,7 @@
         subject: SocketAddr,
     },
     /// Carries news only.
-    News,
+    Gossip,
     /// Tells ends of targets.
     Crashes(Vec<Crash>),
     /// Tells roll-outs.
@@ -80,7 +80,7 @@
     /// What the answerer has in force.
     pub digest: Digest,
     /// Highest version that the joiner's address is known to have run.
-    pub ran: Version,
+    pub highest_version: Version,
     /// Slots that a target offered last through the joiner's address.
     pub slots: Option<Slots>,
     /// Ends of targets that the answerer knows of.
--- a/src/membership/entries.rs
+++ b/src/membership/entries.rs
@@ -14,9 +14,9 @@
 use crate::units::{Slots, Version};
 
 /// Times that news is passed on, as a multiple of the logarithm of the view's size.
-const SPREAD: u32 = 3;
+const TRANSMIT_FACTOR: u32 = 3;
 /// Most news in one datagram.
-const MAX_NEWS: usize = 12;
+const MAX_UPDATES: usize = 12;
 
 /// A member with what the view knows beside its entry.
 #[derive(Debug, Clone)]
@@ -26,11 +26,11 @@
     /// When its health or incarnation changed last.
     pub since: Instant,
     /// Highest version it is known to have run.
-    pub ran: Version,
+    pub highest_version: Version,
     /// Slots that a target offered last through it, in any of its lives.
     pub slots: Option<Slots>,
     /// Times that it will still be passed on.
-    sends: u32,
+    transmits_left: u32,
 }
 
 /// The other members, sorted by address.
@@ -59,7 +59,7 @@
     }
 
     /// Draws up to `count` members that are not gone.
-    pub fn draw_live(
+    pub fn sample_live(
         &self,
         count: usize,
         except: Option<SocketAddr>,
@@ -74,7 +74,7 @@
 
     /// Takes a member's word in; `true` when it was news.
     pub fn merge(&mut self, now: Instant, member: &Member) -> bool {
-        let sends = self.spread();
+        let sends = self.transmit_limit();
         match self.find(member.peer) {
             Ok(index) => {
                 let entry = &mut self.all[index];
@@ -86,15 +86,15 @@
                 entry.slots = offered.or(entry.slots);
                 entry.member = member.clone();
                 entry.since = now;
-                entry.sends = sends;
+                entry.transmits_left = sends;
             }
             Err(index) => {
                 let entry = Entry {
                     member: member.clone(),
                     since: now,
-                    ran: Version(0),
+                    highest_version: Version(0),
                     slots: member.offer.as_ref().map(|offer| offer.slots),
-                    sends,
+                    transmits_left: sends,
                 };
                 self.all.insert(index, entry);
             }
@@ -106,20 +106,20 @@
     pub fn note_version(&mut self, peer: SocketAddr, version: Version) {
         if let Ok(index) = self.find(peer) {
             let entry = &mut self.all[index];
-            entry.ran = entry.ran.max(version);
+            entry.highest_version = entry.highest_version.max(version);
         }
     }
 
     /// Lets suspects go after `suspicion`, and forgets who is gone after `memory`; whether any went.
     pub fn expire(&mut self, now: Instant, suspicion: Duration, memory: Duration) -> bool {
-        let sends = self.spread();
+        let sends = self.transmit_limit();
         let mut changed = false;
         for entry in &mut self.all {
             let age = now.saturating_duration_since(entry.since);
             if entry.member.health == Health::Suspect && age >= suspicion {
                 entry.member.health = Health::Gone;
                 entry.since = now;
-                entry.sends = sends;
+                entry.transmits_left = sends;
                 changed = true;
             }
         }
@@ -130,7 +130,7 @@
     }
 
     /// News for one member, which counts as passed on.
-    pub fn news(&mut self, to: SocketAddr) -> Vec<Member> {
+    pub fn updates(&mut self, to: SocketAddr) -> Vec<Member> {
         let mut news = Vec::new();
         // The receiver hears first what is said against it, so that it can refute.
         if let Some(entry) = self.get(to)
@@ -143,12 +143,12 @@
         // been passed on least goes first.
         let waiting = self.all.iter().enumerate();
         let mut waiting: Vec<(Reverse<u32>, usize)> = waiting
-            .filter(|(_, entry)| entry.sends > 0 && entry.member.peer != to)
-            .map(|(index, entry)| (Reverse(entry.sends), index))
+            .filter(|(_, entry)| entry.transmits_left > 0 && entry.member.peer != to)
+            .map(|(index, entry)| (Reverse(entry.transmits_left), index))
             .collect();
         waiting.sort_unstable();
-        for (_, index) in waiting.into_iter().take(MAX_NEWS) {
-            self.all[index].sends -= 1;
+        for (_, index) in waiting.into_iter().take(MAX_UPDATES) {
+            self.all[index].transmits_left -= 1;
             news.push(self.all[index].member.clone());
         }
         news
@@ -159,8 +159,8 @@
             .binary_search_by_key(&peer, |entry| entry.member.peer)
     }
 
-    fn spread(&self) -> u32 {
+    fn transmit_limit(&self) -> u32 {
         let size = self.all.len() + 2;
-        SPREAD * size.ilog2().max(1)
+        TRANSMIT_FACTOR * size.ilog2().max(1)
     }
 }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::membership::controller::{Membership, State};
-use crate::membership::datagram::Probe;
+use crate::membership::datagram::Message;
 use crate::membership::view::Send;
 use crate::quarantine::crash::Crash;
 use crate::rollout::progress::Progress;
@@ -21,22 +21,22 @@
 /// four small datagrams a daemon, and those two by a probe.
 const FANOUT: usize = 4;
 /// Bytes of ends in one datagram; the rest is for its sender's own entry.
-const PAGE: usize = 1_100;
+const MAX_PAGE_BYTES: usize = 1_100;
 /// Time between two times that a daemon tells everything it knows: at most 256 ends, and mostly a few.
-const PAUSE: Duration = Duration::from_secs(1);
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Membership {
     /// Passes ends of targets on to a few members.
-    pub async fn pass_on(&self, crashes: Vec<Crash>) {
+    pub async fn gossip_crashes(&self, crashes: Vec<Crash>) {
         let pages = pages(crashes);
-        self.spread(pages.into_iter().map(Probe::Crashes).collect())
+        self.spread(pages.into_iter().map(Message::Crashes).collect())
             .await;
     }
 
     /// Passes roll-outs on to a few members.
-    pub async fn pass_on_rollouts(&self, news: Vec<Progress>) {
+    pub async fn gossip_rollouts(&self, news: Vec<Progress>) {
         let pages = pages(news);
-        self.spread(pages.into_iter().map(Probe::Rollouts).collect())
+        self.spread(pages.into_iter().map(Message::Rollouts).collect())
             .await;
     }
 
@@ -44,24 +44,24 @@
     pub async fn report(&self, peer: SocketAddr, report: Report) {
         let send = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
-            guard.view.bare(peer, Probe::Report(report))
+            self.refresh_view(&mut guard);
+            guard.view.bare_datagram(peer, Message::Report(report))
         };
         self.send(vec![send]).await;
     }
 
     /// Sends something to a few members drawn at random.
-    async fn spread(&self, probes: Vec<Probe>) {
+    async fn spread(&self, probes: Vec<Message>) {
         let sends = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
+            self.refresh_view(&mut guard);
             let State { view, rng, .. } = &mut *guard;
-            let receivers = view.draw_live(FANOUT, rng);
+            let receivers = view.sample_live(FANOUT, rng);
             let sends = receivers.into_iter().flat_map(|peer| {
                 let probes = probes.iter().cloned();
                 probes.map(move |probe| (peer, probe))
             });
-            let sends: Vec<(SocketAddr, Probe)> = sends.collect();
+            let sends: Vec<(SocketAddr, Message)> = sends.collect();
             let sends = sends.into_iter();
             sends.map(|(to, probe)| view.datagram(to, probe)).collect()
         };
@@ -70,19 +70,19 @@
 
     /// Tells a peer that knows something else everything that this daemon knows, unless it has told
     /// somebody a moment ago. The peer does the same, so both know the same then.
-    pub(super) fn reconcile(&self, peer: SocketAddr) -> Vec<Send> {
+    pub(super) fn full_sync(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
         let crashes = self.board().quarantine.told();
         let rollouts = self.board().rollouts.told();
         let mut guard = self.state();
-        let told = guard.reconciled;
-        let soon = told.is_some_and(|told| now.saturating_duration_since(told) < PAUSE);
+        let told = guard.last_full_sync;
+        let soon = told.is_some_and(|told| now.saturating_duration_since(told) < SYNC_INTERVAL);
         if soon || crashes.is_empty() && rollouts.is_empty() {
             return Vec::new();
         }
-        guard.reconciled = Some(now);
-        let crashes = pages(crashes).into_iter().map(Probe::Crashes);
-        let rollouts = pages(rollouts).into_iter().map(Probe::Rollouts);
+        guard.last_full_sync = Some(now);
+        let crashes = pages(crashes).into_iter().map(Message::Crashes);
+        let rollouts = pages(rollouts).into_iter().map(Message::Rollouts);
         crashes
             .chain(rollouts)
             .map(|probe| guard.view.datagram(peer, probe))
@@ -100,7 +100,7 @@
             Some(page) if size <= room => page.push(one),
             _ => {
                 pages.push(vec![one]);
-                room = PAGE;
+                room = MAX_PAGE_BYTES;
             }
         }
         room = room.saturating_sub(size);
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -18,7 +18,7 @@
 use crate::configuration::relay::jitter;
 use crate::error::Result;
 use crate::membership::announce::Endpoint;
-use crate::membership::contacts::{Contacts, RENEWAL};
+use crate::membership::contacts::{Contacts, RENEWAL_INTERVAL};
 use crate::membership::controller::Membership;
 use crate::membership::join_client::{JoinClient, Requests, Welcomes};
 use crate::membership::member::Stage;
@@ -77,7 +77,7 @@
             self.start_from_log().await;
             self.restore_quarantine().await;
             self.serve().await;
-            self.contacts.keep().await;
+            self.contacts.maintain().await;
             return;
         };
         let listing = Registration::new(Arc::clone(&self.board), origin);
@@ -107,7 +107,7 @@
     async fn serve(&self) {
         if self.board.stage() == Stage::Starting {
             self.board.advance(Stage::Serving);
-            self.membership.reflect().await;
+            self.membership.publish_own_entry().await;
             info!(self.board.logger, "serving"; "version" => self.board.digest().version.0);
         }
     }
@@ -250,7 +250,7 @@
         let mut eras = self.board.eras();
         loop {
             // It has just read who was listed before it.
-            let pause = RENEWAL / 2 + jitter(RENEWAL);
+            let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
             let is_alone = self.is_alone();
             let pause = if is_alone { pause.min(alone) } else { pause };
             let waiting = tokio::time::timeout(pause, eras.changed());
@@ -337,7 +337,7 @@
         if self.board.settings.contacts.is_empty() {
             contacts.extend(
                 self.contacts
-                    .listed()
+                    .read_recent()
                     .await
                     .into_iter()
                     .map(|contact| contact.peer),
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -106,13 +106,14 @@
         let greeter = greeter.map(|m| m.data_centre.clone()).unwrap_or_default();
         heard
             .floor
-            .heard(&greeter, welcome.digest.version, welcome.ran);
+            .heard(&greeter, welcome.digest.version, welcome.highest_version);
         heard.slots = welcome.slots.or(heard.slots);
         self.board.note_era(welcome.era);
         self.board.quarantine.merge(&welcome.crashes);
         self.board.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, heard);
-        self.membership.learn(&welcome.members, &welcome.usual);
+        self.membership
+            .merge_members(&welcome.members, &welcome.usual);
     }
 
     /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, VariantNames};
 
-use crate::units::{Birth, DataCentre, Incarnation, Revision, Service, Slots};
+use crate::units::{DataCentre, Incarnation, Revision, Service, Slots, StartTime};
 
 /// One daemon, as others know it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,8 @@
     /// Calls it takes at the same time.
     pub slots: Slots,
     /// When its life began, where targets tell it.
-    pub born: Option<Birth>,
+    #[serde(rename = "born")]
+    pub start_time: Option<StartTime>,
     /// Version of its software, where targets tell it.
     pub revision: Option<Revision>,
     /// Whether the target is there; its daemon still remembers its keys when it is not.
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -21,10 +21,10 @@
 use crate::units::{Millis, Offset};
 
 /// Longest pause between two times that members are asked.
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+const MAX_QUERY_PAUSE: Duration = Duration::from_secs(1);
 /// Pauses after reads that failed. The readers notice sooner when the platform is back, and the members that
 /// are asked tell it.
-const READ_PAUSES: Backoff = Backoff::new(Duration::from_secs(1), Duration::from_secs(4));
+const READ_BACKOFF: Backoff = Backoff::new(Duration::from_secs(1), Duration::from_secs(4));
 
 /// Keeps the watermark of one daemon fresh.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     reader: Arc<Reader>,
     limits: Limits,
     /// When this daemon began to serve.
-    began: Instant,
+    serving_since: Instant,
 }
 
 impl Refresher {
@@ -46,7 +46,7 @@
             board: Arc::clone(board),
             membership: Arc::clone(membership),
             reader: Arc::clone(reader),
-            began: Instant::now(),
+            serving_since: Instant::now(),
         }
     }
 
@@ -55,7 +55,7 @@
         let mut stages = self.board.stages();
         // Until then the joiner reads.
         let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
-        self.began = Instant::now();
+        self.serving_since = Instant::now();
         // A daemon that stops takes calls to its end, and so do all of them where all stop together.
         loop {
             let left = self.limits.stale.saturating_sub(self.age());
@@ -73,12 +73,12 @@
     /// Reads and asks until the watermark is fresh again.
     async fn renew(&self) {
         let mut watermarks = self.board.freshness.subscribe();
-        let mut pauses = Backoff::new(self.limits.retry, LONGEST_RETRY);
-        let mut read_pauses = READ_PAUSES;
+        let mut pauses = Backoff::new(self.limits.retry, MAX_QUERY_PAUSE);
+        let mut read_pauses = READ_BACKOFF;
         let mut reading = tokio::spawn(read(Arc::clone(&self.reader), Duration::ZERO));
         let mut warned = false;
         while self.is_stale() {
-            self.membership.ask_around().await;
+            self.membership.query_peers().await;
             let pause = tokio::time::sleep(pauses.random_pause());
             tokio::select! {
                 result = &mut reading => {
@@ -120,7 +120,7 @@
     fn age(&self) -> Duration {
         let now = Instant::now();
         let age = self.board.freshness.latest().age(now);
-        age.unwrap_or_else(|| now.saturating_duration_since(self.began))
+        age.unwrap_or_else(|| now.saturating_duration_since(self.serving_since))
     }
 }
 
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -15,7 +15,7 @@
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
 use crate::rollout::usual::Usual;
-use crate::units::{Birth, DataCentre, Millis, Revision, Service};
+use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
 /// Bytes in a kilobyte.
 const KB: f64 = 1_024.0;
@@ -111,10 +111,10 @@
                 continue;
             };
             let kept = old.upstream(&offer.service, member.peer);
-            let kept = kept.filter(|upstream| upstream.continues(offer.born));
+            let kept = kept.filter(|upstream| upstream.continues(offer.start_time));
             let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, home, now)));
             upstream.slots.store(offer.slots.0, Ordering::Relaxed);
-            if let Some(Birth(born)) = offer.born {
+            if let Some(StartTime(born)) = offer.start_time {
                 upstream.born.store(born, Ordering::Relaxed);
             }
             upstream
@@ -238,7 +238,7 @@
     ///
     /// Guards against the bad name of a life that has ended: the next one, under the same name at
     /// the same address, would inherit its pace, its refusals and its ejection.
-    fn continues(&self, born: Option<Birth>) -> bool {
+    fn continues(&self, born: Option<StartTime>) -> bool {
         let known = self.born.load(Ordering::Relaxed);
         known == 0 || born.is_none_or(|born| born.0 == known)
     }
--- a/src/membership/rounds.rs
+++ b/src/membership/rounds.rs
@@ -15,41 +15,41 @@
 ///
 /// A member is noticed to be gone by those beside it; the probes between data centres carry news
 /// and notice when a whole one is gone. Bytes between data centres are dear.
-const FAR_PROBE: u64 = 4;
+const REMOTE_PROBE_INTERVAL: u64 = 4;
 
 /// The rounds of one daemon.
 #[derive(Debug, Default)]
 pub struct Rounds {
     /// Members still to be probed: of the own data centre, and of the others.
-    left: [Vec<SocketAddr>; 2],
+    remaining: [Vec<SocketAddr>; 2],
     /// Probes so far.
     probes: u64,
 }
 
 impl Rounds {
     /// Next member to probe: mostly one of the data centre `home`, now and then one of another.
-    pub fn draw(
+    pub fn next_peer(
         &mut self,
         entries: &Entries,
         home: &DataCentre,
         rng: &mut SmallRng,
     ) -> Option<SocketAddr> {
         self.probes += 1;
-        let far = self.probes.is_multiple_of(FAR_PROBE);
-        let first = self.draw_from(far, entries, home, rng);
+        let far = self.probes.is_multiple_of(REMOTE_PROBE_INTERVAL);
+        let first = self.next_from(far, entries, home, rng);
         // Where one side has nobody, the other one gets all probes.
-        first.or_else(|| self.draw_from(!far, entries, home, rng))
+        first.or_else(|| self.next_from(!far, entries, home, rng))
     }
 
     /// Next member of the own data centre, or of the others: each is probed once in a round.
-    fn draw_from(
+    fn next_from(
         &mut self,
         far: bool,
         entries: &Entries,
         home: &DataCentre,
         rng: &mut SmallRng,
     ) -> Option<SocketAddr> {
-        let left = &mut self.left[usize::from(far)];
+        let left = &mut self.remaining[usize::from(far)];
         let is_live = |peer: SocketAddr| {
             let entry = entries.get(peer);
             entry.is_some_and(|entry| entry.member.health.is_live())
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -1,7 +1,7 @@
 //! What a target says of itself, and which of its lives counts.
 //!
 //! A target that starts again is another life at the same address, under another name or under the
-//! same one with a later [`Birth`]. Its announcements can be late by seconds, so one of an earlier
+//! same one with a later [`StartTime`]. Its announcements can be late by seconds, so one of an earlier
 //! life may arrive when the next one has announced itself: [`Processes`] tells which to believe.
 //!
 //! Births order the lives of one name only, so a clock that is wrong does no harm between names. A
@@ -11,9 +11,9 @@
 //!
 //! ```
 //! use jackdawpulley::membership::target::{Process, Processes, Recency};
-//! use jackdawpulley::units::Birth;
+//! use jackdawpulley::units::StartTime;
 //!
-//! let (old, new) = (Process::new("a", Some(Birth(10))), Process::new("a", Some(Birth(20))));
+//! let (old, new) = (Process::new("a", Some(StartTime(10))), Process::new("a", Some(StartTime(20))));
 //! let mut processes = Processes::default();
 //! assert_eq!(processes.observe(&old, 4), Recency::New);
 //! assert_eq!(processes.observe(&new, 1), Recency::New, "it started again under its name");
@@ -23,7 +23,7 @@
 
 use std::net::SocketAddr;
 
-use crate::units::{Birth, Instance, Millis, Revision, Service, Slots};
+use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime};
 
 /// Processes that are remembered after their end.
 const MAX_ENDED: usize = 32;
@@ -34,16 +34,16 @@
     /// Name of the life, which the next one may have as well.
     pub instance: Instance,
     /// When it began, where that is known.
-    pub born: Option<Birth>,
+    pub start_time: Option<StartTime>,
 }
 
 impl Process {
     /// The life of this name that began then.
     #[must_use]
-    pub fn new(instance: impl Into<Instance>, born: Option<Birth>) -> Self {
+    pub fn new(instance: impl Into<Instance>, born: Option<StartTime>) -> Self {
         Self {
             instance: instance.into(),
-            born,
+            start_time: born,
         }
     }
 
@@ -51,7 +51,7 @@
     #[must_use]
     pub fn is_successor_of(&self, other: &Self) -> bool {
         self.instance == other.instance
-            && matches!((self.born, other.born), (Some(own), Some(others)) if own > others)
+            && matches!((self.start_time, other.start_time), (Some(own), Some(others)) if own > others)
     }
 }
 
@@ -111,12 +111,12 @@
                 return Recency::Ended;
             }
             // One that announced itself without a birth is not the one that tells its birth.
-            let told_first = current.born.is_none() && life.born.is_some() && *last > 0;
+            let told_first = current.start_time.is_none() && life.start_time.is_some() && *last > 0;
             if !life.is_successor_of(current) && !told_first {
-                if current.born.is_some() && life.born.is_none() || sequence <= *last {
+                if current.start_time.is_some() && life.start_time.is_none() || sequence <= *last {
                     return Recency::Stale;
                 }
-                current.born = life.born;
+                current.start_time = life.start_time;
                 *last = sequence;
                 return Recency::Current;
             }
@@ -210,7 +210,7 @@
             .iter()
             .find(|past| past.instance == life.instance);
         namesake.is_some_and(|past| {
-            life.born.is_none() || past.born.is_some() && !life.is_successor_of(past)
+            life.start_time.is_none() || past.start_time.is_some() && !life.is_successor_of(past)
         })
     }
 
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -6,22 +6,22 @@
 #[derive(Debug, Clone)]
 pub struct Timing {
     /// Between two probes of a daemon.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Until a direct probe counts as missed.
-    pub patience: Duration,
+    pub probe_timeout: Duration,
     /// Until a suspect counts as gone.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Until a gone member is forgotten.
-    pub memory: Duration,
+    pub gone_retention: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(1),
-            patience: Duration::from_millis(400),
-            suspicion: Duration::from_secs(3),
-            memory: Duration::from_mins(10),
+            probe_period: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(400),
+            suspicion_timeout: Duration::from_secs(3),
+            gone_retention: Duration::from_mins(10),
         }
     }
 }
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -12,30 +12,30 @@
 
 /// Time in which a version reaches daemons by itself before a reader tells them of it: many times what a
 /// read takes, or the way through the tree.
-const HEAD_START: Duration = Duration::from_millis(200);
+const PROPAGATION_TIME: Duration = Duration::from_millis(200);
 
 impl Membership {
     /// Tells the other data centres of each version, while reading is this daemon's duty.
-    pub(super) async fn announce(&self) {
+    pub(super) async fn announce_version(&self) {
         let mut versions = self.board().versions();
         while versions.changed().await.is_ok() {
-            tokio::time::sleep(jitter(HEAD_START)).await;
+            tokio::time::sleep(jitter(PROPAGATION_TIME)).await;
             versions.borrow_and_update();
             if self.board().settings.delivery == Delivery::Poll || duty(self.board()).is_none() {
                 continue;
             }
             let sends = {
                 let mut guard = self.state();
-                self.refresh(&mut guard);
+                self.refresh_view(&mut guard);
                 let State { view, rng, .. } = &mut *guard;
-                view.announce(rng)
+                view.announce_version(rng)
             };
             self.send(sends).await;
         }
     }
 
     /// Tells the own data centre how recent the version in force is, after each read of this daemon.
-    pub(super) async fn vouch(&self) {
+    pub(super) async fn send_watermark(&self) {
         if self.board().settings.delivery == Delivery::Poll {
             // Each daemon reads for itself.
             return;
@@ -50,24 +50,24 @@
             let version = self.board().digest().version;
             if std::mem::replace(&mut told, version) != version {
                 // It travels by the tree meanwhile; whom it does not reach hears of it here.
-                tokio::time::sleep(HEAD_START).await;
+                tokio::time::sleep(PROPAGATION_TIME).await;
             }
             let sends = {
                 let mut guard = self.state();
-                self.refresh(&mut guard);
-                guard.view.vouch()
+                self.refresh_view(&mut guard);
+                guard.view.send_watermark()
             };
             self.send(sends).await;
         }
     }
 
     /// Asks a few members what they have in force and how recent that is.
-    pub async fn ask_around(&self) {
+    pub async fn query_peers(&self) {
         let sends = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
+            self.refresh_view(&mut guard);
             let State { view, rng, .. } = &mut *guard;
-            view.ask(Instant::now(), rng)
+            view.query(Instant::now(), rng)
         };
         self.send(sends).await;
     }
@@ -78,7 +78,7 @@
             return;
         }
         if let Some(report) = &datagram.watermark {
-            let complete = datagram.evidence == self.evidence();
+            let complete = datagram.gossip_hash == self.gossip_hash();
             let now = Instant::now();
             self.board().freshness.note_report(report, complete, now);
         }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -17,7 +17,7 @@
 
 use crate::configuration::exchange::Digest;
 use crate::configuration::freshness::Report;
-use crate::membership::datagram::{Datagram, Probe};
+use crate::membership::datagram::{Datagram, Message};
 use crate::membership::entries::{Entries, Entry};
 use crate::membership::member::{Health, Member, Offer, Stage};
 use crate::membership::rounds::Rounds;
@@ -26,18 +26,18 @@
 use crate::wire;
 
 /// Daemons that probe a silent one on another's behalf.
-const HELPERS: usize = 3;
+const INDIRECT_PROBERS: usize = 3;
 /// Daemons that a leaver says good-bye to.
-const FAREWELLS: usize = 64;
+const LEAVE_FANOUT: usize = 64;
 /// Time for which a member that went is looked for at every probe: it covers a restart.
-const RECENT: Duration = Duration::from_secs(30);
+const RECENT_DEPARTURE: Duration = Duration::from_secs(30);
 /// Members of each other data centre that hear of a version from a reader: one may be gone without
 /// anybody knowing it yet.
-const HEARERS: usize = 2;
+const REMOTE_FANOUT: usize = 2;
 /// Members that a daemon asks at a time when it does not know the newest version.
-const ASKED: usize = 3;
+const QUERY_FANOUT: usize = 3;
 /// Periods between two probes of a member that is thought to be gone.
-const REVISIT: u64 = 5;
+const REVISIT_PERIODS: u64 = 5;
 
 /// A datagram on its way out.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -54,9 +54,9 @@
     /// Datagrams to send.
     pub sends: Vec<Send>,
     /// A peer that holds a newer or another configuration than ours.
-    pub ahead: Option<SocketAddr>,
+    pub newer_config_at: Option<SocketAddr>,
     /// A peer that knows other ends of targets than ours.
-    pub differs: Option<SocketAddr>,
+    pub gossip_differs_at: Option<SocketAddr>,
     /// Whether a member came, went or changed.
     pub changed: bool,
 }
@@ -67,8 +67,8 @@
     seq: u64,
     subject: SocketAddr,
     /// For whom the probe is made, with their number.
-    asker: Option<(SocketAddr, u64)>,
-    sent: Instant,
+    requester: Option<(SocketAddr, u64)>,
+    sent_at: Instant,
     relayed: bool,
 }
 
@@ -79,7 +79,7 @@
     digest: Digest,
     watermark: Option<Report>,
     era: Era,
-    evidence: u64,
+    gossip_hash: u64,
     entries: Entries,
     pending: Vec<Pending>,
     rounds: Rounds,
@@ -98,7 +98,7 @@
             digest: Digest::default(),
             watermark: None,
             era: Era(0),
-            evidence: 0,
+            gossip_hash: 0,
             entries: Entries::default(),
             pending: Vec::new(),
             rounds: Rounds::default(),
@@ -149,13 +149,13 @@
     }
 
     /// Sets the hash of what its own daemon knows of requests that end targets.
-    pub const fn set_evidence(&mut self, evidence: u64) {
-        self.evidence = evidence;
+    pub const fn set_gossip_hash(&mut self, evidence: u64) {
+        self.gossip_hash = evidence;
     }
 
     /// Draws up to `count` members that are not gone.
-    pub fn draw_live(&self, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
-        self.entries.draw_live(count, None, rng)
+    pub fn sample_live(&self, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
+        self.entries.sample_live(count, None, rng)
     }
 
     /// Changes its own entry; the datagrams spread the change at once.
@@ -165,23 +165,23 @@
         }
         self.me.stage = stage;
         self.me.offer = offer;
-        self.renew(self.me.incarnation);
-        let receivers = self.entries.draw_live(HELPERS, None, rng);
+        self.bump_incarnation(self.me.incarnation);
+        let receivers = self.entries.sample_live(INDIRECT_PROBERS, None, rng);
         receivers
             .into_iter()
-            .map(|to| self.datagram(to, Probe::News))
+            .map(|to| self.datagram(to, Message::Gossip))
             .collect()
     }
 
     /// Says good-bye as [`Health::Gone`] or [`Health::Left`]: the datagrams that make the others
     /// drop this daemon at once.
     pub fn leave(&mut self, health: Health, rng: &mut SmallRng) -> Vec<Send> {
-        self.renew(self.me.incarnation);
+        self.bump_incarnation(self.me.incarnation);
         self.me.health = health;
-        let receivers = self.entries.draw_live(FAREWELLS, None, rng);
+        let receivers = self.entries.sample_live(LEAVE_FANOUT, None, rng);
         receivers
             .into_iter()
-            .map(|to| self.datagram(to, Probe::News))
+            .map(|to| self.datagram(to, Message::Gossip))
             .collect()
     }
 
@@ -199,7 +199,7 @@
     /// Guards against a platform that turns the reader of a data centre away, in silence: that one
     /// notices after seconds, and whom it asks in its place may be turned away as well. Probes
     /// between data centres are too rare to carry the news in time.
-    pub fn announce(&mut self, rng: &mut SmallRng) -> Vec<Send> {
+    pub fn announce_version(&mut self, rng: &mut SmallRng) -> Vec<Send> {
         let home = &self.me.data_centre;
         let far = self.live().filter(|member| member.data_centre != *home);
         let mut far: Vec<(DataCentre, SocketAddr)> =
@@ -207,24 +207,24 @@
         far.shuffle(rng);
         far.sort_by(|a, b| a.0.cmp(&b.0));
         let few = far.chunk_by(|a, b| a.0 == b.0);
-        let few = few.flat_map(|members| members.iter().take(HEARERS));
+        let few = few.flat_map(|members| members.iter().take(REMOTE_FANOUT));
         let receivers: Vec<SocketAddr> = few.map(|(_, peer)| *peer).collect();
-        let send = |to| self.bare(to, Probe::News);
+        let send = |to| self.bare_datagram(to, Message::Gossip);
         receivers.into_iter().map(send).collect()
     }
 
     /// Tells all other members of its data centre what its own daemon has in force and how recent that is.
     #[must_use]
-    pub fn vouch(&self) -> Vec<Send> {
+    pub fn send_watermark(&self) -> Vec<Send> {
         let home = &self.me.data_centre;
         let near = self.live().filter(|member| member.data_centre == *home);
-        near.map(|member| self.bare(member.peer, Probe::News))
+        near.map(|member| self.bare_datagram(member.peer, Message::Gossip))
             .collect()
     }
 
     /// Asks a few members what they have in force and how recent that is.
-    pub fn ask(&mut self, now: Instant, rng: &mut SmallRng) -> Vec<Send> {
-        let asked = self.entries.draw_live(ASKED, None, rng);
+    pub fn query(&mut self, now: Instant, rng: &mut SmallRng) -> Vec<Send> {
+        let asked = self.entries.sample_live(QUERY_FANOUT, None, rng);
         asked
             .into_iter()
             .map(|peer| self.ping(now, peer, None))
@@ -233,8 +233,10 @@
 
     /// Highest version that `peer` is known to have run.
     #[must_use]
-    pub fn ran(&self, peer: SocketAddr) -> Version {
-        self.entries.get(peer).map_or(Version(0), |entry| entry.ran)
+    pub fn highest_version(&self, peer: SocketAddr) -> Version {
+        self.entries
+            .get(peer)
+            .map_or(Version(0), |entry| entry.highest_version)
     }
 
     /// Slots that a target offered last through `peer`.
@@ -255,19 +257,21 @@
         // looks overdue, and healthy members would be suspected all at once. They are probed anew.
         let paused = self
             .last_tick
-            .is_some_and(|last| now - last > 2 * self.timing.period);
+            .is_some_and(|last| now - last > 2 * self.timing.probe_period);
         self.last_tick = Some(now);
         if paused {
             self.pending.clear();
         }
-        self.overdue(now, rng, &mut effects);
+        self.check_overdue(now, rng, &mut effects);
         let Timing {
-            suspicion, memory, ..
+            suspicion_timeout: suspicion,
+            gone_retention: memory,
+            ..
         } = self.timing;
         effects.changed |= self.entries.expire(now, suspicion, memory);
         if self.next_probe.is_none_or(|due| due <= now) {
             // A pause of the process must not be followed by a burst of the missed probes.
-            self.next_probe = Some(now + self.timing.period);
+            self.next_probe = Some(now + self.timing.probe_period);
             self.probe_next(now, rng, &mut effects);
         }
         effects
@@ -279,65 +283,74 @@
             changed: self.merge(now, &datagram.from),
             ..Effects::default()
         };
-        for member in &datagram.news {
+        for member in &datagram.updates {
             effects.changed |= self.merge(now, member);
         }
         let sender = datagram.from.peer;
         self.note_version(sender, datagram.digest.version);
         if datagram.digest.version > self.digest.version {
-            effects.ahead = Some(sender);
+            effects.newer_config_at = Some(sender);
         }
-        if datagram.evidence != self.evidence {
-            effects.differs = Some(sender);
+        if datagram.gossip_hash != self.gossip_hash {
+            effects.gossip_differs_at = Some(sender);
         }
-        self.answer(now, sender, &datagram.probe, &mut effects);
+        self.respond(now, sender, &datagram.message, &mut effects);
         effects
     }
 
-    fn answer(&mut self, now: Instant, sender: SocketAddr, probe: &Probe, effects: &mut Effects) {
+    fn respond(
+        &mut self,
+        now: Instant,
+        sender: SocketAddr,
+        probe: &Message,
+        effects: &mut Effects,
+    ) {
         match *probe {
-            Probe::Ping { seq } => {
-                let pong = self.datagram(sender, Probe::Pong { seq });
+            Message::Ping { seq } => {
+                let pong = self.datagram(sender, Message::Pong { seq });
                 effects.sends.push(pong);
             }
-            Probe::Pong { seq } => self.answered(seq, sender, effects),
-            Probe::Relay { seq, subject } => {
+            Message::Pong { seq } => self.acknowledge(seq, sender, effects),
+            Message::Relay { seq, subject } => {
                 let ping = self.ping(now, subject, Some((sender, seq)));
                 effects.sends.push(ping);
             }
-            Probe::News | Probe::Crashes(_) | Probe::Rollouts(_) | Probe::Report(_) => {}
+            Message::Gossip | Message::Crashes(_) | Message::Rollouts(_) | Message::Report(_) => {}
         }
     }
 
-    fn answered(&mut self, seq: u64, sender: SocketAddr, effects: &mut Effects) {
+    fn acknowledge(&mut self, seq: u64, sender: SocketAddr, effects: &mut Effects) {
         let Some(index) = self.pending.iter().position(|p| p.seq == seq) else {
             return;
         };
         let pending = self.pending.swap_remove(index);
         // A relayed answer comes from the helper; only the subject's own is passed on.
-        if let (Some((asker, seq)), true) = (pending.asker, pending.subject == sender) {
-            let pong = self.datagram(asker, Probe::Pong { seq });
+        if let (Some((asker, seq)), true) = (pending.requester, pending.subject == sender) {
+            let pong = self.datagram(asker, Message::Pong { seq });
             effects.sends.push(pong);
         }
     }
 
-    fn overdue(&mut self, now: Instant, rng: &mut SmallRng, effects: &mut Effects) {
+    fn check_overdue(&mut self, now: Instant, rng: &mut SmallRng, effects: &mut Effects) {
         let pending = std::mem::take(&mut self.pending);
         for mut probe in pending {
-            let age = now.saturating_duration_since(probe.sent);
-            if age >= self.timing.period {
-                if probe.asker.is_none() {
+            let age = now.saturating_duration_since(probe.sent_at);
+            if age >= self.timing.probe_period {
+                if probe.requester.is_none() {
                     effects.changed |= self.suspect(now, probe.subject);
                 }
                 continue;
             }
-            if age >= self.timing.patience && !probe.relayed && probe.asker.is_none() {
+            if age >= self.timing.probe_timeout && !probe.relayed && probe.requester.is_none() {
                 probe.relayed = true;
-                let relay = Probe::Relay {
+                let relay = Message::Relay {
                     seq: probe.seq,
                     subject: probe.subject,
                 };
-                for helper in self.entries.draw_live(HELPERS, Some(probe.subject), rng) {
+                for helper in self
+                    .entries
+                    .sample_live(INDIRECT_PROBERS, Some(probe.subject), rng)
+                {
                     let request = self.datagram(helper, relay.clone());
                     effects.sends.push(request);
                 }
@@ -359,20 +372,22 @@
         self.seq += 1;
         // Guards against a split that outlives the cut: both sides hold each other as gone and
         // would never speak again. A gone member is probed now and then until it is forgotten.
-        let revisit = self.seq.is_multiple_of(REVISIT);
+        let revisit = self.seq.is_multiple_of(REVISIT_PERIODS);
         // Guards against a daemon that starts again while no list of daemons can be read: it knows
         // nobody and refuses its callers for as long. Those who knew it look for it at first.
         let departed = self.entries.all().iter().filter(|entry| {
-            let recent = now.saturating_duration_since(entry.since) < RECENT;
+            let recent = now.saturating_duration_since(entry.since) < RECENT_DEPARTURE;
             !entry.member.health.is_live() && (revisit || recent)
         });
         let departed: Vec<SocketAddr> = departed.map(|e| e.member.peer).collect();
         if !departed.is_empty() {
             let peer = departed[rng.random_range(0..departed.len())];
-            let revisit = self.datagram(peer, Probe::Ping { seq: 0 });
+            let revisit = self.datagram(peer, Message::Ping { seq: 0 });
             effects.sends.push(revisit);
         }
-        let subject = self.rounds.draw(&self.entries, &self.me.data_centre, rng);
+        let subject = self
+            .rounds
+            .next_peer(&self.entries, &self.me.data_centre, rng);
         if let Some(subject) = subject {
             let ping = self.ping(now, subject, None);
             effects.sends.push(ping);
@@ -385,41 +400,43 @@
         self.pending.push(Pending {
             seq,
             subject: to,
-            asker,
-            sent: now,
+            requester: asker,
+            sent_at: now,
             relayed: false,
         });
-        self.datagram(to, Probe::Ping { seq })
+        self.datagram(to, Message::Ping { seq })
     }
 
     /// A datagram without news of members.
-    pub(crate) fn bare(&self, to: SocketAddr, probe: Probe) -> Send {
+    pub(crate) fn bare_datagram(&self, to: SocketAddr, probe: Message) -> Send {
         let datagram = Datagram {
             release: wire::RELEASE,
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
             era: self.era,
-            evidence: self.evidence,
-            probe,
-            news: Vec::new(),
+            gossip_hash: self.gossip_hash,
+            message: probe,
+            updates: Vec::new(),
         };
         Send { to, datagram }
     }
 
     /// A datagram with as much news as fits.
-    pub(crate) fn datagram(&mut self, to: SocketAddr, probe: Probe) -> Send {
+    pub(crate) fn datagram(&mut self, to: SocketAddr, probe: Message) -> Send {
         let mut datagram = Datagram {
             release: wire::RELEASE,
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
             era: self.era,
-            evidence: self.evidence,
-            probe,
-            news: self.entries.news(to),
+            gossip_hash: self.gossip_hash,
+            message: probe,
+            updates: self.entries.updates(to),
         };
-        while wire::encode(&datagram).len() > wire::MAX_DATAGRAM && datagram.news.pop().is_some() {}
+        while wire::encode(&datagram).len() > wire::MAX_DATAGRAM && datagram.updates.pop().is_some()
+        {
+        }
         Send { to, datagram }
     }
 
@@ -431,11 +448,11 @@
         if leaving || !(slander || stale) {
             return false;
         }
-        self.renew(member.incarnation.max(self.me.incarnation));
+        self.bump_incarnation(member.incarnation.max(self.me.incarnation));
         true
     }
 
-    const fn renew(&mut self, above: Incarnation) {
+    const fn bump_incarnation(&mut self, above: Incarnation) {
         self.me.incarnation = Incarnation(above.0 + 1);
     }
 }
--- a/src/quarantine/inspect.rs
+++ b/src/quarantine/inspect.rs
@@ -106,7 +106,7 @@
 
     /// Notes that `target` is another life than the one before it.
     pub fn succeed(&self, target: &Target) {
-        let began = target.born.map(|born| born.0);
+        let began = target.start_time.map(|born| born.0);
         let age = began.map(|began| Duration::from_millis(clock::unix_ms().saturating_sub(began)));
         let now = Instant::now();
         let mut running = self.running();
--- a/src/quarantine/keeper.rs
+++ b/src/quarantine/keeper.rs
@@ -53,7 +53,7 @@
             self.board.quarantine.expire();
             let news = self.board.quarantine.take_news();
             if !news.is_empty() {
-                self.membership.pass_on(news).await;
+                self.membership.gossip_crashes(news).await;
             }
             let before = std::mem::replace(&mut verdicts, self.board.quarantine.verdicts());
             self.compare(&before, &verdicts);
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -108,7 +108,7 @@
     async fn pass_on(&self) {
         let news = self.board.rollouts.take_news();
         if !news.is_empty() {
-            self.membership.pass_on_rollouts(news).await;
+            self.membership.gossip_rollouts(news).await;
         }
     }
 
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -105,7 +105,7 @@
 
     async fn drain(&self) {
         let (board, began) = (&self.board, Instant::now());
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         if let Some(origin) = self.origin.clone() {
             let listing = Registration::new(Arc::clone(board), origin);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
@@ -114,7 +114,7 @@
         let accept = board.settings.accept_ms.duration();
         tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
         board.advance(Stage::Draining);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
         self.phases.send_replace(Phase::Closed);
         // Guards against a connection that was taken at the last moment: its request has not come
--- a/src/units.rs
+++ b/src/units.rs
@@ -95,7 +95,7 @@
 
 number! {
     /// When a life of a target began, in Unix milliseconds.
-    Birth, u64
+    StartTime, u64
 }
 
 number! {
--- a/tests/membership_view.rs
+++ b/tests/membership_view.rs
@@ -243,8 +243,8 @@
         .find(|&index| address(index) == probe.to)
         .expect("known");
     let effects = net.views[receiver].receive(net.now, &probe.datagram);
-    assert_eq!(effects.ahead, Some(address(1)));
-    assert_eq!(net.views[receiver].ran(address(1)), Version(9));
+    assert_eq!(effects.newer_config_at, Some(address(1)));
+    assert_eq!(net.views[receiver].highest_version(address(1)), Version(9));
 }
 
 #[test]
@@ -283,7 +283,7 @@
     dead.health = Health::Gone;
     view.merge(now, &dead);
     let effects = view.tick(now + TICK * 200, &mut rng);
-    let told = |send: &Send| send.datagram.news.contains(&dead);
+    let told = |send: &Send| send.datagram.updates.contains(&dead);
     assert!(effects.sends.iter().any(told), "{:?}", effects.sends.len());
 }
 
@@ -326,7 +326,7 @@
     }
     let mut probed = [0_usize; 12];
     for _ in 0..400 {
-        now += Timing::default().period;
+        now += Timing::default().probe_period;
         let effects = view.tick(now, &mut rng);
         for send in effects.sends {
             let index = (0..12).find(|index| address(*index) == send.to);
@@ -378,7 +378,7 @@
         },
     };
     view.set_watermark(Some(watermark));
-    let sends = view.vouch();
+    let sends = view.send_watermark();
     let told: Vec<SocketAddr> = sends.iter().map(|send| send.to).collect();
     assert_eq!(told, [address(1)]);
     assert_eq!(sends[0].datagram.watermark, Some(watermark));
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -820,7 +820,7 @@
         offer: Some(Offer {
             service: Service::from("shelf"),
             slots: Slots(8),
-            born: None,
+            start_time: None,
             revision: Some(Revision::from(revision)),
             open: true,
         }),
--- a/tests/target_processes.rs
+++ b/tests/target_processes.rs
@@ -1,11 +1,11 @@
 //! Which announcements of a target's lives are believed.
 
 use jackdawpulley::membership::target::{Process, Processes, Recency};
-use jackdawpulley::units::Birth;
+use jackdawpulley::units::StartTime;
 use proptest::prelude::*;
 
 fn life(born: u64) -> Process {
-    Process::new("a", Some(Birth(born)))
+    Process::new("a", Some(StartTime(born)))
 }
 
 /// A daemon that starts beside a target learns its name from its health check, not its birth. The
--- a/trial/src/measure/scale.rs
+++ b/trial/src/measure/scale.rs
@@ -77,7 +77,7 @@
     let (mut ticks, mut receipts) = (Duration::ZERO, Duration::ZERO);
     let mut datagram_bytes = 0;
     for _ in 0..ROUNDS {
-        now += Timing::default().period;
+        now += Timing::default().probe_period;
         let began = Instant::now();
         let effects = view.tick(now, &mut rng);
         ticks += began.elapsed();
@@ -133,7 +133,7 @@
         offer: Some(Offer {
             service: Service(format!("service-{:03}", index % 100)),
             slots: Slots(20),
-            born: None,
+            start_time: None,
             revision: None,
             open: true,
         }),
--- a/trial/src/stand_in/target.rs
+++ b/trial/src/stand_in/target.rs
@@ -18,7 +18,7 @@
 use jackdawpulley::calls::dialect::Dialect;
 use jackdawpulley::clock;
 use jackdawpulley::membership::announce::Announcement;
-use jackdawpulley::units::{Birth, Millis, Service, Slots};
+use jackdawpulley::units::{Millis, Service, Slots, StartTime};
 use serde::{Deserialize, Serialize};
 use tokio::signal::unix::{SignalKind, signal};
 use volo::net::Address;
@@ -81,7 +81,7 @@
 struct Target {
     args: Args,
     began: std::time::Instant,
-    born: Birth,
+    born: StartTime,
     /// Written before a run begins, so that the record outlives a kill.
     runs: Mutex<File>,
     in_flight: AtomicU64,
@@ -99,7 +99,7 @@
     let target = Arc::new(Target {
         args: args.clone(),
         began: std::time::Instant::now(),
-        born: Birth(clock::unix_ms()),
+        born: StartTime(clock::unix_ms()),
         runs: Mutex::new(file),
         in_flight: AtomicU64::new(0),
         leaving: AtomicBool::new(false),
@@ -185,7 +185,7 @@
             lease_ms: self.args.lease_ms,
             revision: None,
             cold_ms: Millis(0),
-            born: Some(self.born),
+            start_time: Some(self.born),
         };
         let body = serde_json::to_string(&announcement).expect("plain data is JSON");
         while !self.leaving.load(Ordering::Acquire) {
--- a/trial/tests/common/fake.rs
+++ b/trial/tests/common/fake.rs
@@ -69,7 +69,7 @@
         lease_ms: Millis(60_000),
         revision: None,
         cold_ms: Millis(0),
-        born: None,
+        start_time: None,
     };
     let body = serde_json::to_string(&announcement).expect("plain data is JSON");
     let daemon = SocketAddr::new(host.ip, 7_003);
