--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -117,7 +117,7 @@
     }
 
     async fn attempt(&self, upstream: &Arc<Upstream>, part: Part, rule: &Ejection) -> Attempt {
-        let own = upstream.begin();
+        let own = upstream.track_request();
         let left = part.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Attempt::Failed(Reason::Expired);
@@ -149,7 +149,7 @@
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
             let out = upstreams.iter().filter(|other| other.ejected(now)).count();
-            upstream.failed(now, rule, out, upstreams.len());
+            upstream.record_failure(now, rule, out, upstreams.len());
         }
         match attempt {
             Attempt::Answered(response) => {
--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -46,7 +46,7 @@
     pub fn needs(&self, upstream: &Upstream, typical: &Typical) -> Duration {
         let settings = &self.board.settings;
         let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
-        typical.work() + upstream.way(typical, far_ms)
+        typical.work() + upstream.transfer_cost(typical, far_ms)
     }
 
     /// Chooses the upstream for the next attempt, if any is left: by key where there is one, by
@@ -79,7 +79,7 @@
         let fresh = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
         let rules = self.board.rollouts.rules();
         let Some(rule) = rules.get(service) else {
-            let usual = roster.usual.get(service, Instant::now());
+            let usual = roster.stable_revisions.get(service, Instant::now());
             let staged = self.board.settings.exposure_share.is_some();
             let may = |revision: &Option<Revision>| {
                 !staged || usual.is_none() || revision.is_none() || revision.as_ref() == usual
--- a/src/calls/experience.rs
+++ b/src/calls/experience.rs
@@ -51,7 +51,7 @@
         let now = Instant::now();
         // A refusal tells it as well: a gate that has just refused for lack of room is the last to ask again.
         if let Some(load) = load {
-            upstream.report(now, load.in_flight);
+            upstream.record_load(now, load.in_flight);
             if load.nested {
                 place(&mut self.routes(), route).nested_until = Some(now + NESTED);
             }
@@ -60,28 +60,28 @@
             Ok(response) => response,
             Err(reason) => {
                 if reason.blames_upstream() || reason == Reason::Shed {
-                    upstream.pace().failed(now);
+                    upstream.latency().failed(now);
                 }
                 // Guards against the time that news of a leaving daemon or target take: until then
                 // every call would go there, be refused and go on to another.
                 if reason.is_absence() && reason != Reason::Moved {
-                    upstream.absent(now);
+                    upstream.record_unavailable(now);
                 }
                 return reason.blames_upstream();
             }
         };
         let failed = response.status().is_server_error();
         if failed {
-            upstream.pace().failed(now);
+            upstream.latency().failed(now);
         } else {
-            upstream.succeeded();
+            upstream.record_success();
             let waited = load.unwrap_or_default().waited.duration();
             let work = now.saturating_duration_since(began).saturating_sub(waited);
             let bytes = response.headers().get(header::CONTENT_LENGTH);
             let bytes = bytes.and_then(|v| v.to_str().ok()?.parse().ok());
-            let factor = upstream.pace().factor(now);
+            let factor = upstream.latency().factor(now);
             let typical = self.learn_typical(route, work, factor, bytes.unwrap_or(0));
-            upstream.pace().answered(now, work, &typical);
+            upstream.latency().answered(now, work, &typical);
         }
         failed
     }
--- a/src/calls/gate.rs
+++ b/src/calls/gate.rs
@@ -132,7 +132,7 @@
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&handover.route, &handover.from, &roster.fleet)
+        origins.note(&handover.route, &handover.from, &roster.host_counts)
     }
 
     fn report(&self, waited: Waited, nested: bool) -> Load {
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -161,7 +161,9 @@
             cold_ms: beat.cold,
             start_time: beat.process.start_time,
         };
-        let fault = announcement.problem().or_else(|| self.fault(&beat));
+        let fault = announcement
+            .problem()
+            .or_else(|| self.service_problem(&beat));
         if let Some(fault) = fault {
             return Err(Rejection(fault));
         }
@@ -170,9 +172,9 @@
             let contested = lives.may_replace_another(&beat.process);
             let standing = lives.observe(&beat.process, beat.sequence);
             if beat.leaving && matches!(standing, Recency::New | Recency::Current) {
-                lives.leave();
+                lives.set_leaving();
             }
-            (standing, contested, lives.leaving())
+            (standing, contested, lives.is_leaving())
         };
         match standing {
             Recency::Stale | Recency::Ended => {
@@ -223,7 +225,7 @@
     ///
     /// Guards against an announcement that is not the target's: taken for the word of its next life,
     /// it would put the one that serves out of use until it announces itself again.
-    fn fault(&self, beat: &Renewal) -> Option<&'static str> {
+    fn service_problem(&self, beat: &Renewal) -> Option<&'static str> {
         let config = self.board.config();
         let groups = &config.document.groups;
         let named = groups.iter().any(|group| group.service == beat.service);
@@ -241,7 +243,7 @@
 
     /// Notes that a life of the target ends: it gets no new work.
     pub async fn deregister(&self, life: &Process) {
-        if self.processes().close(life) {
+        if self.processes().deregister(life) {
             self.clear_target("target ends", &life.instance).await;
         }
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -104,7 +104,7 @@
                 .await
             {
                 self.membership
-                    .merge_members(&welcome.members, &welcome.usual);
+                    .merge_members(&welcome.members, &welcome.stable_revisions);
             }
         }
     }
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -17,7 +17,7 @@
 use crate::membership::entries::Entry;
 use crate::membership::member::{Health, Member, Offer, Stage};
 use crate::membership::member_count::Throttle;
-use crate::membership::roster::{Departed, Home, Roster};
+use crate::membership::roster::{Departed, Location, Roster};
 use crate::membership::timing::Timing;
 use crate::membership::view::{Effects, Send, View};
 use crate::rollout::usual::Usual;
@@ -34,7 +34,7 @@
     board: Arc<Board>,
     relay: Arc<Relay>,
     socket: UdpSocket,
-    born: Incarnation,
+    initial_incarnation: Incarnation,
     state: Mutex<State>,
 }
 
@@ -45,7 +45,7 @@
     /// When another daemon was told everything that is known of ends of targets.
     pub last_full_sync: Option<Instant>,
     /// Revisions that get requests without an order.
-    usual: Usual,
+    stable_revisions: Usual,
 }
 
 impl Membership {
@@ -68,13 +68,13 @@
             view,
             rng,
             last_full_sync: None,
-            usual: Usual::default(),
+            stable_revisions: Usual::default(),
         });
         let membership = Self {
             board,
             relay,
             socket,
-            born,
+            initial_incarnation: born,
             state,
         };
         membership.rebuild_roster(&mut membership.state());
@@ -115,7 +115,7 @@
     }
 
     fn close_idle_links(&self) {
-        for (_, upstream) in self.board.roster().all() {
+        for (_, upstream) in self.board.roster().all_upstreams() {
             upstream.link.close_idle();
         }
     }
@@ -178,7 +178,7 @@
             crashes: self.board.quarantine.told(),
             rollouts: self.board.rollouts.told(),
             era: self.board.era(),
-            usual: guard.usual.told(),
+            stable_revisions: guard.stable_revisions.told(),
         }
     }
 
@@ -186,7 +186,7 @@
     pub fn merge_members(&self, members: &[Member], usual: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
-        guard.usual.adopt(usual);
+        guard.stable_revisions.adopt(usual);
         for member in members {
             guard.view.merge(now, member);
         }
@@ -195,8 +195,8 @@
 
     /// Incarnation with which this daemon started.
     #[must_use]
-    pub const fn born(&self) -> Incarnation {
-        self.born
+    pub const fn initial_incarnation(&self) -> Incarnation {
+        self.initial_incarnation
     }
 
     /// This daemon's own entry.
@@ -304,7 +304,7 @@
         let old = self.board.roster();
         let settings = &self.board.settings;
         let address = settings.peer_addr.ip();
-        let home = Home {
+        let home = Location {
             data_centre: settings.data_centre.clone(),
             address,
         };
@@ -324,9 +324,9 @@
             .cloned()
             .chain([state.view.me().clone()])
             .collect();
-        let usual = state.usual.clone();
+        let usual = state.stable_revisions.clone();
         let roster = Roster::build(live, gone, &home, &old, usual, now);
-        state.usual.clone_from(&roster.usual);
+        state.stable_revisions.clone_from(&roster.stable_revisions);
         self.board.set_roster(roster);
     }
 
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -29,14 +29,14 @@
     /// Passes ends of targets on to a few members.
     pub async fn gossip_crashes(&self, crashes: Vec<Crash>) {
         let pages = pages(crashes);
-        self.spread(pages.into_iter().map(Message::Crashes).collect())
+        self.send_to_random(pages.into_iter().map(Message::Crashes).collect())
             .await;
     }
 
     /// Passes roll-outs on to a few members.
     pub async fn gossip_rollouts(&self, news: Vec<Progress>) {
         let pages = pages(news);
-        self.spread(pages.into_iter().map(Message::Rollouts).collect())
+        self.send_to_random(pages.into_iter().map(Message::Rollouts).collect())
             .await;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Sends something to a few members drawn at random.
-    async fn spread(&self, probes: Vec<Message>) {
+    async fn send_to_random(&self, probes: Vec<Message>) {
         let sends = {
             let mut guard = self.state();
             self.refresh_view(&mut guard);
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -113,7 +113,7 @@
         self.board.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, heard);
         self.membership
-            .merge_members(&welcome.members, &welcome.usual);
+            .merge_members(&welcome.members, &welcome.stable_revisions);
     }
 
     /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
@@ -121,7 +121,7 @@
         let me = self.membership.me();
         // Entries between the birth of this daemon and now are its own; those from the future
         // are of an earlier one whose clock was ahead.
-        let own = self.membership.born()..=me.incarnation;
+        let own = self.membership.initial_incarnation()..=me.incarnation;
         let told = members
             .iter()
             .find(|known| known.peer == me.peer && !own.contains(&known.incarnation));
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -18,11 +18,11 @@
 use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
 /// Bytes in a kilobyte.
-const KB: f64 = 1_024.0;
+const BYTES_PER_KB: f64 = 1_024.0;
 /// Greatest age of own requests that is reckoned with, in milliseconds: beyond any time-out.
-const OLDEST_MS: u64 = 5_000;
+const MAX_REQUEST_AGE_MS: u64 = 5_000;
 /// Size of the heads of a request and its answer between two daemons, in kilobytes.
-const HEADS_KB: f64 = 0.5;
+const HEADERS_KB: f64 = 0.5;
 
 /// All members, sorted by address, and the upstreams of each service.
 #[derive(Debug, Default)]
@@ -32,10 +32,10 @@
     /// Members that are thought to be gone and not yet forgotten.
     pub gone: Vec<Departed>,
     /// Hosts of each service, sorted by it, whether their targets take calls or not.
-    pub fleet: Vec<(Service, usize)>,
+    pub host_counts: Vec<(Service, usize)>,
     pools: Vec<Pool>,
     /// Revisions that get requests without an order.
-    pub usual: Usual,
+    pub stable_revisions: Usual,
 }
 
 /// A member that is thought to be gone.
@@ -49,7 +49,7 @@
 
 /// Where this daemon is.
 #[derive(Debug, Clone)]
-pub struct Home {
+pub struct Location {
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Address that its connections leave from.
@@ -75,18 +75,18 @@
     /// Connection for calls.
     pub link: Link,
     /// Start of the target's life in Unix milliseconds; 0 while it is not known.
-    born: AtomicU64,
+    start_ms: AtomicU64,
     slots: AtomicU32,
-    came: Instant,
+    first_seen: Instant,
     suspect: AtomicBool,
-    own: AtomicU32,
+    own_requests: AtomicU32,
     /// Times at which own requests were sent, in milliseconds since it came, as their sum.
-    sent_ms: AtomicU64,
-    reported: AtomicU32,
+    sent_sum_ms: AtomicU64,
+    reported_load: AtomicU32,
     /// Held for a few instructions, as the evidence is.
-    pace: Mutex<Pace>,
+    latency: Mutex<Pace>,
     /// Held for a few instructions, by the path of a request alone.
-    evidence: Mutex<Evidence>,
+    detector: Mutex<Evidence>,
 }
 
 impl Roster {
@@ -95,7 +95,7 @@
     pub fn build(
         mut members: Vec<Member>,
         gone: Vec<Departed>,
-        home: &Home,
+        home: &Location,
         old: &Self,
         mut usual: Usual,
         now: Instant,
@@ -111,11 +111,11 @@
                 continue;
             };
             let kept = old.upstream(&offer.service, member.peer);
-            let kept = kept.filter(|upstream| upstream.continues(offer.start_time));
+            let kept = kept.filter(|upstream| upstream.is_same_process(offer.start_time));
             let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, home, now)));
             upstream.slots.store(offer.slots.0, Ordering::Relaxed);
             if let Some(StartTime(born)) = offer.start_time {
-                upstream.born.store(born, Ordering::Relaxed);
+                upstream.start_ms.store(born, Ordering::Relaxed);
             }
             upstream
                 .suspect
@@ -145,11 +145,11 @@
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
         usual.miss(now, &services);
         Self {
-            fleet: fleet(&members),
+            host_counts: host_counts(&members),
             members,
             gone,
             pools,
-            usual,
+            stable_revisions: usual,
         }
     }
 
@@ -167,8 +167,8 @@
 
     /// Whether a target is of the revision that gets the requests without an order.
     #[must_use]
-    pub fn is_usual(&self, target: &Target, now: Instant) -> bool {
-        let usual = self.usual.get(&target.service, now);
+    pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
+        let usual = self.stable_revisions.get(&target.service, now);
         usual.is_none() || target.revision.is_none() || target.revision.as_ref() == usual
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// All upstreams with their services.
-    pub fn all(&self) -> impl Iterator<Item = (&Service, &Arc<Upstream>)> {
+    pub fn all_upstreams(&self) -> impl Iterator<Item = (&Service, &Arc<Upstream>)> {
         self.pools
             .iter()
             .flat_map(|pool| pool.upstreams.iter().map(|u| (&pool.service, u)))
@@ -205,7 +205,7 @@
 }
 
 /// Hosts of each service, sorted by it.
-fn fleet(members: &[Member]) -> Vec<(Service, usize)> {
+fn host_counts(members: &[Member]) -> Vec<(Service, usize)> {
     let mut fleet: Vec<(Service, usize)> = Vec::new();
     for offer in members.iter().filter_map(|member| member.offer.as_ref()) {
         match fleet.binary_search_by(|(service, _)| service.cmp(&offer.service)) {
@@ -217,20 +217,20 @@
 }
 
 impl Upstream {
-    fn new(member: &Member, home: &Home, now: Instant) -> Self {
+    fn new(member: &Member, home: &Location, now: Instant) -> Self {
         Self {
             peer: member.peer,
             local: member.data_centre == home.data_centre,
             link: Link::new(member.peer, home.address),
-            born: AtomicU64::new(0),
+            start_ms: AtomicU64::new(0),
             slots: AtomicU32::new(0),
-            came: now,
+            first_seen: now,
             suspect: AtomicBool::new(false),
-            own: AtomicU32::new(0),
-            sent_ms: AtomicU64::new(0),
-            reported: AtomicU32::new(0),
-            pace: Mutex::new(Pace::new(now)),
-            evidence: Mutex::default(),
+            own_requests: AtomicU32::new(0),
+            sent_sum_ms: AtomicU64::new(0),
+            reported_load: AtomicU32::new(0),
+            latency: Mutex::new(Pace::new(now)),
+            detector: Mutex::default(),
         }
     }
 
@@ -238,20 +238,20 @@
     ///
     /// Guards against the bad name of a life that has ended: the next one, under the same name at
     /// the same address, would inherit its pace, its refusals and its ejection.
-    fn continues(&self, born: Option<StartTime>) -> bool {
-        let known = self.born.load(Ordering::Relaxed);
+    fn is_same_process(&self, born: Option<StartTime>) -> bool {
+        let known = self.start_ms.load(Ordering::Relaxed);
         known == 0 || born.is_none_or(|born| born.0 == known)
     }
 
     /// What a choice needs to know at `now`.
     #[must_use]
     pub fn candidate(&self, group: &Group, now: Instant) -> Candidate {
-        let age = now.saturating_duration_since(self.came);
+        let age = now.saturating_duration_since(self.first_seen);
         let slots = self.slots.load(Ordering::Relaxed);
-        let own = self.own.load(Ordering::Relaxed);
+        let own = self.own_requests.load(Ordering::Relaxed);
         Candidate {
             local: self.local,
-            load: own.max(self.reported.load(Ordering::Relaxed)),
+            load: own.max(self.reported_load.load(Ordering::Relaxed)),
             slots: group.slots.map_or(slots, |bound| slots.min(bound.0)),
             share: pick::share(age, group.slow_start_ms.duration()),
             ejected: self.suspect.load(Ordering::Relaxed)
@@ -265,9 +265,11 @@
     #[must_use]
     pub fn cost(&self, group: &Group, typical: &Typical, far_ms: f64, now: Instant) -> Cost {
         let candidate = self.candidate(group, now);
-        let own = self.underway();
-        let expected = self.pace().expected_ms(now, own, candidate.slots, typical);
-        let way_ms = self.way(typical, far_ms).as_secs_f64() * 1_000.0;
+        let own = self.outstanding();
+        let expected = self
+            .latency()
+            .expected_ms(now, own, candidate.slots, typical);
+        let way_ms = self.transfer_cost(typical, far_ms).as_secs_f64() * 1_000.0;
         Cost {
             ms: expected / candidate.share + way_ms,
             ejected: candidate.ejected,
@@ -276,74 +278,74 @@
 
     /// Price of the way there and back, as a time that a request of a route could wait instead.
     #[must_use]
-    pub fn way(&self, typical: &Typical, far_ms: f64) -> Duration {
+    pub fn transfer_cost(&self, typical: &Typical, far_ms: f64) -> Duration {
         if self.local {
             return Duration::ZERO;
         }
-        let ms = far_ms * (HEADS_KB + typical.bytes / KB);
+        let ms = far_ms * (HEADERS_KB + typical.bytes / BYTES_PER_KB);
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
     }
 
     /// What was learnt of its pace, to read or to add to.
-    pub fn pace(&self) -> MutexGuard<'_, Pace> {
-        self.pace.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn latency(&self) -> MutexGuard<'_, Pace> {
+        self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether own evidence keeps it out at `now`.
     #[must_use]
     pub fn ejected(&self, now: Instant) -> bool {
-        self.evidence().ejected(now)
+        self.detector().ejected(now)
     }
 
     /// A copy of the evidence, for the state dump.
     #[must_use]
-    pub fn evidence(&self) -> Evidence {
-        *self.evidence.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn detector(&self) -> Evidence {
+        *self.detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes what its gate reported as in flight.
-    pub fn report(&self, now: Instant, load: u32) {
-        self.reported.store(load, Ordering::Relaxed);
-        let own = self.own.load(Ordering::Relaxed);
-        self.pace().report(now, load, own);
+    pub fn record_load(&self, now: Instant, load: u32) {
+        self.reported_load.store(load, Ordering::Relaxed);
+        let own = self.own_requests.load(Ordering::Relaxed);
+        self.latency().report(now, load, own);
     }
 
     /// Load as known here: own requests and the gate's report.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         (
-            self.own.load(Ordering::Relaxed),
-            self.reported.load(Ordering::Relaxed),
+            self.own_requests.load(Ordering::Relaxed),
+            self.reported_load.load(Ordering::Relaxed),
         )
     }
 
     /// Notes a success.
-    pub fn succeeded(&self) {
-        self.evidence
+    pub fn record_success(&self) {
+        self.detector
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .succeeded();
     }
 
     /// Notes that it could not be reached.
-    pub fn absent(&self, now: Instant) {
-        let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn record_unavailable(&self, now: Instant) {
+        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.absent(now);
     }
 
     /// Notes a failure; `out` of `total` upstreams of its group are ejected.
-    pub fn failed(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
-        let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn record_failure(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
+        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.failed(now, rule, out, total);
     }
 
     /// Counts an own request until the returned value is dropped.
     #[must_use]
-    pub fn begin(self: &Arc<Self>) -> Own {
-        let sent_ms = Millis::from(self.came.elapsed()).0;
-        self.own.fetch_add(1, Ordering::Relaxed);
-        self.sent_ms.fetch_add(sent_ms, Ordering::Relaxed);
-        Own {
+    pub fn track_request(self: &Arc<Self>) -> RequestGuard {
+        let sent_ms = Millis::from(self.first_seen.elapsed()).0;
+        self.own_requests.fetch_add(1, Ordering::Relaxed);
+        self.sent_sum_ms.fetch_add(sent_ms, Ordering::Relaxed);
+        RequestGuard {
             upstream: Arc::clone(self),
             sent_ms,
         }
@@ -351,39 +353,41 @@
 
     /// Own requests under way there.
     #[must_use]
-    pub fn underway(&self) -> Underway {
-        let count = self.own.load(Ordering::Relaxed);
-        let sum_ms = self.sent_ms.load(Ordering::Relaxed);
+    pub fn outstanding(&self) -> Underway {
+        let count = self.own_requests.load(Ordering::Relaxed);
+        let sum_ms = self.sent_sum_ms.load(Ordering::Relaxed);
         let mean_ms = sum_ms.checked_div(u64::from(count));
         // The two are not read together: a sum that is ahead of its count reads as no age.
         let age = mean_ms.map_or(0, |mean_ms| {
-            Millis::from(self.came.elapsed()).0.saturating_sub(mean_ms)
+            Millis::from(self.first_seen.elapsed())
+                .0
+                .saturating_sub(mean_ms)
         });
         Underway {
             count,
-            age: Millis(age.min(OLDEST_MS)).duration(),
+            age: Millis(age.min(MAX_REQUEST_AGE_MS)).duration(),
         }
     }
 
     /// Time since it came.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.came)
+        now.saturating_duration_since(self.first_seen)
     }
 }
 
 /// Counts one own request while it exists.
 #[derive(Debug)]
-pub struct Own {
+pub struct RequestGuard {
     upstream: Arc<Upstream>,
     sent_ms: u64,
 }
 
-impl Drop for Own {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.upstream.own.fetch_sub(1, Ordering::Relaxed);
+        self.upstream.own_requests.fetch_sub(1, Ordering::Relaxed);
         self.upstream
-            .sent_ms
+            .sent_sum_ms
             .fetch_sub(self.sent_ms, Ordering::Relaxed);
     }
 }
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -158,13 +158,13 @@
     }
 
     /// Notes that the current life takes no more calls; it never takes that back.
-    pub const fn leave(&mut self) {
+    pub const fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
     /// Whether the current life takes no more calls.
     #[must_use]
-    pub const fn leaving(&self) -> bool {
+    pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
@@ -178,7 +178,7 @@
 
     /// Notes that a life ends by its own word; whether it is the current one, which takes no more
     /// calls from now on.
-    pub fn close(&mut self, life: &Process) -> bool {
+    pub fn deregister(&mut self, life: &Process) -> bool {
         let current = self.current.as_ref().map(|(now, _)| now);
         let same = current.filter(|now| now.instance == life.instance);
         match same {
@@ -190,7 +190,7 @@
                 true
             }
             Some(_) => {
-                self.leave();
+                self.set_leaving();
                 true
             }
             None => {
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -179,7 +179,7 @@
             gone: roster.gone.len(),
             members: roster.members.iter().take(MOST).cloned().collect(),
             upstreams: roster
-                .all()
+                .all_upstreams()
                 .take(MOST)
                 .map(|(s, u)| UpstreamDump::of(s, u, revision(&roster, u), now))
                 .collect(),
@@ -220,7 +220,7 @@
             local: upstream.local,
             own,
             reported,
-            failures: upstream.evidence().failures,
+            failures: upstream.detector().failures,
             ejected: upstream.ejected(now),
             age_ms: age.into(),
         }
--- a/tests/target_processes.rs
+++ b/tests/target_processes.rs
@@ -25,7 +25,7 @@
     let mut lives = Processes::default();
     let untold = Process::new("a", None);
     assert_eq!(lives.observe(&untold, 7), Recency::New);
-    assert!(lives.close(&untold));
+    assert!(lives.deregister(&untold));
     assert_eq!(lives.observe(&Process::new("b", None), 1), Recency::New);
     assert_eq!(lives.observe(&untold, 8), Recency::Ended);
     assert!(lives.may_replace_another(&life(5)));
@@ -38,7 +38,7 @@
     let mut lives = Processes::default();
     assert_eq!(lives.observe(&life(5), 3), Recency::New);
     assert!(
-        lives.close(&life(6)),
+        lives.deregister(&life(6)),
         "the life that was current has ended as well"
     );
     assert_eq!(lives.observe(&life(6), 1), Recency::Ended);
@@ -55,7 +55,7 @@
         let (mut newest, mut ended) = (None, None);
         for (born, sequence, farewell) in words {
             if farewell {
-                lives.close(&life(born));
+                lives.deregister(&life(born));
                 ended = ended.max(Some(born));
                 newest = newest.max(Some(born));
                 continue;
@@ -63,7 +63,7 @@
             let standing = lives.observe(&life(born), sequence);
             let taken = matches!(standing, Recency::New | Recency::Current);
             prop_assert!(!taken || newest.is_none_or(|newest| born >= newest));
-            prop_assert!(!taken || ended < Some(born) || lives.leaving());
+            prop_assert!(!taken || ended < Some(born) || lives.is_leaving());
             if taken {
                 newest = newest.max(Some(born));
             }
