--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -1,6 +1,6 @@
-//! What daemons tell each other about who is there.
+//! Messages of the membership protocol.
 //!
-//! Probes and news travel as a [`Datagram`]; a newcomer asks with a [`Join`].
+//! Probes and updates are sent as a [`Datagram`]. A daemon that starts joins with a [`Join`] request.
 
 use std::net::SocketAddr;
 
@@ -17,25 +17,26 @@
 /// A membership datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Release of the protocol.
+    /// Release of the wire protocol.
     pub release: u8,
     /// Sender's own entry.
     pub from: Member,
-    /// What the sender has in force.
+    /// Configuration that the sender has active.
     pub digest: Digest,
-    /// Up to where the platform was read, with nothing newer than that; none before the first read.
+    /// Position up to which the control plane was read, at which nothing newer was found; none before the
+    /// first read.
     pub watermark: Option<freshness::Report>,
-    /// Highest era of the platform that the sender knows.
+    /// Highest generation of the control plane's store that the sender knows.
     pub era: Era,
-    /// Hash of what the sender knows of requests that end targets and of roll-outs; 0 for nothing.
+    /// Hash of the target crashes and rollouts that the sender knows; 0 if it knows none.
     pub gossip_hash: u64,
-    /// What it is about.
+    /// Kind of message, with its content.
     pub message: Message,
-    /// News about other members.
+    /// Updates about other members.
     pub updates: Vec<Member>,
 }
 
-/// Purpose of a datagram.
+/// Kind and content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for a [`Message::Pong`] with the same number.
@@ -48,47 +49,47 @@
         /// Number of the probe.
         seq: u64,
     },
-    /// Asks a third daemon to probe `subject`.
+    /// Asks another daemon for an indirect probe of `subject`.
     Relay {
         /// Number of the probe.
         seq: u64,
-        /// Whom to probe.
+        /// Daemon to probe.
         subject: SocketAddr,
     },
-    /// Carries news only.
+    /// Carries only what every datagram carries.
     Gossip,
-    /// Tells ends of targets.
+    /// Crashes of targets.
     Crashes(Vec<Crash>),
-    /// Tells roll-outs.
+    /// States of rollouts.
     Rollouts(Vec<Progress>),
-    /// Tells one that decides on a roll-out how a target answers.
+    /// Report on a target's responses, for the coordinator of a rollout.
     Report(Report),
 }
 
-/// Asks to become a member.
+/// Request to become a member.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Join {
-    /// The joiner's entry.
+    /// Entry of the joining daemon.
     pub member: Member,
 }
 
-/// Answer to a [`Join`].
+/// Response to a [`Join`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Welcome {
-    /// The whole view.
+    /// All members of the responder's view, the responder first.
     pub members: Vec<Member>,
-    /// What the answerer has in force.
+    /// Configuration that the responder has active.
     pub digest: Digest,
-    /// Highest version that the joiner's address is known to have run.
+    /// Highest configuration version that the joining daemon's address is known to have run.
     pub highest_version: Version,
-    /// Slots that a target offered last through the joiner's address.
+    /// Slots that a target offered last through the joining daemon's address.
     pub slots: Option<Slots>,
-    /// Ends of targets that the answerer knows of.
+    /// Target crashes that the responder knows.
     pub crashes: Vec<Crash>,
-    /// Roll-outs that the answerer knows of.
+    /// Rollouts that the responder knows.
     pub rollouts: Vec<Progress>,
-    /// Highest era of the platform that the answerer knows.
+    /// Highest generation of the control plane's store that the responder knows.
     pub era: Era,
-    /// Revisions that get requests without an order.
+    /// Stable revision of each service: the one that gets its requests while no rollout is ordered.
     pub stable_revisions: Vec<(Service, Revision)>,
 }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,6 +1,6 @@
-//! Members: what daemons tell each other about themselves.
+//! Entries that daemons exchange about themselves.
 //!
-//! The protocol that spreads these entries is in [`view`](crate::membership::view).
+//! The protocol that spreads them is in [`view`](crate::membership::view).
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,20 @@
 
 use crate::units::{DataCentre, Incarnation, Revision, Service, Slots, StartTime};
 
-/// One daemon, as others know it.
+/// Entry of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Address for peers, UDP and TCP; identifies the daemon.
     pub peer: SocketAddr,
     /// Address for operators.
     pub operator: SocketAddr,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Higher wins.
+    /// Entries of a higher incarnation replace those of a lower one.
     pub incarnation: Incarnation,
-    /// Whether it answers.
+    /// Health, as its peers see it.
     pub health: Health,
-    /// Where it is in its life.
+    /// Lifecycle stage.
     pub stage: Stage,
     /// What its target offers.
     pub offer: Option<Offer>,
@@ -35,16 +35,16 @@
     pub service: Service,
     /// Calls it takes at the same time.
     pub slots: Slots,
-    /// When its life began, where targets tell it.
+    /// Start of its process, if targets report it.
     #[serde(rename = "born")]
     pub start_time: Option<StartTime>,
-    /// Version of its software, where targets tell it.
+    /// Version of its software, if targets report it.
     pub revision: Option<Revision>,
-    /// Whether the target is there; its daemon still remembers its keys when it is not.
+    /// Whether the target is available; if not, its daemon still remembers its idempotency keys.
     pub open: bool,
 }
 
-/// Whether a daemon answers; later variants win within one incarnation.
+/// Health of a daemon; within one incarnation, later variants take precedence.
 #[derive(
     Debug,
     Clone,
@@ -62,25 +62,25 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Health {
-    /// It answers.
+    /// Responds to probes.
     Alive,
-    /// It has missed a probe and may refute.
+    /// Missed a probe and may still refute the suspicion.
     Suspect,
-    /// It has not refuted in time.
+    /// Did not refute the suspicion in time, or stopped without handing over its idempotency keys.
     Gone,
-    /// It has left as planned, and handed over what it remembered.
+    /// Stopped as planned, after handing over its idempotency keys.
     Left,
 }
 
 impl Health {
-    /// Whether the daemon is thought to be there.
+    /// Whether the daemon counts as a live member.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// Where a daemon is in its life.
+/// Lifecycle stage of a daemon.
 #[derive(
     Debug,
     Clone,
@@ -98,24 +98,24 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Stage {
-    /// Not ready: no floor for the configuration yet.
+    /// Not ready: the configuration is not recent enough yet.
     Starting,
-    /// Takes calls.
+    /// Accepts calls.
     Serving,
-    /// Ends its callers' sessions; its target still takes calls through it.
+    /// Closes its callers' sessions; its target still accepts calls through it.
     Leaving,
-    /// Takes no new work and ends what is in flight.
+    /// Accepts no new requests and finishes those in flight.
     Draining,
 }
 
 impl Stage {
-    /// Whether its target takes calls through it.
+    /// Whether its target accepts calls through it.
     #[must_use]
     pub const fn takes_calls(self) -> bool {
         matches!(self, Self::Serving | Self::Leaving)
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     #[must_use]
     pub const fn is_stopping(self) -> bool {
         matches!(self, Self::Leaving | Self::Draining)
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Membership: which daemons and targets are there.
+//! Membership of daemons and targets.
 //!
-//! A [`member`] is what daemons tell each other about themselves, a [`view`] the protocol that spreads
-//! it. A [`target`] announces itself to the daemon beside it.
+//! Daemons exchange [`member`] entries with the SWIM-like protocol of [`view`]. A [`target`] announces
+//! itself to the daemon on its host.
 
 pub mod announce;
 pub mod datagram;
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,17 +1,17 @@
-//! Times of the membership protocol.
+//! Timing parameters of the membership protocol.
 
 use std::time::Duration;
 
-/// Times of the protocol.
+/// Timing parameters.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Between two probes of a daemon.
+    /// Interval between two probes that a daemon sends.
     pub probe_period: Duration,
-    /// Until a direct probe counts as missed.
+    /// Time-out of a direct probe, after which indirect probes are sent.
     pub probe_timeout: Duration,
-    /// Until a suspect counts as gone.
+    /// Time after which a suspect that has not refuted counts as gone.
     pub suspicion_timeout: Duration,
-    /// Until a gone member is forgotten.
+    /// Time after which the entry of a gone member is dropped.
     pub gone_retention: Duration,
 }
 
