--- a/src/membership/entries.rs
+++ b/src/membership/entries.rs
@@ -1,7 +1,7 @@
-//! The entries of a membership view, and the news among them.
+//! Entries of a membership view, and the updates to be sent about them.
 //!
-//! An [`Entry`] is the latest word about a member. Each change of one is passed on a few times,
-//! with whatever datagram is sent next.
+//! An [`Entry`] is the latest known state of a member. Each change of an entry is sent a limited number of
+//! times, piggybacked on the next datagrams.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use crate::membership::member::{Health, Member};
 use crate::units::{Slots, Version};
 
-/// Times that news is passed on, as a multiple of the logarithm of the view's size.
+/// Times that an update is sent, as a multiple of the logarithm of the view's size.
 const TRANSMIT_FACTOR: u32 = 3;
-/// Most news in one datagram.
+/// Most updates in one datagram.
 const MAX_UPDATES: usize = 12;
 
-/// A member with what the view knows beside its entry.
+/// A member with local bookkeeping.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Entry as it travels.
+    /// Entry as it is sent.
     pub member: Member,
-    /// When its health or incarnation changed last.
+    /// Time of the last change of its health or incarnation.
     pub since: Instant,
-    /// Highest version it is known to have run.
+    /// Highest configuration version that it is known to have run.
     pub highest_version: Version,
-    /// Slots that a target offered last through it, in any of its lives.
+    /// Slots that a target offered last through it, also before a restart.
     pub slots: Option<Slots>,
-    /// Times that it will still be passed on.
+    /// Times that it will still be sent.
     transmits_left: u32,
 }
 
@@ -40,25 +40,25 @@
 }
 
 impl Entries {
-    /// All of them, gone ones included.
+    /// All entries, gone members included.
     #[must_use]
     pub fn all(&self) -> &[Entry] {
         &self.all
     }
 
-    /// The entry of one member.
+    /// Entry of one member.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Option<&Entry> {
         self.find(peer).ok().map(|index| &self.all[index])
     }
 
-    /// The members that are not gone.
+    /// Members that are not gone.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         let members = self.all.iter().map(|entry| &entry.member);
         members.filter(|member| member.health.is_live())
     }
 
-    /// Draws up to `count` members that are not gone.
+    /// Returns up to `count` members at random that are not gone, without `except`.
     pub fn sample_live(
         &self,
         count: usize,
@@ -72,9 +72,9 @@
         peers
     }
 
-    /// Takes a member's word in; `true` when it was news.
+    /// Merges an entry; returns whether it replaced an older one or was new.
     pub fn merge(&mut self, now: Instant, member: &Member) -> bool {
-        let sends = self.transmit_limit();
+        let transmits_left = self.transmit_limit();
         match self.find(member.peer) {
             Ok(index) => {
                 let entry = &mut self.all[index];
@@ -82,11 +82,11 @@
                 if (member.incarnation, member.health) <= old {
                     return false;
                 }
-                let offered = member.offer.as_ref().map(|offer| offer.slots);
-                entry.slots = offered.or(entry.slots);
+                let slots = member.offer.as_ref().map(|offer| offer.slots);
+                entry.slots = slots.or(entry.slots);
                 entry.member = member.clone();
                 entry.since = now;
-                entry.transmits_left = sends;
+                entry.transmits_left = transmits_left;
             }
             Err(index) => {
                 let entry = Entry {
@@ -94,7 +94,7 @@
                     since: now,
                     highest_version: Version(0),
                     slots: member.offer.as_ref().map(|offer| offer.slots),
-                    transmits_left: sends,
+                    transmits_left,
                 };
                 self.all.insert(index, entry);
             }
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Notes what version a member has in force.
+    /// Records the configuration version that a member has active.
     pub fn note_version(&mut self, peer: SocketAddr, version: Version) {
         if let Ok(index) = self.find(peer) {
             let entry = &mut self.all[index];
@@ -110,37 +110,43 @@
         }
     }
 
-    /// Lets suspects go after `suspicion`, and forgets who is gone after `memory`; whether any went.
-    pub fn expire(&mut self, now: Instant, suspicion: Duration, memory: Duration) -> bool {
-        let sends = self.transmit_limit();
+    /// Declares suspects gone after `suspicion_timeout` and drops gone members after `gone_retention`;
+    /// returns whether any suspect was declared gone.
+    pub fn expire(
+        &mut self,
+        now: Instant,
+        suspicion_timeout: Duration,
+        gone_retention: Duration,
+    ) -> bool {
+        let transmits_left = self.transmit_limit();
         let mut changed = false;
         for entry in &mut self.all {
             let age = now.saturating_duration_since(entry.since);
-            if entry.member.health == Health::Suspect && age >= suspicion {
+            if entry.member.health == Health::Suspect && age >= suspicion_timeout {
                 entry.member.health = Health::Gone;
                 entry.since = now;
-                entry.transmits_left = sends;
+                entry.transmits_left = transmits_left;
                 changed = true;
             }
         }
         self.all.retain(|entry| {
-            entry.member.health.is_live() || now.saturating_duration_since(entry.since) < memory
+            entry.member.health.is_live()
+                || now.saturating_duration_since(entry.since) < gone_retention
         });
         changed
     }
 
-    /// News for one member, which counts as passed on.
+    /// Takes the updates for a datagram to one member; they count as sent.
     pub fn updates(&mut self, to: SocketAddr) -> Vec<Member> {
-        let mut news = Vec::new();
-        // The receiver hears first what is said against it, so that it can refute.
+        let mut updates = Vec::new();
+        // A receiver that does not count as alive gets its own entry first, so that it can refute.
         if let Some(entry) = self.get(to)
             && entry.member.health != Health::Alive
         {
-            news.push(entry.member.clone());
+            updates.push(entry.member.clone());
         }
-        // Guards against a queue: after a whole data centre has come back hundreds of entries wait
-        // to be passed on, and a death in their midst must not wait for all of them. What has
-        // been passed on least goes first.
+        // Updates that have been sent least often go first: when a whole data centre has come back, hundreds
+        // of entries wait to be sent, and the failure of a member must not queue behind them.
         let waiting = self.all.iter().enumerate();
         let mut waiting: Vec<(Reverse<u32>, usize)> = waiting
             .filter(|(_, entry)| entry.transmits_left > 0 && entry.member.peer != to)
@@ -149,9 +155,9 @@
         waiting.sort_unstable();
         for (_, index) in waiting.into_iter().take(MAX_UPDATES) {
             self.all[index].transmits_left -= 1;
-            news.push(self.all[index].member.clone());
+            updates.push(self.all[index].member.clone());
         }
-        news
+        updates
     }
 
     fn find(&self, peer: SocketAddr) -> Result<usize, usize> {
--- a/src/membership/rounds.rs
+++ b/src/membership/rounds.rs
@@ -1,7 +1,7 @@
-//! Whom to probe next.
+//! Order in which members are probed.
 //!
-//! Members are probed in shuffled rounds, so that each waits no longer than a round; those of the own data
-//! centre and those of the others have rounds of their own.
+//! Members are probed in shuffled rounds, so that each waits no longer than a round. The members of the local
+//! data centre and those of the others have separate rounds.
 
 use std::net::SocketAddr;
 
@@ -13,54 +13,54 @@
 
 /// One probe in this many goes to another data centre.
 ///
-/// A member is noticed to be gone by those beside it; the probes between data centres carry news
-/// and notice when a whole one is gone. Bytes between data centres are dear.
+/// Failed members are detected within their own data centre. Probes between data centres only carry
+/// updates and detect the loss of a whole data centre, and traffic between data centres is expensive.
 const REMOTE_PROBE_INTERVAL: u64 = 4;
 
-/// The rounds of one daemon.
+/// Probe rounds of one daemon.
 #[derive(Debug, Default)]
 pub struct Rounds {
-    /// Members still to be probed: of the own data centre, and of the others.
+    /// Members still to be probed in this round: of the local data centre, and of the others.
     remaining: [Vec<SocketAddr>; 2],
-    /// Probes so far.
+    /// Number of probes so far.
     probes: u64,
 }
 
 impl Rounds {
-    /// Next member to probe: mostly one of the data centre `home`, now and then one of another.
+    /// Returns the next member to probe, mostly one in the data centre `local`.
     pub fn next_peer(
         &mut self,
         entries: &Entries,
-        home: &DataCentre,
+        local: &DataCentre,
         rng: &mut SmallRng,
     ) -> Option<SocketAddr> {
         self.probes += 1;
-        let far = self.probes.is_multiple_of(REMOTE_PROBE_INTERVAL);
-        let first = self.next_from(far, entries, home, rng);
-        // Where one side has nobody, the other one gets all probes.
-        first.or_else(|| self.next_from(!far, entries, home, rng))
+        let remote = self.probes.is_multiple_of(REMOTE_PROBE_INTERVAL);
+        let first = self.next_from(remote, entries, local, rng);
+        // If one side has no live members, the other one gets all probes.
+        first.or_else(|| self.next_from(!remote, entries, local, rng))
     }
 
-    /// Next member of the own data centre, or of the others: each is probed once in a round.
+    /// Returns the next member of the local data centre, or of the others; each is probed once in a round.
     fn next_from(
         &mut self,
-        far: bool,
+        remote: bool,
         entries: &Entries,
-        home: &DataCentre,
+        local: &DataCentre,
         rng: &mut SmallRng,
     ) -> Option<SocketAddr> {
-        let left = &mut self.remaining[usize::from(far)];
+        let remaining = &mut self.remaining[usize::from(remote)];
         let is_live = |peer: SocketAddr| {
             let entry = entries.get(peer);
             entry.is_some_and(|entry| entry.member.health.is_live())
         };
-        if !left.iter().any(|peer| is_live(*peer)) {
-            let side = entries.live();
-            let side = side.filter(|member| (member.data_centre != *home) == far);
-            *left = side.map(|member| member.peer).collect();
-            left.shuffle(rng);
+        if !remaining.iter().any(|peer| is_live(*peer)) {
+            let members = entries.live();
+            let members = members.filter(|member| (member.data_centre != *local) == remote);
+            *remaining = members.map(|member| member.peer).collect();
+            remaining.shuffle(rng);
         }
-        while let Some(peer) = left.pop() {
+        while let Some(peer) = remaining.pop() {
             if is_live(peer) {
                 return Some(peer);
             }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,12 +1,11 @@
-//! The membership view: who is there, learnt without a list.
+//! Membership view: a SWIM-like protocol as a pure state machine.
 //!
-//! A SWIM-like protocol as a pure state machine. Each period a daemon probes one other directly,
-//! then through a few others, then suspects it; a suspect that does not refute in time is gone.
-//! News travels piggybacked on probes. [`View`] gets time, randomness and datagrams as arguments
-//! and returns the datagrams to send.
+//! In each period a daemon probes one other daemon, first directly, then through a few others, and then
+//! suspects it. A suspect that does not refute in time is gone. Updates are piggybacked on probes. [`View`]
+//! takes time, randomness and datagrams as arguments and returns the datagrams to send.
 //!
-//! A view is a hint for liveness and never for exclusivity: a member that was paused may still
-//! believe that it is there, and the others may believe that it is gone.
+//! A view is a hint about liveness and never grants exclusivity: a member that was paused may consider itself
+//! live while the others consider it gone.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -25,21 +24,21 @@
 use crate::units::{DataCentre, Era, Incarnation, Slots, Version};
 use crate::wire;
 
-/// Daemons that probe a silent one on another's behalf.
+/// Daemons that are asked for an indirect probe; also receivers of a change of the own entry.
 const INDIRECT_PROBERS: usize = 3;
-/// Daemons that a leaver says good-bye to.
+/// Members that a daemon notifies when it leaves.
 const LEAVE_FANOUT: usize = 64;
-/// Time for which a member that went is looked for at every probe: it covers a restart.
+/// Time for which a departed member is a candidate for an extra probe in every period: it covers a restart.
 const RECENT_DEPARTURE: Duration = Duration::from_secs(30);
-/// Members of each other data centre that hear of a version from a reader: one may be gone without
-/// anybody knowing it yet.
+/// Members of each other data centre that a reader notifies of a version: one of them may be gone without
+/// being detected yet.
 const REMOTE_FANOUT: usize = 2;
-/// Members that a daemon asks at a time when it does not know the newest version.
+/// Members that a daemon queries at a time when it does not know the newest version.
 const QUERY_FANOUT: usize = 3;
-/// Periods between two probes of a member that is thought to be gone.
+/// Periods between two probes of gone members, on average.
 const REVISIT_PERIODS: u64 = 5;
 
-/// A datagram on its way out.
+/// An outgoing datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Send {
     /// Receiver.
@@ -48,16 +47,16 @@
     pub datagram: Datagram,
 }
 
-/// What a view wants done.
+/// Actions for the caller of a view.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Datagrams to send.
     pub sends: Vec<Send>,
-    /// A peer that holds a newer or another configuration than ours.
+    /// Peer with a newer configuration than the own one.
     pub newer_config_at: Option<SocketAddr>,
-    /// A peer that knows other ends of targets than ours.
+    /// Peer whose known crashes and rollouts differ from the own ones.
     pub gossip_differs_at: Option<SocketAddr>,
-    /// Whether a member came, went or changed.
+    /// Whether any member joined, left or changed.
     pub changed: bool,
 }
 
@@ -66,13 +65,13 @@
 struct Pending {
     seq: u64,
     subject: SocketAddr,
-    /// For whom the probe is made, with their number.
+    /// Daemon that asked for this indirect probe, with its sequence number.
     requester: Option<(SocketAddr, u64)>,
     sent_at: Instant,
     relayed: bool,
 }
 
-/// Everything a daemon knows about the others.
+/// Membership as seen by one daemon.
 #[derive(Debug)]
 pub struct View {
     me: Member,
@@ -90,7 +89,7 @@
 }
 
 impl View {
-    /// A view that knows only its own daemon.
+    /// Creates a view that contains only the own daemon.
     #[must_use]
     pub fn new(me: Member, timing: Timing) -> Self {
         Self {
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Its own daemon's entry.
+    /// Entry of the own daemon.
     #[must_use]
     pub const fn me(&self) -> &Member {
         &self.me
@@ -126,39 +125,39 @@
         self.entries.live()
     }
 
-    /// Everyone, its own daemon first.
+    /// All members, the own daemon first.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         let others = self.entries.all().iter().map(|entry| entry.member.clone());
         std::iter::once(self.me.clone()).chain(others).collect()
     }
 
-    /// Sets what its own daemon has in force.
+    /// Sets the configuration that the own daemon has active.
     pub const fn set_digest(&mut self, digest: Digest) {
         self.digest = digest;
     }
 
-    /// Sets up to where its own daemon knows the platform.
+    /// Sets the own daemon's watermark.
     pub const fn set_watermark(&mut self, watermark: Option<Report>) {
         self.watermark = watermark;
     }
 
-    /// Sets the highest era of the platform that its own daemon knows.
+    /// Sets the highest generation of the control plane's store that the own daemon knows.
     pub const fn set_era(&mut self, era: Era) {
         self.era = era;
     }
 
-    /// Sets the hash of what its own daemon knows of requests that end targets.
+    /// Sets the hash of the target crashes and rollouts that the own daemon knows.
     pub const fn set_gossip_hash(&mut self, evidence: u64) {
         self.gossip_hash = evidence;
     }
 
-    /// Draws up to `count` members that are not gone.
+    /// Returns up to `count` members at random that are not gone.
     pub fn sample_live(&self, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
         self.entries.sample_live(count, None, rng)
     }
 
-    /// Changes its own entry; the datagrams spread the change at once.
+    /// Changes the own entry and returns datagrams that propagate the change at once.
     pub fn update(&mut self, stage: Stage, offer: Option<Offer>, rng: &mut SmallRng) -> Vec<Send> {
         if self.me.stage == stage && self.me.offer == offer {
             return Vec::new();
@@ -173,8 +172,8 @@
             .collect()
     }
 
-    /// Says good-bye as [`Health::Gone`] or [`Health::Left`]: the datagrams that make the others
-    /// drop this daemon at once.
+    /// Leaves as [`Health::Gone`] or [`Health::Left`] and returns datagrams that make the receivers drop this
+    /// daemon at once.
     pub fn leave(&mut self, health: Health, rng: &mut SmallRng) -> Vec<Send> {
         self.bump_incarnation(self.me.incarnation);
         self.me.health = health;
@@ -185,7 +184,7 @@
             .collect()
     }
 
-    /// Merges an entry that came from anywhere; `true` when it was news.
+    /// Merges an entry; returns whether it changed the view.
     pub fn merge(&mut self, now: Instant, member: &Member) -> bool {
         if member.peer == self.me.peer {
             return self.refute(member);
@@ -193,45 +192,46 @@
         self.entries.merge(now, member)
     }
 
-    /// Tells a few members of each other data centre what its own daemon has in force; whoever is
-    /// behind fetches it.
+    /// Notifies a few members of each other data centre of the own daemon's active configuration; those with
+    /// an older one fetch it.
     ///
-    /// Guards against a platform that turns the reader of a data centre away, in silence: that one
-    /// notices after seconds, and whom it asks in its place may be turned away as well. Probes
-    /// between data centres are too rare to carry the news in time.
+    /// The control plane may silently stop serving the reader of a data centre. That reader notices only after
+    /// seconds, and the daemon that reads in its place may not be served either. Probes between data
+    /// centres are too rare to propagate the version in time.
     pub fn announce_version(&mut self, rng: &mut SmallRng) -> Vec<Send> {
-        let home = &self.me.data_centre;
-        let far = self.live().filter(|member| member.data_centre != *home);
-        let mut far: Vec<(DataCentre, SocketAddr)> =
-            far.map(|m| (m.data_centre.clone(), m.peer)).collect();
-        far.shuffle(rng);
-        far.sort_by(|a, b| a.0.cmp(&b.0));
-        let few = far.chunk_by(|a, b| a.0 == b.0);
-        let few = few.flat_map(|members| members.iter().take(REMOTE_FANOUT));
-        let receivers: Vec<SocketAddr> = few.map(|(_, peer)| *peer).collect();
+        let local = &self.me.data_centre;
+        let remote = self.live().filter(|member| member.data_centre != *local);
+        let mut remote: Vec<(DataCentre, SocketAddr)> =
+            remote.map(|m| (m.data_centre.clone(), m.peer)).collect();
+        remote.shuffle(rng);
+        remote.sort_by(|a, b| a.0.cmp(&b.0));
+        let by_data_centre = remote.chunk_by(|a, b| a.0 == b.0);
+        let chosen = by_data_centre.flat_map(|members| members.iter().take(REMOTE_FANOUT));
+        let receivers: Vec<SocketAddr> = chosen.map(|(_, peer)| *peer).collect();
         let send = |to| self.bare_datagram(to, Message::Gossip);
         receivers.into_iter().map(send).collect()
     }
 
-    /// Tells all other members of its data centre what its own daemon has in force and how recent that is.
+    /// Sends the own daemon's active configuration and watermark to all other members of its data centre.
     #[must_use]
     pub fn send_watermark(&self) -> Vec<Send> {
-        let home = &self.me.data_centre;
-        let near = self.live().filter(|member| member.data_centre == *home);
-        near.map(|member| self.bare_datagram(member.peer, Message::Gossip))
+        let local = &self.me.data_centre;
+        let members = self.live().filter(|member| member.data_centre == *local);
+        members
+            .map(|member| self.bare_datagram(member.peer, Message::Gossip))
             .collect()
     }
 
-    /// Asks a few members what they have in force and how recent that is.
+    /// Probes a few members, whose responses carry their active configuration and watermark.
     pub fn query(&mut self, now: Instant, rng: &mut SmallRng) -> Vec<Send> {
-        let asked = self.entries.sample_live(QUERY_FANOUT, None, rng);
-        asked
+        let receivers = self.entries.sample_live(QUERY_FANOUT, None, rng);
+        receivers
             .into_iter()
             .map(|peer| self.ping(now, peer, None))
             .collect()
     }
 
-    /// Highest version that `peer` is known to have run.
+    /// Highest configuration version that `peer` is known to have run.
     #[must_use]
     pub fn highest_version(&self, peer: SocketAddr) -> Version {
         self.entries
@@ -245,16 +245,16 @@
         self.entries.get(peer).and_then(|entry| entry.slots)
     }
 
-    /// Notes what version a peer has in force.
+    /// Records the configuration version that a peer has active.
     pub fn note_version(&mut self, peer: SocketAddr, version: Version) {
         self.entries.note_version(peer, version);
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`: handles time-outs and sends due probes.
     pub fn tick(&mut self, now: Instant, rng: &mut SmallRng) -> Effects {
         let mut effects = Effects::default();
-        // Guards against blaming others for an own pause: after SIGCONT every probe under way
-        // looks overdue, and healthy members would be suspected all at once. They are probed anew.
+        // After a pause of this process, such as SIGSTOP and SIGCONT, every pending probe looks overdue, and
+        // all healthy members would be suspected at once. They are probed again instead.
         let paused = self
             .last_tick
             .is_some_and(|last| now - last > 2 * self.timing.probe_period);
@@ -264,20 +264,20 @@
         }
         self.check_overdue(now, rng, &mut effects);
         let Timing {
-            suspicion_timeout: suspicion,
-            gone_retention: memory,
+            suspicion_timeout,
+            gone_retention,
             ..
         } = self.timing;
-        effects.changed |= self.entries.expire(now, suspicion, memory);
+        effects.changed |= self.entries.expire(now, suspicion_timeout, gone_retention);
         if self.next_probe.is_none_or(|due| due <= now) {
-            // A pause of the process must not be followed by a burst of the missed probes.
+            // Counted from now, so that a pause of the process is not followed by a burst of missed probes.
             self.next_probe = Some(now + self.timing.probe_period);
             self.probe_next(now, rng, &mut effects);
         }
         effects
     }
 
-    /// Takes a datagram in.
+    /// Handles a datagram.
     pub fn receive(&mut self, now: Instant, datagram: &Datagram) -> Effects {
         let mut effects = Effects {
             changed: self.merge(now, &datagram.from),
@@ -302,10 +302,10 @@
         &mut self,
         now: Instant,
         sender: SocketAddr,
-        probe: &Message,
+        message: &Message,
         effects: &mut Effects,
     ) {
-        match *probe {
+        match *message {
             Message::Ping { seq } => {
                 let pong = self.datagram(sender, Message::Pong { seq });
                 effects.sends.push(pong);
@@ -324,9 +324,9 @@
             return;
         };
         let pending = self.pending.swap_remove(index);
-        // A relayed answer comes from the helper; only the subject's own is passed on.
-        if let (Some((asker, seq)), true) = (pending.requester, pending.subject == sender) {
-            let pong = self.datagram(asker, Message::Pong { seq });
+        // A relayed response comes from the prober; only the subject's own response is forwarded.
+        if let (Some((requester, seq)), true) = (pending.requester, pending.subject == sender) {
+            let pong = self.datagram(requester, Message::Pong { seq });
             effects.sends.push(pong);
         }
     }
@@ -347,11 +347,11 @@
                     seq: probe.seq,
                     subject: probe.subject,
                 };
-                for helper in self
+                for prober in self
                     .entries
                     .sample_live(INDIRECT_PROBERS, Some(probe.subject), rng)
                 {
-                    let request = self.datagram(helper, relay.clone());
+                    let request = self.datagram(prober, relay.clone());
                     effects.sends.push(request);
                 }
             }
@@ -370,11 +370,11 @@
 
     fn probe_next(&mut self, now: Instant, rng: &mut SmallRng, effects: &mut Effects) {
         self.seq += 1;
-        // Guards against a split that outlives the cut: both sides hold each other as gone and
-        // would never speak again. A gone member is probed now and then until it is forgotten.
+        // Gone members are probed now and then until they are forgotten: after a network partition both sides
+        // consider each other gone and would otherwise never communicate again.
         let revisit = self.seq.is_multiple_of(REVISIT_PERIODS);
-        // Guards against a daemon that starts again while no list of daemons can be read: it knows
-        // nobody and refuses its callers for as long. Those who knew it look for it at first.
+        // Members that departed recently are candidates in every period: one that restarts while the list of
+        // daemons is unavailable knows nobody, and refuses its callers until it is found.
         let departed = self.entries.all().iter().filter(|entry| {
             let recent = now.saturating_duration_since(entry.since) < RECENT_DEPARTURE;
             !entry.member.health.is_live() && (revisit || recent)
@@ -394,21 +394,21 @@
         }
     }
 
-    fn ping(&mut self, now: Instant, to: SocketAddr, asker: Option<(SocketAddr, u64)>) -> Send {
+    fn ping(&mut self, now: Instant, to: SocketAddr, requester: Option<(SocketAddr, u64)>) -> Send {
         self.seq += 1;
         let seq = self.seq;
         self.pending.push(Pending {
             seq,
             subject: to,
-            requester: asker,
+            requester,
             sent_at: now,
             relayed: false,
         });
         self.datagram(to, Message::Ping { seq })
     }
 
-    /// A datagram without news of members.
-    pub(crate) fn bare_datagram(&self, to: SocketAddr, probe: Message) -> Send {
+    /// Builds a datagram without updates.
+    pub(crate) fn bare_datagram(&self, to: SocketAddr, message: Message) -> Send {
         let datagram = Datagram {
             release: wire::RELEASE,
             from: self.me.clone(),
@@ -416,14 +416,14 @@
             watermark: self.watermark,
             era: self.era,
             gossip_hash: self.gossip_hash,
-            message: probe,
+            message,
             updates: Vec::new(),
         };
         Send { to, datagram }
     }
 
-    /// A datagram with as much news as fits.
-    pub(crate) fn datagram(&mut self, to: SocketAddr, probe: Message) -> Send {
+    /// Builds a datagram with as many updates as fit.
+    pub(crate) fn datagram(&mut self, to: SocketAddr, message: Message) -> Send {
         let mut datagram = Datagram {
             release: wire::RELEASE,
             from: self.me.clone(),
@@ -431,7 +431,7 @@
             watermark: self.watermark,
             era: self.era,
             gossip_hash: self.gossip_hash,
-            message: probe,
+            message,
             updates: self.entries.updates(to),
         };
         while wire::encode(&datagram).len() > wire::MAX_DATAGRAM && datagram.updates.pop().is_some()
@@ -440,12 +440,12 @@
         Send { to, datagram }
     }
 
-    /// Answers an entry about its own daemon: `true` when it had to be refuted.
+    /// Handles an entry about the own daemon; returns whether it had to be refuted.
     fn refute(&mut self, member: &Member) -> bool {
         let leaving = !self.me.health.is_live();
-        let slander = (member.incarnation, member.health) > (self.me.incarnation, self.me.health);
+        let overrides = (member.incarnation, member.health) > (self.me.incarnation, self.me.health);
         let stale = member.incarnation == self.me.incarnation && *member != self.me;
-        if leaving || !(slander || stale) {
+        if leaving || !(overrides || stale) {
             return false;
         }
         self.bump_incarnation(member.incarnation.max(self.me.incarnation));
