--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -87,7 +87,10 @@
             return Some("cold_ms must be at most 60000; tell what is left of it");
         }
         let latest = StartTime(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
-        if self.start_time.is_some_and(|born| born > latest) {
+        if self
+            .start_time
+            .is_some_and(|start_time| start_time > latest)
+        {
             return Some("born lies in the future; tell the time of the start");
         }
         None
@@ -129,12 +132,12 @@
         let announcing = Arc::clone(&self);
         let leaving = Arc::clone(&self);
         let announce = move |body: Vec<u8>| {
-            let desk = Arc::clone(&announcing);
-            async move { desk.announce(&body).await }
+            let endpoint = Arc::clone(&announcing);
+            async move { endpoint.announce(&body).await }
         };
         let leave = move || {
-            let desk = Arc::clone(&leaving);
-            async move { desk.leave().await }
+            let endpoint = Arc::clone(&leaving);
+            async move { endpoint.leave().await }
         };
         let stage = move || {
             let stage = self.board.stage().to_string();
@@ -151,70 +154,72 @@
     /// # Errors
     ///
     /// [`Rejection`], and nothing is changed by it.
-    pub async fn renew_lease(&self, beat: Renewal) -> Result<(), Rejection> {
+    pub async fn renew_lease(&self, renewal: Renewal) -> Result<(), Rejection> {
         let announcement = Announcement {
-            service: beat.service.clone(),
-            address: beat.address,
-            slots: beat.slots,
-            lease_ms: beat.lease,
-            revision: beat.revision.clone(),
-            cold_ms: beat.cold,
-            start_time: beat.process.start_time,
+            service: renewal.service.clone(),
+            address: renewal.address,
+            slots: renewal.slots,
+            lease_ms: renewal.lease,
+            revision: renewal.revision.clone(),
+            cold_ms: renewal.cold,
+            start_time: renewal.process.start_time,
         };
-        let fault = announcement
+        let problem = announcement
             .problem()
-            .or_else(|| self.service_problem(&beat));
-        if let Some(fault) = fault {
-            return Err(Rejection(fault));
+            .or_else(|| self.service_problem(&renewal));
+        if let Some(problem) = problem {
+            return Err(Rejection(problem));
         }
-        let (standing, contested, leaving) = {
-            let mut lives = self.processes();
-            let contested = lives.may_replace_another(&beat.process);
-            let standing = lives.observe(&beat.process, beat.sequence);
-            if beat.leaving && matches!(standing, Recency::New | Recency::Current) {
-                lives.set_leaving();
+        let (recency, contested, leaving) = {
+            let mut processes = self.processes();
+            let contested = processes.may_replace_another(&renewal.process);
+            let recency = processes.observe(&renewal.process, renewal.sequence);
+            if renewal.leaving && matches!(recency, Recency::New | Recency::Current) {
+                processes.set_leaving();
             }
-            (standing, contested, lives.is_leaving())
+            (recency, contested, processes.is_leaving())
         };
-        match standing {
+        match recency {
             Recency::Stale | Recency::Ended => {
                 debug!(self.board.logger, "late announcement passed over";
-                    "instance" => %beat.process.instance, "sequence" => beat.sequence);
+                    "instance" => %renewal.process.instance, "sequence" => renewal.sequence);
                 return Ok(());
             }
             Recency::New => {
-                info!(self.board.logger, "target announced"; "service" => %beat.service,
-                    "instance" => %beat.process.instance, "born" => beat.process.start_time.map(|born| born.0),
-                    "sequence" => beat.sequence,
-                    "revision" => beat.revision.as_ref().map(ToString::to_string),
-                    "slots" => beat.slots.0);
+                info!(self.board.logger, "target announced"; "service" => %renewal.service,
+                    "instance" => %renewal.process.instance, "born" => renewal.process.start_time.map(|start_time| start_time.0),
+                    "sequence" => renewal.sequence,
+                    "revision" => renewal.revision.as_ref().map(ToString::to_string),
+                    "slots" => renewal.slots.0);
             }
             Recency::Current => {}
         }
         if leaving {
-            self.clear_target("target leaves", &beat.process.instance)
+            self.clear_target("target leaves", &renewal.process.instance)
                 .await;
             return Ok(());
         }
         // Two lives have claimed the address, in an order that proves nothing: ask who is there.
-        if standing == Recency::New && contested {
-            let asked = self.check_health(beat.address, &beat.service).await;
-            if let Some(there) = asked.filter(|there| *there != beat.process.instance) {
-                self.processes().confirm(&there);
+        if recency == Recency::New && contested {
+            let responder = self.check_health(renewal.address, &renewal.service).await;
+            if let Some(responder) =
+                responder.filter(|responder| *responder != renewal.process.instance)
+            {
+                self.processes().confirm(&responder);
                 return Ok(());
             }
         }
         let target = Target {
-            instance: Some(beat.process.instance),
-            start_time: beat.process.start_time,
-            address: beat.address,
-            service: beat.service,
-            slots: beat.slots,
-            revision: beat.revision,
-            cold_until: Instant::now() + beat.cold.duration(),
-            lease_until: Instant::now() + beat.lease.duration(),
+            instance: Some(renewal.process.instance),
+            start_time: renewal.process.start_time,
+            address: renewal.address,
+            service: renewal.service,
+            slots: renewal.slots,
+            revision: renewal.revision,
+            cold_until: Instant::now() + renewal.cold.duration(),
+            lease_until: Instant::now() + renewal.lease.duration(),
         };
-        if standing == Recency::New && contested {
+        if recency == Recency::New && contested {
             self.inspector.succeed(&target);
         }
         self.set_target(target).await;
@@ -225,10 +230,10 @@
     ///
     /// Guards against an announcement that is not the target's: taken for the word of its next life,
     /// it would put the one that serves out of use until it announces itself again.
-    fn service_problem(&self, beat: &Renewal) -> Option<&'static str> {
+    fn service_problem(&self, renewal: &Renewal) -> Option<&'static str> {
         let config = self.board.config();
         let groups = &config.document.groups;
-        let named = groups.iter().any(|group| group.service == beat.service);
+        let named = groups.iter().any(|group| group.service == renewal.service);
         if config.digest.version != Version(0) && !named {
             return Some("no group names the service; publish one or correct the announcement");
         }
@@ -236,15 +241,15 @@
     }
 
     /// Notes an announcement that could not be read, and why.
-    pub fn record_unreadable(&self, problem: &str) {
+    pub fn record_rejected(&self, problem: &str) {
         metrics::counter!("jackdaw_bad_announcements_total").increment(1);
         warn!(self.board.logger, "announcement refused"; "problem" => problem);
     }
 
     /// Notes that a life of the target ends: it gets no new work.
-    pub async fn deregister(&self, life: &Process) {
-        if self.processes().deregister(life) {
-            self.clear_target("target ends", &life.instance).await;
+    pub async fn deregister(&self, process: &Process) {
+        if self.processes().deregister(process) {
+            self.clear_target("target ends", &process.instance).await;
         }
     }
 
@@ -305,9 +310,9 @@
     }
 
     async fn set_target(&self, target: Target) {
-        let life = |target: &Target| (target.instance.clone(), target.start_time);
+        let identity = |target: &Target| (target.instance.clone(), target.start_time);
         let before = self.board.target();
-        let same = before.is_some_and(|before| life(&before) == life(&target));
+        let same = before.is_some_and(|before| identity(&before) == identity(&target));
         lock(&self.board.running).open(!same);
         self.board.set_target(Some(target));
         self.membership.publish_own_entry().await;
@@ -344,8 +349,8 @@
                 );
             }
         };
-        if let Some(fault) = announcement.problem() {
-            return (StatusCode::UNPROCESSABLE_ENTITY, fault.to_owned());
+        if let Some(problem) = announcement.problem() {
+            return (StatusCode::UNPROCESSABLE_ENTITY, problem.to_owned());
         }
         if self.board.stage() == Stage::Draining {
             return (
@@ -375,12 +380,12 @@
     }
 
     /// Whether a target that began then follows one that began earlier; notes when it began.
-    fn replaces_earlier(&self, born: Option<StartTime>) -> bool {
-        let Some(StartTime(born_ms)) = born else {
+    fn replaces_earlier(&self, start_time: Option<StartTime>) -> bool {
+        let Some(StartTime(start_ms)) = start_time else {
             return false;
         };
-        let before_ms = self.latest_start_ms.fetch_max(born_ms, Ordering::AcqRel);
-        before_ms != 0 && before_ms < born_ms
+        let previous_ms = self.latest_start_ms.fetch_max(start_ms, Ordering::AcqRel);
+        previous_ms != 0 && previous_ms < start_ms
     }
 
     async fn leave(&self) -> (StatusCode, String) {
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -72,7 +72,7 @@
         let settings = &self.board.settings;
         loop {
             let order = order(&self.board.roster().members, &settings.data_centre);
-            let mine = order
+            let is_publisher = order
                 .iter()
                 .take(LISTED_PER_DATA_CENTRE)
                 .any(|peer| *peer == settings.identity());
@@ -80,7 +80,7 @@
                 peer: settings.identity(),
                 data_centre: settings.data_centre.clone(),
             };
-            if mine && !self.read_recent().await.contains(&contact) {
+            if is_publisher && !self.read_recent().await.contains(&contact) {
                 let _ = self.log.append(Stream::Contacts, &contact).await;
             }
             self.join_unknown().await;
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -61,7 +61,7 @@
             .await
             .context(ListenSnafu { address })?;
         let me = initial_member(settings);
-        let born = me.incarnation;
+        let initial_incarnation = me.incarnation;
         let view = View::new(me, timing(settings));
         let rng = SmallRng::from_rng(&mut rand::rng());
         let state = Mutex::new(State {
@@ -74,7 +74,7 @@
             board,
             relay,
             socket,
-            initial_incarnation: born,
+            initial_incarnation,
             state,
         };
         membership.rebuild_roster(&mut membership.state());
@@ -90,7 +90,7 @@
         let voucher = Arc::clone(&self);
         tokio::spawn(async move { voucher.send_watermark().await });
         let period = self.board.settings.probe_period_ms;
-        let mut census = Throttle::default();
+        let mut throttle = Throttle::default();
         let mut ticks =
             tokio::time::interval(Millis((period.0 / TICKS_PER_PERIOD).max(1)).duration());
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -99,7 +99,7 @@
             self.publish_own_entry().await;
             self.close_idle_links();
             let live = self.board.roster().members.len();
-            if let Some(before) = census.due(Instant::now(), live) {
+            if let Some(before) = throttle.due(Instant::now(), live) {
                 info!(self.board.logger, "members"; "live" => live, "before" => before);
             }
             let effects = {
@@ -162,7 +162,7 @@
     #[must_use]
     pub fn welcome(&self, join: &Join) -> Welcome {
         let mut guard = self.state();
-        let ran = guard.view.highest_version(join.member.peer);
+        let highest_version = guard.view.highest_version(join.member.peer);
         let slots = guard.view.slots(join.member.peer);
         // The view goes out as it was before the join, so that the joiner sees what is said of
         // its own address and can refute it.
@@ -173,7 +173,7 @@
         Welcome {
             members,
             digest: self.board.digest(),
-            highest_version: ran,
+            highest_version,
             slots,
             crashes: self.board.quarantine.told(),
             rollouts: self.board.rollouts.told(),
@@ -183,10 +183,10 @@
     }
 
     /// Takes over the view of a peer, and which revisions it has as the usual ones.
-    pub fn merge_members(&self, members: &[Member], usual: &[(Service, Revision)]) {
+    pub fn merge_members(&self, members: &[Member], stable_revisions: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
-        guard.stable_revisions.adopt(usual);
+        guard.stable_revisions.adopt(stable_revisions);
         for member in members {
             guard.view.merge(now, member);
         }
@@ -301,10 +301,10 @@
 
     fn rebuild_roster(&self, state: &mut State) {
         let now = Instant::now();
-        let old = self.board.roster();
+        let previous = self.board.roster();
         let settings = &self.board.settings;
         let address = settings.peer_addr.ip();
-        let home = Location {
+        let location = Location {
             data_centre: settings.data_centre.clone(),
             address,
         };
@@ -324,8 +324,8 @@
             .cloned()
             .chain([state.view.me().clone()])
             .collect();
-        let usual = state.stable_revisions.clone();
-        let roster = Roster::build(live, gone, &home, &old, usual, now);
+        let stable_revisions = state.stable_revisions.clone();
+        let roster = Roster::build(live, gone, &location, &previous, stable_revisions, now);
         state.stable_revisions.clone_from(&roster.stable_revisions);
         self.board.set_roster(roster);
     }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -34,8 +34,8 @@
     }
 
     /// Passes roll-outs on to a few members.
-    pub async fn gossip_rollouts(&self, news: Vec<Progress>) {
-        let pages = pages(news);
+    pub async fn gossip_rollouts(&self, updates: Vec<Progress>) {
+        let pages = pages(updates);
         self.send_to_random(pages.into_iter().map(Message::Rollouts).collect())
             .await;
     }
@@ -75,9 +75,9 @@
         let crashes = self.board().quarantine.told();
         let rollouts = self.board().rollouts.told();
         let mut guard = self.state();
-        let told = guard.last_full_sync;
-        let soon = told.is_some_and(|told| now.saturating_duration_since(told) < SYNC_INTERVAL);
-        if soon || crashes.is_empty() && rollouts.is_empty() {
+        let last = guard.last_full_sync;
+        let too_soon = last.is_some_and(|last| now.saturating_duration_since(last) < SYNC_INTERVAL);
+        if too_soon || crashes.is_empty() && rollouts.is_empty() {
             return Vec::new();
         }
         guard.last_full_sync = Some(now);
@@ -91,19 +91,19 @@
 }
 
 /// What is told in parts that fit into a datagram each.
-fn pages<T: Serialize>(all: Vec<T>) -> Vec<Vec<T>> {
+fn pages<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut pages: Vec<Vec<T>> = Vec::new();
-    let mut room = 0;
-    for one in all {
-        let size = wire::encode(&one).len();
+    let mut space_left = 0;
+    for item in items {
+        let size = wire::encode(&item).len();
         match pages.last_mut() {
-            Some(page) if size <= room => page.push(one),
+            Some(page) if size <= space_left => page.push(item),
             _ => {
-                pages.push(vec![one]);
-                room = MAX_PAGE_BYTES;
+                pages.push(vec![item]);
+                space_left = MAX_PAGE_BYTES;
             }
         }
-        room = room.saturating_sub(size);
+        space_left = space_left.saturating_sub(size);
     }
     pages
 }
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -80,17 +80,17 @@
             self.contacts.maintain().await;
             return;
         };
-        let listing = Registration::new(Arc::clone(&self.board), origin);
-        let listed = self.start_from_control_plane(&listing).await;
+        let registration = Registration::new(Arc::clone(&self.board), origin);
+        let listed = self.start_from_control_plane(&registration).await;
         self.serve().await;
         self.join_late_peers(listed).await;
         if self.is_alone() {
             // Guards against a list on which those that are read first are gone for good: this daemon
             // would know nobody, and nobody would learn of it. An error leaves it for the next look.
-            self.join_unknown(listing.register_and_read().await.unwrap_or_default())
+            self.join_unknown(registration.register_and_read().await.unwrap_or_default())
                 .await;
         }
-        self.maintain_registration(&listing).await;
+        self.maintain_registration(&registration).await;
     }
 
     /// Takes in what is kept of requests in quarantine. With the log away, the peers have told it.
@@ -119,33 +119,37 @@
     /// Returns where the list is still to come from, if it has not come.
     async fn start_from_control_plane(
         self: &Arc<Self>,
-        listing: &Registration,
+        registration: &Registration,
     ) -> mpsc::Receiver<Peers> {
-        let patience = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
-        let mut told = false;
-        let mut heard = Welcomes::default();
-        let mut round = Requests::new(&self.join_client);
-        round.ask(self.board.settings.contacts.clone());
+        let deadline = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
+        let mut list_received = false;
+        let mut welcomes = Welcomes::default();
+        let mut requests = Requests::new(&self.join_client);
+        requests.ask(self.board.settings.contacts.clone());
         let mut rosters = self.board.rosters();
         let mut versions = self.board.versions();
         let mut stages = self.board.stages();
         let (sender, mut listed) = mpsc::channel(1);
-        tokio::spawn(Arc::clone(self).discover(listing.clone(), sender));
+        tokio::spawn(Arc::clone(self).discover(registration.clone(), sender));
         let mut pauses = RETRY_BACKOFF;
         let mut reading = self.read_after(ROUND_PAUSE);
         let mut read = false;
         while self.board.stage() == Stage::Starting {
-            let late = tokio::time::Instant::now() >= patience;
-            let have = self.board.digest().version;
-            let known = have > Version(0) && have >= heard.floor.version();
+            let late = tokio::time::Instant::now() >= deadline;
+            let version = self.board.digest().version;
+            let has_version = version > Version(0) && version >= welcomes.floor.version();
             // Peers have the targets that this daemon's callers need, and remember what its own
             // target offered.
-            let early = heard.count == 0 && (!told || round.is_pending()) && !late;
-            let peers = (told || late) && heard.floor.met_by_peers(have, self.count_data_centres());
-            if known && !early && (read || peers) {
+            let waits_for_welcome =
+                welcomes.count == 0 && (!list_received || requests.is_pending()) && !late;
+            let peers_suffice = (list_received || late)
+                && welcomes
+                    .floor
+                    .met_by_peers(version, self.count_data_centres());
+            if has_version && !waits_for_welcome && (read || peers_suffice) {
                 break;
             }
-            let mut strangers = Vec::new();
+            let mut candidates = Vec::new();
             tokio::select! {
                 result = &mut reading => {
                     read = result.is_ok();
@@ -157,30 +161,30 @@
                     reading = self.read_after(pause);
                 }
                 Some(peers) = listed.recv() => {
-                    told = true;
+                    list_received = true;
                     reading = self.read_after(read_delay(peers.len()));
-                    strangers = peers;
+                    candidates = peers;
                 }
-                (peer, answer) = round.next() => {
+                (peer, answer) = requests.next() => {
                     if let Ok(welcome) = answer {
-                        self.join_client.apply(peer, &welcome, &mut heard);
+                        self.join_client.apply(peer, &welcome, &mut welcomes);
                     }
                 }
-                _ = rosters.changed() => strangers = self.known_peers(),
+                _ = rosters.changed() => candidates = self.known_peers(),
                 _ = versions.changed() => {}
-                () = tokio::time::sleep_until(patience), if !late => {
-                    warn!(self.board.logger, "no floor yet"; "version" => have.0, "read" => read);
+                () = tokio::time::sleep_until(deadline), if !late => {
+                    warn!(self.board.logger, "no floor yet"; "version" => version.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
-            if heard.count < ENOUGH_WELCOMES {
-                round.ask_seeds(strangers, &self.board.settings.data_centre);
+            if welcomes.count < ENOUGH_WELCOMES {
+                requests.ask_seeds(candidates, &self.board.settings.data_centre);
             }
         }
         if !self.board.settings.first_start {
-            self.endpoint.discover_target(heard.slots()).await;
+            self.endpoint.discover_target(welcomes.slots()).await;
         }
-        tokio::spawn(round.finish(heard));
+        tokio::spawn(requests.finish(welcomes));
         listed
     }
 
@@ -200,11 +204,16 @@
     async fn join_unknown(&self, mut peers: Peers) {
         let roster = self.board.roster();
         peers.retain(|(peer, _)| roster.member(*peer).is_none());
-        let mut heard = Welcomes::default();
+        let mut welcomes = Welcomes::default();
         while !peers.is_empty() {
-            let strangers = choose_seeds(peers.clone(), &self.board.settings.data_centre);
-            peers.retain(|(peer, _)| !strangers.contains(peer));
-            if self.join_client.join_through(strangers, &mut heard).await > 0 {
+            let candidates = choose_seeds(peers.clone(), &self.board.settings.data_centre);
+            peers.retain(|(peer, _)| !candidates.contains(peer));
+            if self
+                .join_client
+                .join_through(candidates, &mut welcomes)
+                .await
+                > 0
+            {
                 return;
             }
         }
@@ -225,10 +234,10 @@
     }
 
     /// Tells who is listed, as soon as the platform does.
-    async fn discover(self: Arc<Self>, listing: Registration, found: mpsc::Sender<Peers>) {
+    async fn discover(self: Arc<Self>, registration: Registration, found: mpsc::Sender<Peers>) {
         let mut pauses = RETRY_BACKOFF;
         while !self.board.stage().is_stopping() {
-            if let Ok(listed) = listing.discover().await {
+            if let Ok(listed) = registration.discover().await {
                 // Whoever waited for them may have found others meanwhile.
                 let _ = found.send(listed).await;
                 return;
@@ -245,24 +254,28 @@
     }
 
     /// Keeps enough daemons listed, and meets those that were listed meanwhile.
-    async fn maintain_registration(&self, listing: &Registration) {
-        let mut alone = ISOLATED_PAUSE;
+    async fn maintain_registration(&self, registration: &Registration) {
+        let mut pause_when_alone = ISOLATED_PAUSE;
         let mut eras = self.board.eras();
         loop {
             // It has just read who was listed before it.
             let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
             let is_alone = self.is_alone();
-            let pause = if is_alone { pause.min(alone) } else { pause };
+            let pause = if is_alone {
+                pause.min(pause_when_alone)
+            } else {
+                pause
+            };
             let waiting = tokio::time::timeout(pause, eras.changed());
             if waiting.await.is_ok_and(|changed| changed.is_ok()) {
-                self.register_again(listing).await;
+                self.register_again(registration).await;
                 continue;
             }
             let listed = if is_alone {
-                alone *= 2;
-                listing.register_and_read().await
+                pause_when_alone *= 2;
+                registration.register_and_read().await
             } else {
-                listing.maintain().await
+                registration.maintain().await
             };
             // An error leaves it for the next round.
             self.join_unknown(listed.unwrap_or_default()).await;
@@ -274,11 +287,11 @@
     /// Guards against a platform that comes back from a copy of before that: with too few daemons on the
     /// list, one that starts alone in its view would find nobody. Those that were listed do it alone, each
     /// after a random pause, so the calls fit the platform however large the fleet is.
-    async fn register_again(&self, listing: &Registration) {
+    async fn register_again(&self, registration: &Registration) {
         let mut pauses = RETRY_BACKOFF;
         tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
         while self.board.is_listed() && !self.board.stage().is_stopping() {
-            if listing.register().await.is_ok() {
+            if registration.register().await.is_ok() {
                 return;
             }
             tokio::time::sleep(pauses.random_pause()).await;
@@ -287,23 +300,26 @@
 
     async fn start_from_log(&self) {
         let began = Instant::now();
-        let mut heard = Welcomes::default();
+        let mut welcomes = Welcomes::default();
         let mut warned = false;
         while self.board.stage() == Stage::Starting {
             let contacts = self.seed_addresses().await;
-            self.join_client.join_through(contacts, &mut heard).await;
-            let floor = &mut heard.floor;
+            self.join_client.join_through(contacts, &mut welcomes).await;
+            let floor = &mut welcomes.floor;
             let log_read = self.read_log(floor).await;
-            let have = self.board.digest().version;
-            if log_read && floor.met_by_log(have, self.store.next()) {
+            let version = self.board.digest().version;
+            if log_read && floor.met_by_log(version, self.store.next()) {
                 return;
             }
-            let patient = began.elapsed() < self.board.settings.log_patience_ms.duration();
-            if !log_read && !patient && floor.met_by_peers(have, self.count_data_centres()) {
-                warn!(self.board.logger, "the log is away, peers decide"; "version" => have.0);
+            let before_deadline = began.elapsed() < self.board.settings.log_patience_ms.duration();
+            if !log_read
+                && !before_deadline
+                && floor.met_by_peers(version, self.count_data_centres())
+            {
+                warn!(self.board.logger, "the log is away, peers decide"; "version" => version.0);
                 return;
             }
-            if !patient && !warned {
+            if !before_deadline && !warned {
                 warned = true;
                 warn!(
                     self.board.logger,
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -66,8 +66,8 @@
     }
 
     /// Takes a welcome in, and fetches what its sender has in force where that is newer.
-    pub fn apply(&self, peer: SocketAddr, welcome: &Welcome, heard: &mut Welcomes) {
-        self.record(welcome, heard);
+    pub fn apply(&self, peer: SocketAddr, welcome: &Welcome, welcomes: &mut Welcomes) {
+        self.record(welcome, welcomes);
         if self.is_ahead(welcome) {
             let relay = Arc::clone(&self.relay);
             tokio::spawn(async move { relay.pull(peer).await });
@@ -76,8 +76,12 @@
 
     /// Joins through a few of `contacts` at once and fetches what they have in force; how many
     /// welcomed this daemon.
-    pub async fn join_through(&self, mut contacts: Vec<SocketAddr>, heard: &mut Welcomes) -> usize {
-        let before = heard.count;
+    pub async fn join_through(
+        &self,
+        mut contacts: Vec<SocketAddr>,
+        welcomes: &mut Welcomes,
+    ) -> usize {
+        let before = welcomes.count;
         contacts.retain(|peer| *peer != self.board.settings.identity());
         contacts.shuffle(&mut rand::rng());
         contacts.truncate(JOIN_FANOUT);
@@ -88,54 +92,54 @@
             let Ok(welcome) = welcome else {
                 continue;
             };
-            self.record(&welcome, heard);
+            self.record(&welcome, welcomes);
             if self.is_ahead(&welcome) {
                 let _ = self.relay.pull(peer).await;
             }
         }
-        heard.count - before
+        welcomes.count - before
     }
 
     fn is_ahead(&self, welcome: &Welcome) -> bool {
         welcome.digest.version > self.board.digest().version
     }
 
-    fn record(&self, welcome: &Welcome, heard: &mut Welcomes) {
-        heard.count += 1;
-        let greeter = welcome.members.first();
-        let greeter = greeter.map(|m| m.data_centre.clone()).unwrap_or_default();
-        heard
+    fn record(&self, welcome: &Welcome, welcomes: &mut Welcomes) {
+        welcomes.count += 1;
+        let responder = welcome.members.first();
+        let responder = responder.map(|m| m.data_centre.clone()).unwrap_or_default();
+        welcomes
             .floor
-            .heard(&greeter, welcome.digest.version, welcome.highest_version);
-        heard.slots = welcome.slots.or(heard.slots);
+            .heard(&responder, welcome.digest.version, welcome.highest_version);
+        welcomes.slots = welcome.slots.or(welcomes.slots);
         self.board.note_era(welcome.era);
         self.board.quarantine.merge(&welcome.crashes);
         self.board.rollouts.merge(&welcome.rollouts);
-        self.track_predecessor(&welcome.members, heard);
+        self.track_predecessor(&welcome.members, welcomes);
         self.membership
             .merge_members(&welcome.members, &welcome.stable_revisions);
     }
 
     /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
-    fn track_predecessor(&self, members: &[Member], heard: &mut Welcomes) {
+    fn track_predecessor(&self, members: &[Member], welcomes: &mut Welcomes) {
         let me = self.membership.me();
         // Entries between the birth of this daemon and now are its own; those from the future
         // are of an earlier one whose clock was ahead.
         let own = self.membership.initial_incarnation()..=me.incarnation;
-        let told = members
+        let reported = members
             .iter()
-            .find(|known| known.peer == me.peer && !own.contains(&known.incarnation));
-        let word = |member: &Member| (member.incarnation, member.health);
-        if let Some(told) = told
-            && heard
+            .find(|entry| entry.peer == me.peer && !own.contains(&entry.incarnation));
+        let precedence = |member: &Member| (member.incarnation, member.health);
+        if let Some(reported) = reported
+            && welcomes
                 .predecessor
                 .as_ref()
-                .is_none_or(|known| word(known) < word(told))
+                .is_none_or(|known| precedence(known) < precedence(reported))
         {
-            heard.predecessor = Some(told.clone());
+            welcomes.predecessor = Some(reported.clone());
         }
-        let earlier = heard.predecessor.as_ref();
-        let lost = earlier.is_some_and(|known| known.health != Health::Left);
+        let predecessor = welcomes.predecessor.as_ref();
+        let lost = predecessor.is_some_and(|known| known.health != Health::Left);
         self.keys.set_lived(lost);
     }
 }
@@ -150,7 +154,7 @@
 /// callers for as long.
 #[derive(Debug)]
 pub struct Requests {
-    greeting: Arc<JoinClient>,
+    join_client: Arc<JoinClient>,
     asked: Vec<SocketAddr>,
     pending: usize,
     sender: mpsc::Sender<Reply>,
@@ -163,7 +167,7 @@
     pub fn new(greeting: &Arc<JoinClient>) -> Self {
         let (sender, answers) = mpsc::channel(JOIN_FANOUT);
         Self {
-            greeting: Arc::clone(greeting),
+            join_client: Arc::clone(greeting),
             asked: vec![greeting.board.settings.identity()],
             pending: 0,
             sender,
@@ -188,7 +192,7 @@
         for peer in peers {
             self.asked.push(peer);
             self.pending += 1;
-            let (greeting, sender) = (Arc::clone(&self.greeting), self.sender.clone());
+            let (greeting, sender) = (Arc::clone(&self.join_client), self.sender.clone());
             tokio::spawn(async move {
                 let answer = greeting.ask(peer).await;
                 // The daemon may have ended meanwhile.
@@ -198,10 +202,10 @@
     }
 
     /// Takes the answers that are still to come.
-    pub async fn finish(mut self, mut heard: Welcomes) {
+    pub async fn finish(mut self, mut welcomes: Welcomes) {
         while self.is_pending() {
             if let (peer, Ok(welcome)) = self.next().await {
-                self.greeting.apply(peer, &welcome, &mut heard);
+                self.join_client.apply(peer, &welcome, &mut welcomes);
             }
         }
     }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -79,9 +79,9 @@
     pub async fn maintain(&self) -> Result<Peers> {
         let contacts = self.read(usize::MAX).await?;
         let roster = self.board.roster();
-        let there = contacts.iter().filter(|c| roster.member(c.peer).is_some());
-        let few = there.count() < MIN_CONTACTS;
-        if few && !contacts.contains(&self.contact()) && !self.board.stage().is_stopping() {
+        let live = contacts.iter().filter(|c| roster.member(c.peer).is_some());
+        let too_few = live.count() < MIN_CONTACTS;
+        if too_few && !contacts.contains(&self.contact()) && !self.board.stage().is_stopping() {
             return self.register_and_read().await;
         }
         Ok(peers(contacts))
@@ -102,10 +102,10 @@
     /// Reads who is listed, and takes in what the platform keeps of requests in quarantine.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
         let Directory { contacts, notes } = self.origin.directory(enough).await?;
-        let (now, memory) = (clock::unix_ms(), self.board.settings.quarantine_ms);
+        let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
         self.board.quarantine.recall(&notes, now);
         for (cause, note) in notes {
-            if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * memory.0) {
+            if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // One that stays is read once more, and counts for nothing.
                 let _ = self.origin.note(cause, None).await;
             }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -95,9 +95,9 @@
     pub fn build(
         mut members: Vec<Member>,
         gone: Vec<Departed>,
-        home: &Location,
+        location: &Location,
         old: &Self,
-        mut usual: Usual,
+        mut stable_revisions: Usual,
         now: Instant,
     ) -> Self {
         members.sort_by_key(|member| member.peer);
@@ -112,10 +112,10 @@
             };
             let kept = old.upstream(&offer.service, member.peer);
             let kept = kept.filter(|upstream| upstream.is_same_process(offer.start_time));
-            let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, home, now)));
+            let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, location, now)));
             upstream.slots.store(offer.slots.0, Ordering::Relaxed);
-            if let Some(StartTime(born)) = offer.start_time {
-                upstream.start_ms.store(born, Ordering::Relaxed);
+            if let Some(StartTime(start_ms)) = offer.start_time {
+                upstream.start_ms.store(start_ms, Ordering::Relaxed);
             }
             upstream
                 .suspect
@@ -139,17 +139,17 @@
             }
         }
         for pool in &pools {
-            let told: Vec<&Revision> = pool.revisions.iter().flatten().collect();
-            usual.note(now, &pool.service, &told);
+            let reported: Vec<&Revision> = pool.revisions.iter().flatten().collect();
+            stable_revisions.note(now, &pool.service, &reported);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
-        usual.miss(now, &services);
+        stable_revisions.miss(now, &services);
         Self {
             host_counts: host_counts(&members),
             members,
             gone,
             pools,
-            stable_revisions: usual,
+            stable_revisions,
         }
     }
 
@@ -168,8 +168,10 @@
     /// Whether a target is of the revision that gets the requests without an order.
     #[must_use]
     pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
-        let usual = self.stable_revisions.get(&target.service, now);
-        usual.is_none() || target.revision.is_none() || target.revision.as_ref() == usual
+        let stable_revisions = self.stable_revisions.get(&target.service, now);
+        stable_revisions.is_none()
+            || target.revision.is_none()
+            || target.revision.as_ref() == stable_revisions
     }
 
     fn pool(&self, service: &Service) -> Option<&Pool> {
@@ -217,11 +219,11 @@
 }
 
 impl Upstream {
-    fn new(member: &Member, home: &Location, now: Instant) -> Self {
+    fn new(member: &Member, location: &Location, now: Instant) -> Self {
         Self {
             peer: member.peer,
-            local: member.data_centre == home.data_centre,
-            link: Link::new(member.peer, home.address),
+            local: member.data_centre == location.data_centre,
+            link: Link::new(member.peer, location.address),
             start_ms: AtomicU64::new(0),
             slots: AtomicU32::new(0),
             first_seen: now,
@@ -238,9 +240,9 @@
     ///
     /// Guards against the bad name of a life that has ended: the next one, under the same name at
     /// the same address, would inherit its pace, its refusals and its ejection.
-    fn is_same_process(&self, born: Option<StartTime>) -> bool {
+    fn is_same_process(&self, start_time: Option<StartTime>) -> bool {
         let known = self.start_ms.load(Ordering::Relaxed);
-        known == 0 || born.is_none_or(|born| born.0 == known)
+        known == 0 || start_time.is_none_or(|start_time| start_time.0 == known)
     }
 
     /// What a choice needs to know at `now`.
@@ -248,10 +250,10 @@
     pub fn candidate(&self, group: &Group, now: Instant) -> Candidate {
         let age = now.saturating_duration_since(self.first_seen);
         let slots = self.slots.load(Ordering::Relaxed);
-        let own = self.own_requests.load(Ordering::Relaxed);
+        let own_requests = self.own_requests.load(Ordering::Relaxed);
         Candidate {
             local: self.local,
-            load: own.max(self.reported_load.load(Ordering::Relaxed)),
+            load: own_requests.max(self.reported_load.load(Ordering::Relaxed)),
             slots: group.slots.map_or(slots, |bound| slots.min(bound.0)),
             share: pick::share(age, group.slow_start_ms.duration()),
             ejected: self.suspect.load(Ordering::Relaxed)
@@ -265,10 +267,10 @@
     #[must_use]
     pub fn cost(&self, group: &Group, typical: &Typical, far_ms: f64, now: Instant) -> Cost {
         let candidate = self.candidate(group, now);
-        let own = self.outstanding();
+        let outstanding = self.outstanding();
         let expected = self
             .latency()
-            .expected_ms(now, own, candidate.slots, typical);
+            .expected_ms(now, outstanding, candidate.slots, typical);
         let way_ms = self.transfer_cost(typical, far_ms).as_secs_f64() * 1_000.0;
         Cost {
             ms: expected / candidate.share + way_ms,
@@ -306,8 +308,8 @@
     /// Notes what its gate reported as in flight.
     pub fn record_load(&self, now: Instant, load: u32) {
         self.reported_load.store(load, Ordering::Relaxed);
-        let own = self.own_requests.load(Ordering::Relaxed);
-        self.latency().report(now, load, own);
+        let own_requests = self.own_requests.load(Ordering::Relaxed);
+        self.latency().report(now, load, own_requests);
     }
 
     /// Load as known here: own requests and the gate's report.
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -40,10 +40,10 @@
 impl Process {
     /// The life of this name that began then.
     #[must_use]
-    pub fn new(instance: impl Into<Instance>, born: Option<StartTime>) -> Self {
+    pub fn new(instance: impl Into<Instance>, start_time: Option<StartTime>) -> Self {
         Self {
             instance: instance.into(),
-            start_time: born,
+            start_time,
         }
     }
 
@@ -51,7 +51,7 @@
     #[must_use]
     pub fn is_successor_of(&self, other: &Self) -> bool {
         self.instance == other.instance
-            && matches!((self.start_time, other.start_time), (Some(own), Some(others)) if own > others)
+            && matches!((self.start_time, other.start_time), (Some(start), Some(other_start)) if start > other_start)
     }
 }
 
@@ -104,36 +104,38 @@
 
 impl Processes {
     /// Notes an announcement.
-    pub fn observe(&mut self, life: &Process, sequence: u64) -> Recency {
+    pub fn observe(&mut self, process: &Process, sequence: u64) -> Recency {
         let same = self.current.as_mut();
-        if let Some((current, last)) = same.filter(|(now, _)| now.instance == life.instance) {
-            if current.is_successor_of(life) {
+        if let Some((current, last)) = same.filter(|(now, _)| now.instance == process.instance) {
+            if current.is_successor_of(process) {
                 return Recency::Ended;
             }
             // One that announced itself without a birth is not the one that tells its birth.
-            let told_first = current.start_time.is_none() && life.start_time.is_some() && *last > 0;
-            if !life.is_successor_of(current) && !told_first {
-                if current.start_time.is_some() && life.start_time.is_none() || sequence <= *last {
+            let announced_without_start_time =
+                current.start_time.is_none() && process.start_time.is_some() && *last > 0;
+            if !process.is_successor_of(current) && !announced_without_start_time {
+                if current.start_time.is_some() && process.start_time.is_none() || sequence <= *last
+                {
                     return Recency::Stale;
                 }
-                current.start_time = life.start_time;
+                current.start_time = process.start_time;
                 *last = sequence;
                 return Recency::Current;
             }
-        } else if self.has_ended(life) {
+        } else if self.has_ended(process) {
             return Recency::Ended;
         }
         self.retire_current();
-        self.current = Some((life.clone(), sequence));
+        self.current = Some((process.clone(), sequence));
         Recency::New
     }
 
     /// Whether another life was, or may have been, at the address before `life`: then an
     /// announcement alone does not prove who is there.
     #[must_use]
-    pub fn may_replace_another(&self, life: &Process) -> bool {
-        let namesake = |past: &Process| past.instance == life.instance;
-        self.current.is_some() || self.ended.iter().any(namesake)
+    pub fn may_replace_another(&self, process: &Process) -> bool {
+        let same_name = |ended: &Process| ended.instance == process.instance;
+        self.current.is_some() || self.ended.iter().any(same_name)
     }
 
     /// Notes which life has answered at the address: better evidence than any announcement.
@@ -141,13 +143,13 @@
     /// Guards against an announcement of a dead life that arrives first after a restart of this
     /// daemon: the living one would count as ended for good.
     pub fn confirm(&mut self, instance: &Instance) {
-        let namesake = |past: &Process| past.instance == *instance;
-        let known = self.ended.iter().position(namesake);
+        let same_name = |ended: &Process| ended.instance == *instance;
+        let known = self.ended.iter().position(same_name);
         let known = known.map(|index| self.ended.remove(index));
         if !self.is_current(instance) {
             self.retire_current();
-            let life = known.unwrap_or_else(|| Process::new(instance.clone(), None));
-            self.current = Some((life, 0));
+            let process = known.unwrap_or_else(|| Process::new(instance.clone(), None));
+            self.current = Some((process, 0));
         }
     }
 
@@ -178,15 +180,15 @@
 
     /// Notes that a life ends by its own word; whether it is the current one, which takes no more
     /// calls from now on.
-    pub fn deregister(&mut self, life: &Process) -> bool {
+    pub fn deregister(&mut self, process: &Process) -> bool {
         let current = self.current.as_ref().map(|(now, _)| now);
-        let same = current.filter(|now| now.instance == life.instance);
+        let same = current.filter(|now| now.instance == process.instance);
         match same {
             // Guards against a farewell that comes late: the next life of its name would go with it.
-            Some(now) if now.is_successor_of(life) => false,
-            Some(now) if life.is_successor_of(now) => {
+            Some(now) if now.is_successor_of(process) => false,
+            Some(now) if process.is_successor_of(now) => {
                 self.retire_current();
-                self.remember(life.clone());
+                self.remember(process.clone());
                 true
             }
             Some(_) => {
@@ -194,8 +196,8 @@
                 true
             }
             None => {
-                if !self.has_ended(life) {
-                    self.remember(life.clone());
+                if !self.has_ended(process) {
+                    self.remember(process.clone());
                 }
                 false
             }
@@ -204,28 +206,30 @@
 
     /// Whether a life is known to have ended. One without a birth is taken for any of its name; one
     /// that tells its birth may follow one that did not.
-    fn has_ended(&self, life: &Process) -> bool {
-        let namesake = self
+    fn has_ended(&self, process: &Process) -> bool {
+        let same_name = self
             .ended
             .iter()
-            .find(|past| past.instance == life.instance);
-        namesake.is_some_and(|past| {
-            life.start_time.is_none() || past.start_time.is_some() && !life.is_successor_of(past)
+            .find(|ended| ended.instance == process.instance);
+        same_name.is_some_and(|ended| {
+            process.start_time.is_none()
+                || ended.start_time.is_some() && !process.is_successor_of(ended)
         })
     }
 
     fn retire_current(&mut self) {
-        if let Some((life, _)) = self.current.take() {
-            self.remember(life);
+        if let Some((process, _)) = self.current.take() {
+            self.remember(process);
         }
         self.leaving = false;
     }
 
-    fn remember(&mut self, life: Process) {
-        self.ended.retain(|past| past.instance != life.instance);
+    fn remember(&mut self, process: Process) {
+        self.ended
+            .retain(|ended| ended.instance != process.instance);
         if self.ended.len() == MAX_ENDED {
             self.ended.remove(0);
         }
-        self.ended.push(life);
+        self.ended.push(process);
     }
 }
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -41,14 +41,14 @@
             return;
         }
         let mut watermarks = self.board().freshness.subscribe();
-        let mut told = Version(0);
+        let mut sent = Version(0);
         while watermarks.changed().await.is_ok() {
             let own = watermarks.borrow_and_update().own;
             if !own || self.board().stage() == Stage::Starting {
                 continue;
             }
             let version = self.board().digest().version;
-            if std::mem::replace(&mut told, version) != version {
+            if std::mem::replace(&mut sent, version) != version {
                 // It travels by the tree meanwhile; whom it does not reach hears of it here.
                 tokio::time::sleep(PROPAGATION_TIME).await;
             }
