--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -1,8 +1,7 @@
-//! The face towards the co-located target: it announces itself, renews and leaves.
+//! Endpoint for the co-located target, through which it announces itself, renews its lease and leaves.
 //!
-//! `POST /announce` with an [`Announcement`] starts or renews a lease; `POST /leave` ends it. The
-//! lease is a hint for liveness: when it lapses the target gets no new work, and what is in flight
-//! is left alone.
+//! `POST /announce` with an [`Announcement`] starts or renews a lease; `POST /leave` ends it. The lease is a
+//! hint about liveness: when it expires, the target gets no new requests, and those in flight are left alone.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,23 +26,24 @@
 
 /// Longest lease, in milliseconds.
 pub const MAX_LEASE_MS: u64 = 60_000;
-/// Time by which a birth may lie ahead of this host's clock, in milliseconds: clocks differ by
-/// seconds at most.
+/// Time by which a start time may be ahead of this host's clock, in milliseconds; clocks differ by seconds at
+/// most.
 const MAX_CLOCK_SKEW_MS: u64 = 60_000;
-/// Longest name of a revision, in bytes: it travels with each target's entry.
+/// Longest name of a revision, in bytes; it is sent with each target's membership entry.
 pub const MAX_REVISION_BYTES: usize = 64;
 /// Largest announcement, in bytes.
 const MAX_BODY_BYTES: usize = 4_096;
-/// Time for a target to tell its health; it is on the same host.
+/// Time-out of a target's health check, which does not leave the host.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Slots of a target that has answered but not announced itself, where no peer remembers them: a
-/// usual size. A target queues or refuses by itself what it can't do, and that is no harm; with a
-/// small guess it would stand half idle after every daemon was killed, for an announcement's time.
+/// Slots of a target that has passed its health check but not announced itself, if no peer remembers them.
+///
+/// This is a common size. A target queues or refuses the requests that it cannot run, which does no harm. With
+/// a smaller value it would be half idle until its next announcement after all daemons were killed.
 const DEFAULT_SLOTS: Slots = Slots(16);
-/// Lease of such a target: several times the usual time between two announcements.
+/// Lease of such a target: several times the usual interval between two announcements.
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 
-/// What a target says of itself.
+/// Announcement of a target, the body of `POST /announce`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
@@ -58,23 +58,23 @@
     /// Version of its software.
     #[serde(default)]
     pub revision: Option<Revision>,
-    /// Time for which it is slow yet after its start.
+    /// Time for which it is still slow after its start.
     #[serde(default)]
     pub cold_ms: Millis,
-    /// When it began, in milliseconds since 1970; with it, a restart is told apart from a renewal.
+    /// Start of its process, in milliseconds since 1970; distinguishes a restart from a renewal.
     #[serde(default, rename = "born")]
     pub start_time: Option<StartTime>,
 }
 
 impl Announcement {
-    /// What is wrong with it, with a remedy.
+    /// Describes what is wrong with it, with a remedy.
     #[must_use]
     pub fn problem(&self) -> Option<&'static str> {
         if !self.service.is_valid() {
             return Some("service must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
         if self.slots.0 == 0 {
-            return Some("slots is 0; name how many calls run at the same time");
+            return Some("slots is 0; give the number of calls that run at the same time");
         }
         if self.lease_ms.0 == 0 || self.lease_ms.0 > MAX_LEASE_MS {
             return Some("lease_ms must be 1 to 60000; renew at a third of it");
@@ -84,20 +84,20 @@
             return Some("revision must have at most 64 bytes");
         }
         if self.cold_ms.0 > MAX_LEASE_MS {
-            return Some("cold_ms must be at most 60000; tell what is left of it");
+            return Some("cold_ms must be at most 60000; give the time that remains");
         }
         let latest = StartTime(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
         if self
             .start_time
             .is_some_and(|start_time| start_time > latest)
         {
-            return Some("born lies in the future; tell the time of the start");
+            return Some("born is in the future; give the start time of the process");
         }
         None
     }
 }
 
-/// Serves the co-located target.
+/// HTTP endpoint for the co-located target.
 #[derive(Debug)]
 pub struct Endpoint {
     board: Arc<Board>,
@@ -105,16 +105,16 @@
     dispatcher: Dispatcher,
     inspector: Inspector,
     processes: Mutex<Processes>,
-    /// When the last target began that has no names for its lives, in milliseconds since 1970; 0 for not told.
+    /// Latest start time of targets that name no instance, in milliseconds since 1970; 0 if none was reported.
     latest_start_ms: AtomicU64,
 }
 
-/// Why an announcement was not taken: it contradicts itself, and the text names the remedy.
+/// Reason why an announcement was rejected, with a remedy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection(pub &'static str);
 
 impl Endpoint {
-    /// A desk that writes the target on `board`.
+    /// Creates an endpoint that records the target on `board`.
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
         Self {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The routes of this face.
+    /// Routes of this endpoint.
     pub fn router(self: Arc<Self>) -> Router {
         let announcing = Arc::clone(&self);
         let leaving = Arc::clone(&self);
@@ -149,11 +149,11 @@
             .route("/stage", get(stage))
     }
 
-    /// Takes an announcement of a target that tells its lives apart.
+    /// Handles an announcement of a target that names its instance.
     ///
     /// # Errors
     ///
-    /// [`Rejection`], and nothing is changed by it.
+    /// [`Rejection`] if the announcement is invalid; it then changes nothing.
     pub async fn renew_lease(&self, renewal: Renewal) -> Result<(), Rejection> {
         let announcement = Announcement {
             service: renewal.service.clone(),
@@ -181,7 +181,7 @@
         };
         match recency {
             Recency::Stale | Recency::Ended => {
-                debug!(self.board.logger, "late announcement passed over";
+                debug!(self.board.logger, "late announcement ignored";
                     "instance" => %renewal.process.instance, "sequence" => renewal.sequence);
                 return Ok(());
             }
@@ -195,11 +195,12 @@
             Recency::Current => {}
         }
         if leaving {
-            self.clear_target("target leaves", &renewal.process.instance)
+            self.clear_target("target is leaving", &renewal.process.instance)
                 .await;
             return Ok(());
         }
-        // Two lives have claimed the address, in an order that proves nothing: ask who is there.
+        // Two processes have claimed the address, and the order of their announcements proves nothing: the
+        // health check tells which one is running.
         if recency == Recency::New && contested {
             let responder = self.check_health(renewal.address, &renewal.service).await;
             if let Some(responder) =
@@ -226,10 +227,10 @@
         Ok(())
     }
 
-    /// What contradicts what this daemon knows, with a remedy.
+    /// Describes a mismatch with the configuration, with a remedy.
     ///
-    /// Guards against an announcement that is not the target's: taken for the word of its next life,
-    /// it would put the one that serves out of use until it announces itself again.
+    /// An announcement of an unknown service is not the target's. Accepted as one of its next process, it would
+    /// take the running process out of service until that announces itself again.
     fn service_problem(&self, renewal: &Renewal) -> Option<&'static str> {
         let config = self.board.config();
         let groups = &config.document.groups;
@@ -240,23 +241,24 @@
         None
     }
 
-    /// Notes an announcement that could not be read, and why.
+    /// Records that an announcement was rejected, and why.
     pub fn record_rejected(&self, problem: &str) {
         metrics::counter!("jackdaw_bad_announcements_total").increment(1);
-        warn!(self.board.logger, "announcement refused"; "problem" => problem);
+        warn!(self.board.logger, "announcement rejected"; "problem" => problem);
     }
 
-    /// Notes that a life of the target ends: it gets no new work.
+    /// Handles the end of a target process, which gets no new requests.
     pub async fn deregister(&self, process: &Process) {
         if self.processes().deregister(process) {
-            self.clear_target("target ends", &process.instance).await;
+            self.clear_target("target deregistered", &process.instance)
+                .await;
         }
     }
 
-    /// Looks for the target that the settings name, when it has not announced itself yet.
+    /// Looks for the target that the settings name, if it has not announced itself yet.
     ///
-    /// Guards against a daemon that was killed beside a healthy target: until the next
-    /// announcement the target would stand idle and its share of the work go to the others.
+    /// After a daemon is killed and restarted beside a healthy target, the target would otherwise be idle until
+    /// its next announcement, and its share of the requests would go to the others.
     pub async fn discover_target(&self, slots: Option<Slots>) {
         let settings = &self.board.settings;
         let (Some(address), Some(service)) = (settings.service_addr, settings.service.clone())
@@ -287,7 +289,7 @@
         .await;
     }
 
-    /// The life that is healthy at `address`, where targets of the service tell it.
+    /// Returns the instance that is healthy at `address`, if targets of the service report it.
     async fn check_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
@@ -337,7 +339,7 @@
         if body.len() > MAX_BODY_BYTES {
             return (
                 StatusCode::PAYLOAD_TOO_LARGE,
-                "announce in under 4096 bytes".to_owned(),
+                "the announcement is larger than 4096 bytes".to_owned(),
             );
         }
         let announcement: Announcement = match serde_json::from_slice(body) {
@@ -345,7 +347,7 @@
             Err(error) => {
                 return (
                     StatusCode::BAD_REQUEST,
-                    format!("not an announcement: {error}"),
+                    format!("invalid announcement: {error}"),
                 );
             }
         };
@@ -379,7 +381,7 @@
         (StatusCode::OK, "announced".to_owned())
     }
 
-    /// Whether a target that began then follows one that began earlier; notes when it began.
+    /// Records a start time; returns whether the latest one before was known and earlier.
     fn replaces_earlier(&self, start_time: Option<StartTime>) -> bool {
         let Some(StartTime(start_ms)) = start_time else {
             return false;
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -1,6 +1,6 @@
-//! The log's list of daemons to join through, where no platform keeps one.
+//! List of contacts on the log, through which daemons join if no control plane keeps such a list.
 //!
-//! A few daemons of each data centre keep themselves listed, whatever the log expires.
+//! A few daemons of each data centre list themselves again whenever the log has expired their records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use crate::peer::server::JOIN;
 use crate::units::{DataCentre, Millis, Offset};
 
-/// Records of the contacts stream that a joiner looks at.
+/// Latest records of the contacts stream that a daemon reads.
 const RECENT_RECORDS: u64 = 32;
-/// Daemons of a data centre that keep a contact.
+/// Daemons of a data centre that keep themselves listed.
 const LISTED_PER_DATA_CENTRE: usize = 2;
-/// Time between two renewals of a contact, on average.
+/// Time between two checks of a daemon's listing, on average.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_mins(2);
 
 /// One record of the `contacts` stream.
@@ -33,21 +33,21 @@
     pub data_centre: DataCentre,
 }
 
-/// The list, as one daemon reads it and keeps itself on it.
+/// Access of one daemon to the list.
 #[derive(Debug)]
 pub struct Contacts {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub board: Arc<Board>,
-    /// The platform log.
+    /// Log with the list.
     pub log: Log,
     /// Connections to peers.
     pub links: Arc<Links>,
-    /// The membership view.
+    /// Membership controller.
     pub membership: Arc<Membership>,
 }
 
 impl Contacts {
-    /// The latest contacts of the log.
+    /// Reads the latest contacts; there are none while the log is unavailable.
     pub async fn read_recent(&self) -> Vec<Contact> {
         let Ok(bounds) = self.log.bounds(Stream::Contacts).await else {
             return Vec::new();
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    /// Keeps a bounded number of contacts of each data centre fresh on the log.
+    /// Keeps a bounded number of contacts of each data centre on the log, and joins unknown ones.
     pub async fn maintain(&self) {
         let settings = &self.board.settings;
         loop {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Heals a split that outlived the memory of gone members: joins contacts it does not know.
+    /// Joins contacts that are not members, which heals a partition that outlasts the retention of gone members.
     async fn join_unknown(&self) {
         let roster = self.board.roster();
         let join = Join {
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -1,4 +1,4 @@
-//! The membership controller: the view, its datagrams and the roster made from it.
+//! Membership controller: runs the view, sends its datagrams and builds the roster from it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -28,7 +28,8 @@
 
 /// Ticks of the view in one probe period.
 const TICKS_PER_PERIOD: u64 = 5;
-/// Keeps the membership view.
+
+/// Controller of the membership view.
 #[derive(Debug)]
 pub struct Membership {
     board: Arc<Board>,
@@ -42,9 +43,9 @@
 pub(super) struct State {
     pub view: View,
     pub rng: SmallRng,
-    /// When another daemon was told everything that is known of ends of targets.
+    /// When all known target crashes and rollouts were last sent to a peer.
     pub last_full_sync: Option<Instant>,
-    /// Revisions that get requests without an order.
+    /// Stable revision of each service.
     stable_revisions: Usual,
 }
 
@@ -53,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`](crate::Error::Listen) when the address can't be had.
+    /// [`Error::Listen`](crate::Error::Listen) if the address cannot be bound.
     pub async fn open(board: Arc<Board>, relay: Arc<Relay>) -> Result<Self> {
         let settings = &board.settings;
         let address = settings.peer_addr;
@@ -81,7 +82,7 @@
         Ok(membership)
     }
 
-    /// Probes and answers for as long as the daemon runs.
+    /// Sends and answers probes for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         let receiver = Arc::clone(&self);
         tokio::spawn(async move { receiver.receive().await });
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Shows the others what the board says of this daemon and its target.
+    /// Updates the own entry from the board, and sends it to peers if it has changed.
     pub async fn publish_own_entry(&self) {
         let stage = self.board.stage();
         let now = Instant::now();
@@ -148,7 +149,7 @@
         self.send(sends).await;
     }
 
-    /// Says good-bye to the others.
+    /// Notifies other members that this daemon leaves.
     pub async fn leave(&self, health: Health) {
         let sends = {
             let mut guard = self.state();
@@ -158,14 +159,14 @@
         self.send(sends).await;
     }
 
-    /// Lets a joiner in.
+    /// Adds a joining daemon to the view and returns the response to it.
     #[must_use]
     pub fn welcome(&self, join: &Join) -> Welcome {
         let mut guard = self.state();
         let highest_version = guard.view.highest_version(join.member.peer);
         let slots = guard.view.slots(join.member.peer);
-        // The view goes out as it was before the join, so that the joiner sees what is said of
-        // its own address and can refute it.
+        // Taken before the join is merged, so that the joining daemon sees the entry that exists for its
+        // address and can refute it.
         let members = guard.view.members();
         if guard.view.merge(Instant::now(), &join.member) {
             self.rebuild_roster(&mut guard);
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Takes over the view of a peer, and which revisions it has as the usual ones.
+    /// Merges the view of a peer, and adopts its stable revisions.
     pub fn merge_members(&self, members: &[Member], stable_revisions: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
@@ -193,7 +194,7 @@
         self.rebuild_roster(&mut guard);
     }
 
-    /// Incarnation with which this daemon started.
+    /// Incarnation of this daemon at its start.
     #[must_use]
     pub const fn initial_incarnation(&self) -> Incarnation {
         self.initial_incarnation
@@ -227,7 +228,7 @@
                 }
                 Err(error) => {
                     metrics::counter!("jackdaw_bad_datagrams_total").increment(1);
-                    debug!(self.board.logger, "bad datagram"; "from" => %sender, "error" => %error);
+                    debug!(self.board.logger, "invalid datagram"; "from" => %sender, "error" => %error);
                 }
             }
         }
@@ -254,7 +255,7 @@
         self.apply_effects(effects).await;
     }
 
-    /// Hash of what this daemon knows of requests that end targets and of roll-outs.
+    /// Hash of the target crashes and rollouts that this daemon knows.
     pub(super) fn gossip_hash(&self) -> u64 {
         self.board.quarantine.hash() ^ self.board.rollouts.hash()
     }
@@ -275,7 +276,7 @@
         self.send(effects.sends).await;
     }
 
-    /// Repairs what the tree lost: fetches from a peer that is ahead.
+    /// Fetches a configuration that the relay tree did not deliver from a peer with a newer one.
     fn pull_from(&self, peer: SocketAddr) {
         if self.board.settings.delivery == Delivery::Poll {
             return;
@@ -334,9 +335,9 @@
         &self.board
     }
 
-    /// Has the view tell what this daemon has and knows now.
+    /// Updates what the view sends about the state of this daemon.
     pub(super) fn refresh_view(&self, state: &mut State) {
-        // Before the version, which may rise meanwhile: the watermark holds for a newer one as well.
+        // Read before the version, which may rise meanwhile: the watermark is also valid for a newer one.
         let latest = self.board.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.board.digest());
@@ -349,10 +350,10 @@
     }
 }
 
-/// The entry of a daemon that starts now.
+/// Entry of a daemon that starts now.
 fn initial_member(settings: &Settings) -> Member {
-    // A restarted daemon has to win over what is said of its earlier life: the clock mostly does
-    // that at once, and the welcome of any peer does it when the clock was set back.
+    // After a restart the entry has to override those of the earlier process. The clock mostly ensures that at
+    // once; if the clock was set back, the Welcome of any peer does.
     Member {
         peer: settings.identity(),
         operator: settings.operator_addr,
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,8 +1,8 @@
-//! Telling the other daemons which targets ended under which requests, and how roll-outs stand.
+//! Propagation of target crashes and rollout states to the other daemons.
 //!
-//! What is new goes on at once to a few members drawn at random, who do the same: a fleet of 4,000 has heard
-//! of it after six steps. Each probe carries a hash of everything that its sender knows, so that who missed
-//! it, was cut off or frozen is told by whomever it speaks to next.
+//! An update is sent at once to a few members chosen at random, which do the same: it reaches a fleet of 4,000
+//! in six steps. Each datagram carries a hash of everything that its sender knows. A daemon that missed an
+//! update, was partitioned off or was paused gets it from the next daemon that it exchanges datagrams with.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,30 +17,30 @@
 use crate::rollout::tally::Report;
 use crate::wire;
 
-/// Members that hear of an end from each daemon. By reckoning all but two in a hundred hear of it this way, at
-/// four small datagrams a daemon, and those two by a probe.
+/// Members that each daemon sends an update to. By calculation all but two in a hundred daemons receive it this
+/// way, at four small datagrams per daemon, and those two by a probe.
 const FANOUT: usize = 4;
-/// Bytes of ends in one datagram; the rest is for its sender's own entry.
+/// Bytes of crashes or rollouts in one datagram; the rest is for the sender's own entry.
 const MAX_PAGE_BYTES: usize = 1_100;
-/// Time between two times that a daemon tells everything it knows: at most 256 ends, and mostly a few.
+/// Shortest time between two full synchronizations by a daemon, of at most 256 crashes each and mostly a few.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Membership {
-    /// Passes ends of targets on to a few members.
+    /// Sends crashes of targets to a few members.
     pub async fn gossip_crashes(&self, crashes: Vec<Crash>) {
         let pages = pages(crashes);
         self.send_to_random(pages.into_iter().map(Message::Crashes).collect())
             .await;
     }
 
-    /// Passes roll-outs on to a few members.
+    /// Sends rollout states to a few members.
     pub async fn gossip_rollouts(&self, updates: Vec<Progress>) {
         let pages = pages(updates);
         self.send_to_random(pages.into_iter().map(Message::Rollouts).collect())
             .await;
     }
 
-    /// Tells one that decides on a roll-out how the co-located target answers.
+    /// Sends a report on the co-located target's responses to the coordinator of a rollout.
     pub async fn report(&self, peer: SocketAddr, report: Report) {
         let send = {
             let mut guard = self.state();
@@ -50,7 +50,7 @@
         self.send(vec![send]).await;
     }
 
-    /// Sends something to a few members drawn at random.
+    /// Sends messages to a few members chosen at random.
     async fn send_to_random(&self, probes: Vec<Message>) {
         let sends = {
             let mut guard = self.state();
@@ -68,8 +68,9 @@
         self.send(sends).await;
     }
 
-    /// Tells a peer that knows something else everything that this daemon knows, unless it has told
-    /// somebody a moment ago. The peer does the same, so both know the same then.
+    /// Builds datagrams with all crashes and rollouts that this daemon knows, for a peer that knows others;
+    /// none within [`SYNC_INTERVAL`] of the last ones to any peer. The peer does the same, after which both know
+    /// the same.
     pub(super) fn full_sync(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
         let crashes = self.board().quarantine.told();
@@ -90,7 +91,7 @@
     }
 }
 
-/// What is told in parts that fit into a datagram each.
+/// Splits items into pages that fit into one datagram each.
 fn pages<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut pages: Vec<Vec<T>> = Vec::new();
     let mut space_left = 0;
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -1,4 +1,4 @@
-//! Starting: find contacts, join, and reach a floor for the configuration.
+//! Start of a daemon: finds contacts, joins, and waits for a recent enough configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,51 +27,52 @@
 use crate::quarantine::archive::Archive;
 use crate::units::{DataCentre, Millis, Offset, Version};
 
-/// Welcomes after which a joiner asks nobody else while a platform lists daemons: in a joint start
-/// of many each of them would otherwise be sent the view of every other one.
+/// Responses after which a daemon sends no more join requests, if a control plane lists daemons: when many start
+/// at once, each of them would otherwise be sent the view of every other one.
 const ENOUGH_WELCOMES: usize = 8;
-/// Pause between two rounds while no floor has been reached.
+/// Pause between two rounds of requests while the daemon is not ready.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
-/// Pauses after calls to the platform that failed: who lapsed from the list while it was away is back
-/// within two seconds.
+/// Pauses after failed calls to the control plane: a daemon that has dropped off the list during an outage is
+/// listed again within two seconds.
 const RETRY_BACKOFF: Backoff = Backoff::new(ROUND_PAUSE, Duration::from_secs(2));
-/// Time between two first reads of the configuration in a joint start, over all daemons that are known:
-/// whoever has read it tells the others in less time than all of them would take to read.
+/// Time between two first reads of the configuration over all known daemons, when they start at once: one that
+/// has read it propagates it to the others in less time than all of them would take to read.
 const READ_SPACING: Duration = Duration::from_millis(10);
 /// Time that a read waits for the first version while there is none.
 const FIRST_VERSION_WAIT: Millis = Millis(1_500);
-/// Time over which listed daemons list themselves again.
+/// Time over which listed daemons spread their renewed registrations.
 const REREGISTRATION_SPREAD: Duration = Duration::from_secs(1);
-/// Time between two looks at the list for a daemon that knows nobody; each look doubles it.
+/// Time between two reads of the list by a daemon that knows no other one; each read doubles it.
 const ISOLATED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Brings a daemon from its start to serving, and keeps contacts fresh.
+/// Brings a daemon from its start to serving, and keeps its contacts up to date.
 #[derive(Debug)]
 pub struct Joiner {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub board: Arc<Board>,
-    /// What is in force.
+    /// Store of the active configuration.
     pub store: Arc<Store>,
-    /// The membership view.
+    /// Membership controller.
     pub membership: Arc<Membership>,
-    /// Joins through peers.
+    /// Client for join requests.
     pub join_client: Arc<JoinClient>,
-    /// Reads the log.
+    /// Reader of the source.
     pub reader: Arc<Reader>,
-    /// The log's list of contacts.
+    /// List of contacts on the log.
     pub contacts: Contacts,
-    /// The platform, where it keeps the configuration and lists daemons.
+    /// Control plane, if one keeps the configuration and lists daemons.
     pub origin: Option<Arc<dyn Origin>>,
-    /// What is kept of requests in quarantine.
+    /// Stored quarantine notes.
     pub archive: Archive,
-    /// Finds the target of a daemon that was killed.
+    /// Endpoint that finds the target of a daemon that was killed.
     pub endpoint: Arc<Endpoint>,
 }
 
 impl Joiner {
-    /// Joins, waits for the floor, then serves and keeps contacts for as long as the daemon runs.
+    /// Joins, waits for a recent enough configuration, then serves and keeps contacts for as long as the daemon
+    /// runs.
     pub async fn run(self: Arc<Self>) {
-        // A whole data centre that comes back must not ask in the same instant.
+        // Spreads the requests when a whole data centre comes back.
         tokio::time::sleep(jitter(ROUND_PAUSE)).await;
         let Some(origin) = self.origin.clone() else {
             self.start_from_log().await;
@@ -85,25 +86,25 @@
         self.serve().await;
         self.join_late_peers(listed).await;
         if self.is_alone() {
-            // Guards against a list on which those that are read first are gone for good: this daemon
-            // would know nobody, and nobody would learn of it. An error leaves it for the next look.
+            // If those read first from the list are gone for good, this daemon knows nobody, and nobody learns
+            // of it unless it is listed. After an error the next round tries again.
             self.join_unknown(registration.register_and_read().await.unwrap_or_default())
                 .await;
         }
         self.maintain_registration(&registration).await;
     }
 
-    /// Takes in what is kept of requests in quarantine. With the log away, the peers have told it.
+    /// Restores the stored quarantine notes. While the log is unavailable, the peers have sent them.
     async fn restore_quarantine(&self) {
         match self.archive.recall().await {
             Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
             Err(error) => {
-                warn!(self.board.logger, "notes of the quarantine can't be read"; "error" => %error);
+                warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
             }
         }
     }
 
-    /// Begins to serve, unless a stop has been ordered meanwhile.
+    /// Starts to serve, unless a stop has been requested meanwhile.
     async fn serve(&self) {
         if self.board.stage() == Stage::Starting {
             self.board.advance(Stage::Serving);
@@ -112,11 +113,11 @@
         }
     }
 
-    /// Reaches the floor where the platform has accepted the versions already.
+    /// Waits for a recent enough configuration, where a control plane has already accepted the versions.
     ///
-    /// The list of daemons and the configuration are read side by side, and peers that make
-    /// themselves known are asked at once: with the platform away, nothing waits for a time-out.
-    /// Returns where the list is still to come from, if it has not come.
+    /// The list of daemons and the configuration are read concurrently, and peers that become known are asked at
+    /// once, so that nothing waits for a time-out while the control plane is unavailable. Returns the channel on
+    /// which the list will arrive if it has not arrived yet.
     async fn start_from_control_plane(
         self: &Arc<Self>,
         registration: &Registration,
@@ -138,8 +139,8 @@
             let late = tokio::time::Instant::now() >= deadline;
             let version = self.board.digest().version;
             let has_version = version > Version(0) && version >= welcomes.floor.version();
-            // Peers have the targets that this daemon's callers need, and remember what its own
-            // target offered.
+            // Responses of peers contain the targets that this daemon's callers need, and what its own target
+            // offered.
             let waits_for_welcome =
                 welcomes.count == 0 && (!list_received || requests.is_pending()) && !late;
             let peers_suffice = (list_received || late)
@@ -165,15 +166,15 @@
                     reading = self.read_after(read_delay(peers.len()));
                     candidates = peers;
                 }
-                (peer, answer) = requests.next() => {
-                    if let Ok(welcome) = answer {
+                (peer, response) = requests.next() => {
+                    if let Ok(welcome) = response {
                         self.join_client.apply(peer, &welcome, &mut welcomes);
                     }
                 }
                 _ = rosters.changed() => candidates = self.known_peers(),
                 _ = versions.changed() => {}
                 () = tokio::time::sleep_until(deadline), if !late => {
-                    warn!(self.board.logger, "no floor yet"; "version" => version.0, "read" => read);
+                    warn!(self.board.logger, "not ready yet: no configuration known to be recent enough"; "version" => version.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
@@ -188,19 +189,18 @@
         listed
     }
 
-    /// Meets daemons of a list that came after this one had begun to serve.
+    /// Joins daemons of a list that arrived after this one had begun to serve.
     ///
-    /// Guards against a platform that answers late while this daemon starts: it has a configuration,
-    /// but nobody else's target, and refused every caller until the list was looked at the next
-    /// time, minutes later.
+    /// If the control plane responds late while this daemon starts, it has a configuration but no other daemon's
+    /// target. It refused every caller until the list was read the next time, minutes later.
     async fn join_late_peers(&self, mut listed: mpsc::Receiver<Peers>) {
         if let Some(peers) = listed.recv().await {
             self.join_unknown(peers).await;
         }
     }
 
-    /// Joins through a few of `peers` that are not known yet; through others where none of those
-    /// answers, since a list may be full of hosts that are gone.
+    /// Joins through a few of `peers` that are not members yet, and through others if none of those responds,
+    /// since a list may be full of hosts that are gone.
     async fn join_unknown(&self, mut peers: Peers) {
         let roster = self.board.roster();
         peers.retain(|(peer, _)| roster.member(*peer).is_none());
@@ -224,7 +224,7 @@
         self.board.roster().members.len() <= 1
     }
 
-    /// Reads the newest version, or waits a while for one, after a pause.
+    /// Reads the newest version after a pause, or waits a while for one.
     fn read_after(self: &Arc<Self>, pause: Duration) -> BoxFuture<'static, Result<Offset>> {
         let reader = Arc::clone(&self.reader);
         Box::pin(async move {
@@ -233,12 +233,12 @@
         })
     }
 
-    /// Tells who is listed, as soon as the platform does.
+    /// Sends the list of daemons to `found` as soon as the control plane returns it.
     async fn discover(self: Arc<Self>, registration: Registration, found: mpsc::Sender<Peers>) {
         let mut pauses = RETRY_BACKOFF;
         while !self.board.stage().is_stopping() {
             if let Ok(listed) = registration.discover().await {
-                // Whoever waited for them may have found others meanwhile.
+                // The receiver may be gone: it may have found other peers meanwhile.
                 let _ = found.send(listed).await;
                 return;
             }
@@ -246,19 +246,19 @@
         }
     }
 
-    /// Members that are there, as far as known.
+    /// Members that are not gone, as far as known.
     fn known_peers(&self) -> Peers {
         let roster = self.board.roster();
         let members = roster.members.iter();
         members.map(|m| (m.peer, m.data_centre.clone())).collect()
     }
 
-    /// Keeps enough daemons listed, and meets those that were listed meanwhile.
+    /// Keeps enough daemons listed, and joins those that were listed meanwhile.
     async fn maintain_registration(&self, registration: &Registration) {
         let mut pause_when_alone = ISOLATED_PAUSE;
         let mut eras = self.board.eras();
         loop {
-            // It has just read who was listed before it.
+            // Waits first, since the list has just been read.
             let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
             let is_alone = self.is_alone();
             let pause = if is_alone {
@@ -277,16 +277,16 @@
             } else {
                 registration.maintain().await
             };
-            // An error leaves it for the next round.
+            // After an error the next round tries again.
             self.join_unknown(listed.unwrap_or_default()).await;
         }
     }
 
-    /// Lists this daemon once more if it was listed before.
+    /// Lists this daemon again if it was listed before.
     ///
-    /// Guards against a platform that comes back from a copy of before that: with too few daemons on the
-    /// list, one that starts alone in its view would find nobody. Those that were listed do it alone, each
-    /// after a random pause, so the calls fit the platform however large the fleet is.
+    /// A control plane that was restored from an older copy may list too few daemons, so that one that starts and
+    /// knows no other would find nobody. Only daemons that were listed do this, each after a random pause, so
+    /// that the load on the control plane does not grow with the fleet.
     async fn register_again(&self, registration: &Registration) {
         let mut pauses = RETRY_BACKOFF;
         tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
@@ -316,21 +316,21 @@
                 && !before_deadline
                 && floor.met_by_peers(version, self.count_data_centres())
             {
-                warn!(self.board.logger, "the log is away, peers decide"; "version" => version.0);
+                warn!(self.board.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
                 return;
             }
             if !before_deadline && !warned {
                 warned = true;
                 warn!(
                     self.board.logger,
-                    "no floor yet: neither the log nor enough peers answer"
+                    "not ready yet: neither the log nor enough peers respond"
                 );
             }
             tokio::time::sleep(ROUND_PAUSE + jitter(ROUND_PAUSE)).await;
         }
     }
 
-    /// Reads the log to its head; `false` while it is away.
+    /// Reads the log to its head; returns `false` while it is unavailable.
     async fn read_log(&self, floor: &mut Floor) -> bool {
         loop {
             let Ok(head) = self.reader.turn(Millis(0)).await else {
@@ -343,7 +343,8 @@
         }
     }
 
-    /// A few addresses to join through: known members, settings, then the log's contacts.
+    /// Addresses to join through: known members and the contacts of the settings, or of the log if there are none
+    /// in the settings.
     async fn seed_addresses(&self) -> Vec<SocketAddr> {
         let me = self.board.settings.identity();
         let roster = self.board.roster();
@@ -374,8 +375,7 @@
     }
 }
 
-/// Pause before a daemon that knows of `others` reads the configuration, unless one of them tells it
-/// by then.
+/// Pause before a daemon that knows `others` daemons reads the configuration, unless one of them sends it earlier.
 fn read_delay(others: usize) -> Duration {
     jitter(READ_SPACING.saturating_mul(u32::try_from(others).unwrap_or(u32::MAX)))
 }
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -1,4 +1,4 @@
-//! Joining through peers: asking them, and what their welcomes tell.
+//! Join requests to peers, and what the responses to them say.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,44 +20,44 @@
 use crate::peer::server::JOIN;
 use crate::units::{DataCentre, Slots};
 
-/// What a starting daemon has heard from its peers.
+/// Content of all responses to a starting daemon's join requests.
 #[derive(Debug, Default)]
 pub struct Welcomes {
-    /// The configuration that it has to reach.
+    /// Requirement on the configuration with which it may serve.
     pub floor: Floor,
-    /// Peers that have welcomed it.
+    /// Number of responses.
     pub count: usize,
-    /// The last entry of an earlier daemon at this address.
+    /// Last entry of an earlier daemon at this address.
     predecessor: Option<Member>,
-    /// Slots that this address's target offered.
+    /// Slots that the target at this address offered last.
     slots: Option<Slots>,
 }
 
 impl Welcomes {
-    /// Slots that this address's target offered last, by a peer's word.
+    /// Slots that the target at this address offered last, according to a peer.
     #[must_use]
     pub const fn slots(&self) -> Option<Slots> {
         self.slots
     }
 }
 
-/// Joins through peers on behalf of a daemon.
+/// Sends join requests and applies the responses.
 #[derive(Debug)]
 pub struct JoinClient {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub board: Arc<Board>,
     /// Connections to peers.
     pub links: Arc<Links>,
-    /// The membership view.
+    /// Membership controller.
     pub membership: Arc<Membership>,
-    /// Fetches content.
+    /// Fetches configurations from peers.
     pub relay: Arc<Relay>,
-    /// Remembers keys.
+    /// Remembers idempotency keys.
     pub keys: Arc<Keys>,
 }
 
 impl JoinClient {
-    /// Asks one peer to let this daemon in.
+    /// Sends a join request to one peer.
     async fn ask(&self, peer: SocketAddr) -> Result<Welcome> {
         let join = Join {
             member: self.membership.me(),
@@ -65,7 +65,7 @@
         self.links.send(peer, JOIN, &join).await
     }
 
-    /// Takes a welcome in, and fetches what its sender has in force where that is newer.
+    /// Applies a response, and fetches its sender's configuration in the background if that is newer.
     pub fn apply(&self, peer: SocketAddr, welcome: &Welcome, welcomes: &mut Welcomes) {
         self.record(welcome, welcomes);
         if self.is_ahead(welcome) {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Joins through a few of `contacts` at once and fetches what they have in force; how many
-    /// welcomed this daemon.
+    /// Joins through a few of `contacts` at once and fetches their configurations if newer; returns how many
+    /// of them responded.
     pub async fn join_through(
         &self,
         mut contacts: Vec<SocketAddr>,
@@ -120,11 +120,11 @@
             .merge_members(&welcome.members, &welcome.stable_revisions);
     }
 
-    /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
+    /// Determines how an earlier daemon at this address ended; its latest entry counts.
     fn track_predecessor(&self, members: &[Member], welcomes: &mut Welcomes) {
         let me = self.membership.me();
-        // Entries between the birth of this daemon and now are its own; those from the future
-        // are of an earlier one whose clock was ahead.
+        // Incarnations from the initial to the current one are this daemon's own. Lower ones are of an earlier
+        // daemon, and so are higher ones, whose clock was ahead.
         let own = self.membership.initial_incarnation()..=me.incarnation;
         let reported = members
             .iter()
@@ -144,47 +144,46 @@
     }
 }
 
-/// What a peer that was asked came to.
+/// A peer, with its response.
 pub type Reply = (SocketAddr, Result<Welcome>);
 
-/// Peers that a starting daemon asks side by side.
+/// Concurrent join requests of a starting daemon.
 ///
-/// Guards against a peer that is silent: after a loss of power a few of those that are asked are
-/// mostly still dark, and a daemon that waits for them before it takes the others' welcomes refuses its
-/// callers for as long.
+/// Each response is applied when it arrives. After a power failure a few of the peers are mostly still down, and
+/// a daemon that waits for them before it applies the other responses refuses its callers for as long.
 #[derive(Debug)]
 pub struct Requests {
     join_client: Arc<JoinClient>,
     asked: Vec<SocketAddr>,
     pending: usize,
     sender: mpsc::Sender<Reply>,
-    answers: mpsc::Receiver<Reply>,
+    responses: mpsc::Receiver<Reply>,
 }
 
 impl Requests {
-    /// Nobody has been asked yet.
+    /// Creates an empty set of requests.
     #[must_use]
-    pub fn new(greeting: &Arc<JoinClient>) -> Self {
-        let (sender, answers) = mpsc::channel(JOIN_FANOUT);
+    pub fn new(join_client: &Arc<JoinClient>) -> Self {
+        let (sender, responses) = mpsc::channel(JOIN_FANOUT);
         Self {
-            join_client: Arc::clone(greeting),
-            asked: vec![greeting.board.settings.identity()],
+            join_client: Arc::clone(join_client),
+            asked: vec![join_client.board.settings.identity()],
             pending: 0,
             sender,
-            answers,
+            responses,
         }
     }
 
-    /// Whether an answer is still to come.
+    /// Whether any response is outstanding.
     #[must_use]
     pub const fn is_pending(&self) -> bool {
         self.pending > 0
     }
 
-    /// Asks a few of `peers` that were not asked yet, mostly of the data centre `home`.
-    pub fn ask_seeds(&mut self, mut peers: Peers, home: &DataCentre) {
+    /// Asks a few of `peers` that were not asked yet, mostly in the data centre `local`.
+    pub fn ask_seeds(&mut self, mut peers: Peers, local: &DataCentre) {
         peers.retain(|(peer, _)| !self.asked.contains(peer));
-        self.ask(choose_seeds(peers, home));
+        self.ask(choose_seeds(peers, local));
     }
 
     /// Asks all of `peers`.
@@ -192,16 +191,16 @@
         for peer in peers {
             self.asked.push(peer);
             self.pending += 1;
-            let (greeting, sender) = (Arc::clone(&self.join_client), self.sender.clone());
+            let (join_client, sender) = (Arc::clone(&self.join_client), self.sender.clone());
             tokio::spawn(async move {
-                let answer = greeting.ask(peer).await;
+                let response = join_client.ask(peer).await;
                 // The daemon may have ended meanwhile.
-                let _ = sender.send((peer, answer)).await;
+                let _ = sender.send((peer, response)).await;
             });
         }
     }
 
-    /// Takes the answers that are still to come.
+    /// Applies the responses that are still outstanding.
     pub async fn finish(mut self, mut welcomes: Welcomes) {
         while self.is_pending() {
             if let (peer, Ok(welcome)) = self.next().await {
@@ -210,14 +209,14 @@
         }
     }
 
-    /// Waits for the next answer.
+    /// Waits for the next response.
     pub async fn next(&mut self) -> Reply {
-        match self.answers.recv().await {
-            Some(answer) => {
+        match self.responses.recv().await {
+            Some(response) => {
                 self.pending -= 1;
-                answer
+                response
             }
-            // Not reached, as the round holds a sender.
+            // Not reached, since `self` holds a sender.
             None => std::future::pending().await,
         }
     }
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -1,8 +1,8 @@
-//! Renewing a stale watermark.
+//! Renewal of a stale watermark.
 //!
-//! Readers renew the watermarks of their data centre. When they don't, each daemon reads the platform itself, at
-//! a random moment, and tells the others: mostly one read serves a data centre. It also asks a few members, since
-//! the platform may turn this daemon away.
+//! Readers renew the watermarks of their data centre. If they do not, each daemon reads the source itself, after
+//! a random delay, and notifies the others, so that mostly one read serves a data centre. It also queries a few
+//! members, since the source may refuse this daemon.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,10 +20,10 @@
 use crate::membership::member::Stage;
 use crate::units::{Millis, Offset};
 
-/// Longest pause between two times that members are asked.
+/// Longest pause between two queries of members.
 const MAX_QUERY_PAUSE: Duration = Duration::from_secs(1);
-/// Pauses after reads that failed. The readers notice sooner when the platform is back, and the members that
-/// are asked tell it.
+/// Pauses after failed reads. The readers notice sooner that the source is available again, and the queried
+/// members report that.
 const READ_BACKOFF: Backoff = Backoff::new(Duration::from_secs(1), Duration::from_secs(4));
 
 /// Keeps the watermark of one daemon fresh.
@@ -38,7 +38,7 @@
 }
 
 impl Refresher {
-    /// A refresher that reads by `reader` and asks the members of `membership`.
+    /// Creates a refresher that reads with `reader` and queries the members of `membership`.
     #[must_use]
     pub fn new(board: &Arc<Board>, membership: &Arc<Membership>, reader: &Arc<Reader>) -> Self {
         Self {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Renews the watermark from when the daemon serves until its process ends.
+    /// Renews the watermark from the time that the daemon serves until its process ends.
     pub async fn run(mut self) {
         let mut stages = self.board.stages();
         // Until then the joiner reads.
         let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
         self.serving_since = Instant::now();
-        // A daemon that stops takes calls to its end, and so do all of them where all stop together.
+        // Also while the daemon stops: it accepts calls to its end, also when all daemons stop together.
         loop {
             let left = self.limits.stale.saturating_sub(self.age());
             if left > Duration::ZERO {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Reads and asks until the watermark is fresh again.
+    /// Reads the source and queries members until the watermark is fresh again.
     async fn renew(&self) {
         let mut watermarks = self.board.freshness.subscribe();
         let mut pauses = Backoff::new(self.limits.retry, MAX_QUERY_PAUSE);
@@ -116,7 +116,7 @@
         self.age() >= self.limits.stale
     }
 
-    /// Age of the watermark, or the time of service where there is none.
+    /// Age of the watermark, or the time since the daemon began to serve if there is none.
     fn age(&self) -> Duration {
         let now = Instant::now();
         let age = self.board.freshness.latest().age(now);
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reads the platform once, after a pause.
+/// Reads the source once, after a pause.
 async fn read(reader: Arc<Reader>, pause: Duration) -> Result<Offset> {
     tokio::time::sleep(pause).await;
     reader.turn(Millis(0)).await
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -1,8 +1,8 @@
-//! The platform's list of daemons, as one daemon reads it and stands on it.
+//! Registration of a daemon in the control plane's list of daemons.
 //!
-//! A newcomer needs a handful of contacts, and the membership tells it of the rest. So daemons list
-//! themselves only until enough of them are listed: what a start asks of the platform does not grow
-//! with the fleet.
+//! A starting daemon needs a handful of contacts, from which it learns of the other members. Daemons therefore
+//! list themselves only until enough of them are listed, so that the load of a start on the control plane does
+//! not grow with the fleet.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 use crate::membership::seeds::Peers;
 use crate::units::Millis;
 
-/// Listed daemons with which a list is long enough: many more than a newcomer joins through, so that
-/// hosts that are lost together are not all of them.
+/// Listed daemons with which a list is long enough: many more than a daemon joins through, so that hosts that
+/// fail together are not all of them.
 const MIN_CONTACTS: usize = 16;
 
-/// Spans of the quarantine after which a note of it is taken off the platform: one would do, but for hosts
-/// whose clock is wrong.
+/// Quarantine periods after which a quarantine note is deleted from the control plane. One would do if all hosts'
+/// clocks were right.
 const NOTE_EXPIRY_SPANS: u64 = 2;
 
-/// One daemon's dealings with the list.
+/// Registration of one daemon.
 #[derive(Debug, Clone)]
 pub struct Registration {
     board: Arc<Board>,
@@ -29,13 +29,13 @@
 }
 
 impl Registration {
-    /// The list of `origin`, for the daemon of `board`.
+    /// Creates the registration of the daemon of `board` in the list of `origin`.
     #[must_use]
     pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
         Self { board, origin }
     }
 
-    /// Reads who is listed, and lists this daemon where those are too few.
+    /// Reads the list, and lists this daemon if too few are listed.
     ///
     /// Of any two daemons that list themselves, the later one to be listed reads the other.
     ///
@@ -50,7 +50,7 @@
         self.register_and_read().await
     }
 
-    /// Lists this daemon, then reads everybody who is listed.
+    /// Lists this daemon, then reads the whole list.
     ///
     /// # Errors
     ///
@@ -66,12 +66,12 @@
     ///
     /// As [`Origin::list`].
     pub async fn register(&self) -> Result<()> {
-        // It may be done although no answer comes.
+        // The request may succeed although no response arrives.
         self.board.set_listed();
         self.origin.list(&self.contact()).await
     }
 
-    /// Reads everybody who is listed, and lists this daemon where too few of them are members.
+    /// Reads the whole list, and lists this daemon if too few of those listed are members.
     ///
     /// # Errors
     ///
@@ -87,7 +87,7 @@
         Ok(peers(contacts))
     }
 
-    /// Takes this daemon off the list, where it may stand on it.
+    /// Removes this daemon from the list if it may be listed.
     ///
     /// # Errors
     ///
@@ -99,14 +99,14 @@
         Ok(())
     }
 
-    /// Reads who is listed, and takes in what the platform keeps of requests in quarantine.
+    /// Reads the list, and restores the quarantine notes that come with it; deletes those that are outdated.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
         let Directory { contacts, notes } = self.origin.directory(enough).await?;
         let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
         self.board.quarantine.recall(&notes, now);
         for (cause, note) in notes {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
-                // One that stays is read once more, and counts for nothing.
+                // A note that cannot be deleted is read again and has no effect.
                 let _ = self.origin.note(cause, None).await;
             }
         }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,6 +1,6 @@
-//! The members, arranged for the path of a request.
+//! Members and upstreams, arranged for the request path.
 //!
-//! A [`Roster`] is rebuilt whenever the membership view changes. An [`Upstream`] outlives its
+//! A [`Roster`] is immutable and rebuilt whenever the membership view changes. An [`Upstream`] outlives its
 //! roster, so that what was learnt about a target is kept.
 
 use std::net::{IpAddr, SocketAddr};
@@ -17,11 +17,10 @@
 use crate::rollout::usual::Usual;
 use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
-/// Bytes in a kilobyte.
 const BYTES_PER_KB: f64 = 1_024.0;
-/// Greatest age of own requests that is reckoned with, in milliseconds: beyond any time-out.
+/// Limit to the age of own requests, in milliseconds; longer than any time-out.
 const MAX_REQUEST_AGE_MS: u64 = 5_000;
-/// Size of the heads of a request and its answer between two daemons, in kilobytes.
+/// Size of the headers of a request and its response between two daemons, in kilobytes.
 const HEADERS_KB: f64 = 0.5;
 
 /// All members, sorted by address, and the upstreams of each service.
@@ -29,30 +28,30 @@
 pub struct Roster {
     /// Members that are not gone, this daemon included.
     pub members: Vec<Member>,
-    /// Members that are thought to be gone and not yet forgotten.
+    /// Members that count as gone and have not been dropped yet.
     pub gone: Vec<Departed>,
-    /// Hosts of each service, sorted by it, whether their targets take calls or not.
+    /// Number of hosts of each service, sorted by service, whether or not their targets accept calls.
     pub host_counts: Vec<(Service, usize)>,
     pools: Vec<Pool>,
-    /// Revisions that get requests without an order.
+    /// Stable revision of each service.
     pub stable_revisions: Usual,
 }
 
-/// A member that is thought to be gone.
+/// A member that counts as gone.
 #[derive(Debug, Clone)]
 pub struct Departed {
     /// Its last entry.
     pub member: Member,
-    /// When it went.
+    /// When it was found to be gone.
     pub since: Instant,
 }
 
-/// Where this daemon is.
+/// Location of this daemon.
 #[derive(Debug, Clone)]
 pub struct Location {
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Address that its connections leave from.
+    /// Local address of its connections to peers.
     pub address: IpAddr,
 }
 
@@ -65,7 +64,7 @@
     revisions: Vec<Option<Revision>>,
 }
 
-/// A target that takes calls, reached through its daemon.
+/// A target that accepts calls, reached through its daemon.
 #[derive(Debug)]
 pub struct Upstream {
     /// Address of its daemon.
@@ -74,23 +73,23 @@
     pub local: bool,
     /// Connection for calls.
     pub link: Link,
-    /// Start of the target's life in Unix milliseconds; 0 while it is not known.
+    /// Start of the target's process in Unix milliseconds; 0 while it is not known.
     start_ms: AtomicU64,
     slots: AtomicU32,
     first_seen: Instant,
     suspect: AtomicBool,
     own_requests: AtomicU32,
-    /// Times at which own requests were sent, in milliseconds since it came, as their sum.
+    /// Sum of the times at which own outstanding requests were sent, in milliseconds since `first_seen`.
     sent_sum_ms: AtomicU64,
     reported_load: AtomicU32,
-    /// Held for a few instructions, as the evidence is.
+    /// Locked for a few instructions, like the detector.
     latency: Mutex<Pace>,
-    /// Held for a few instructions, by the path of a request alone.
+    /// Locked for a few instructions, by the request path and the state dump.
     detector: Mutex<Evidence>,
 }
 
 impl Roster {
-    /// Arranges `members`, keeping the upstreams of the `old` roster; what is `usual` goes on being so.
+    /// Builds a roster of `members`, keeping the upstreams of the `old` one; updates the stable revisions.
     #[must_use]
     pub fn build(
         mut members: Vec<Member>,
@@ -165,7 +164,7 @@
         self.pool(service).map_or(&[], |pool| &pool.revisions)
     }
 
-    /// Whether a target is of the revision that gets the requests without an order.
+    /// Whether a target runs the stable revision of its service, as far as both are known.
     #[must_use]
     pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
         let stable_revisions = self.stable_revisions.get(&target.service, now);
@@ -206,7 +205,7 @@
     }
 }
 
-/// Hosts of each service, sorted by it.
+/// Number of hosts of each service, sorted by service.
 fn host_counts(members: &[Member]) -> Vec<(Service, usize)> {
     let mut fleet: Vec<(Service, usize)> = Vec::new();
     for offer in members.iter().filter_map(|member| member.offer.as_ref()) {
@@ -236,16 +235,16 @@
         }
     }
 
-    /// Whether what was learnt still holds for a target that was born then.
+    /// Whether what was learnt also applies to a target process with this start time.
     ///
-    /// Guards against the bad name of a life that has ended: the next one, under the same name at
-    /// the same address, would inherit its pace, its refusals and its ejection.
+    /// The next process under the same name at the same address must not inherit the latency, refusals and
+    /// ejection of one that has ended.
     fn is_same_process(&self, start_time: Option<StartTime>) -> bool {
         let known = self.start_ms.load(Ordering::Relaxed);
         known == 0 || start_time.is_none_or(|start_time| start_time.0 == known)
     }
 
-    /// What a choice needs to know at `now`.
+    /// Properties at `now` by which an upstream is chosen.
     #[must_use]
     pub fn candidate(&self, group: &Group, now: Instant) -> Candidate {
         let age = now.saturating_duration_since(self.first_seen);
@@ -262,8 +261,8 @@
         }
     }
 
-    /// What it would cost a request of a route at `now`; `far_ms` is the price of each kilobyte
-    /// from another data centre.
+    /// Expected cost of a request of a route at `now`; `far_ms` is the cost of each kilobyte from another data
+    /// centre, in milliseconds.
     #[must_use]
     pub fn cost(&self, group: &Group, typical: &Typical, far_ms: f64, now: Instant) -> Cost {
         let candidate = self.candidate(group, now);
@@ -278,7 +277,7 @@
         }
     }
 
-    /// Price of the way there and back, as a time that a request of a route could wait instead.
+    /// Cost of the transfer there and back, as a time that a request of a route could wait instead.
     #[must_use]
     pub fn transfer_cost(&self, typical: &Typical, far_ms: f64) -> Duration {
         if self.local {
@@ -288,31 +287,31 @@
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
     }
 
-    /// What was learnt of its pace, to read or to add to.
+    /// Latency statistics, to read or to update.
     pub fn latency(&self) -> MutexGuard<'_, Pace> {
         self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether own evidence keeps it out at `now`.
+    /// Whether this daemon's outlier detection ejects it at `now`.
     #[must_use]
     pub fn ejected(&self, now: Instant) -> bool {
         self.detector().ejected(now)
     }
 
-    /// A copy of the evidence, for the state dump.
+    /// Copy of the outlier detection's state, for the state dump.
     #[must_use]
     pub fn detector(&self) -> Evidence {
         *self.detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what its gate reported as in flight.
+    /// Records the number of requests in flight that its sidecar reported.
     pub fn record_load(&self, now: Instant, load: u32) {
         self.reported_load.store(load, Ordering::Relaxed);
         let own_requests = self.own_requests.load(Ordering::Relaxed);
         self.latency().report(now, load, own_requests);
     }
 
-    /// Load as known here: own requests and the gate's report.
+    /// Load as known to this daemon: own requests, and those that its sidecar reported.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         (
@@ -321,7 +320,7 @@
         )
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn record_success(&self) {
         self.detector
             .lock()
@@ -329,13 +328,13 @@
             .succeeded();
     }
 
-    /// Notes that it could not be reached.
+    /// Records that it could not be reached.
     pub fn record_unavailable(&self, now: Instant) {
         let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.absent(now);
     }
 
-    /// Notes a failure; `out` of `total` upstreams of its group are ejected.
+    /// Records a failure; `out` of `total` upstreams of its group are ejected.
     pub fn record_failure(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
         let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.failed(now, rule, out, total);
@@ -353,13 +352,13 @@
         }
     }
 
-    /// Own requests under way there.
+    /// Own requests that are outstanding.
     #[must_use]
     pub fn outstanding(&self) -> Underway {
         let count = self.own_requests.load(Ordering::Relaxed);
         let sum_ms = self.sent_sum_ms.load(Ordering::Relaxed);
         let mean_ms = sum_ms.checked_div(u64::from(count));
-        // The two are not read together: a sum that is ahead of its count reads as no age.
+        // The two are not read atomically; a sum that is ahead of its count gives an age of 0.
         let age = mean_ms.map_or(0, |mean_ms| {
             Millis::from(self.first_seen.elapsed())
                 .0
@@ -371,7 +370,7 @@
         }
     }
 
-    /// Time since it came.
+    /// Time since it was first seen.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.first_seen)
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -1,13 +1,13 @@
-//! What a target says of itself, and which of its lives counts.
+//! Processes of a target, and which of their announcements apply.
 //!
-//! A target that starts again is another life at the same address, under another name or under the
-//! same one with a later [`StartTime`]. Its announcements can be late by seconds, so one of an earlier
-//! life may arrive when the next one has announced itself: [`Processes`] tells which to believe.
+//! A target that restarts is a new process at the same address, under another instance name or under the same
+//! one with a later [`StartTime`]. Announcements can be delayed by seconds, so one of an earlier process may
+//! arrive after the next process has announced itself: [`Processes`] decides which of them apply.
 //!
-//! Births order the lives of one name only, so a clock that is wrong does no harm between names. A
-//! life whose birth is not known, such as one that has only answered its health check, is taken for
-//! the one that tells its birth under that name. An announcement without a birth, under a name that
-//! has told one, is not that target's.
+//! Start times order only the processes of one name, so a wrong clock does no harm between names. A process
+//! whose start time is not known, such as one that has only passed its health check, is taken for the one that
+//! reports its start time under that name. An announcement without a start time, under a name that has
+//! reported one, is not from that target.
 //!
 //! ```
 //! use jackdawpulley::membership::target::{Process, Processes, Recency};
@@ -16,8 +16,8 @@
 //! let (old, new) = (Process::new("a", Some(StartTime(10))), Process::new("a", Some(StartTime(20))));
 //! let mut processes = Processes::default();
 //! assert_eq!(processes.observe(&old, 4), Recency::New);
-//! assert_eq!(processes.observe(&new, 1), Recency::New, "it started again under its name");
-//! assert_eq!(processes.observe(&old, 5), Recency::Ended, "it was on its way when its sender died");
+//! assert_eq!(processes.observe(&new, 1), Recency::New, "it restarted under its name");
+//! assert_eq!(processes.observe(&old, 5), Recency::Ended, "it was in flight when its sender died");
 //! assert_eq!(processes.observe(&new, 1), Recency::Stale);
 //! ```
 
@@ -25,20 +25,20 @@
 
 use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime};
 
-/// Processes that are remembered after their end.
+/// Ended processes that are remembered.
 const MAX_ENDED: usize = 32;
 
-/// One life of a target, from its start to its end.
+/// One process of a target, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Process {
-    /// Name of the life, which the next one may have as well.
+    /// Instance name, which the next process may reuse.
     pub instance: Instance,
-    /// When it began, where that is known.
+    /// Start time, if known.
     pub start_time: Option<StartTime>,
 }
 
 impl Process {
-    /// The life of this name that began then.
+    /// Creates a process with an instance name and, if known, a start time.
     #[must_use]
     pub fn new(instance: impl Into<Instance>, start_time: Option<StartTime>) -> Self {
         Self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether it has the name of `other` and began later.
+    /// Whether it has the name of `other` and started later.
     #[must_use]
     pub fn is_successor_of(&self, other: &Self) -> bool {
         self.instance == other.instance
@@ -55,10 +55,10 @@
     }
 }
 
-/// One announcement of a target.
+/// One announcement of a target process, which starts or renews its lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Renewal {
-    /// The life that announces itself.
+    /// Process that announces itself.
     pub process: Process,
     /// Service that it belongs to.
     pub service: Service,
@@ -66,51 +66,51 @@
     pub address: SocketAddr,
     /// Calls that it takes at the same time.
     pub slots: Slots,
-    /// Version of its software, where it tells that.
+    /// Version of its software, if reported.
     pub revision: Option<Revision>,
-    /// Time for which it is slow yet after its start.
+    /// Time for which it is still slow after its start.
     pub cold: Millis,
-    /// Whether it is about to end and wants no new calls.
+    /// Whether it is about to end and accepts no new calls.
     pub leaving: bool,
-    /// Orders the announcements of one life.
+    /// Orders the announcements of one process.
     pub sequence: u64,
     /// Time until it has to announce itself again.
     pub lease: Millis,
 }
 
-/// What an announcement is worth.
+/// How an announcement relates to the current process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recency {
-    /// The first of a life that was not known: it is the current one from now on.
+    /// First one of an unknown process, which becomes the current one.
     New,
-    /// The newest of the current life.
+    /// Newest one of the current process.
     Current,
-    /// Of the current life, overtaken by a later one.
+    /// Outdated by a later one of the current process, or without the start time that it has reported.
     Stale,
-    /// Of a life that has ended.
+    /// From a process that has ended.
     Ended,
 }
 
-/// The lives of the targets at one address.
+/// Processes of the targets at one address.
 #[derive(Debug, Default)]
 pub struct Processes {
-    /// The current life and the highest sequence of its announcements.
+    /// Current process, with the highest sequence number of its announcements.
     current: Option<(Process, u64)>,
-    /// Whether the current life has said that it takes no more calls.
+    /// Whether the current process has declared that it accepts no more calls.
     leaving: bool,
-    /// Processes that have ended, the last one last; the latest of each name.
+    /// Ended processes in the order of their ends, the latest of each name.
     ended: Vec<Process>,
 }
 
 impl Processes {
-    /// Notes an announcement.
+    /// Records an announcement.
     pub fn observe(&mut self, process: &Process, sequence: u64) -> Recency {
         let same = self.current.as_mut();
         if let Some((current, last)) = same.filter(|(now, _)| now.instance == process.instance) {
             if current.is_successor_of(process) {
                 return Recency::Ended;
             }
-            // One that announced itself without a birth is not the one that tells its birth.
+            // A process that announced itself without a start time is not the one that reports its start time.
             let announced_without_start_time =
                 current.start_time.is_none() && process.start_time.is_some() && *last > 0;
             if !process.is_successor_of(current) && !announced_without_start_time {
@@ -130,18 +130,18 @@
         Recency::New
     }
 
-    /// Whether another life was, or may have been, at the address before `life`: then an
-    /// announcement alone does not prove who is there.
+    /// Whether another process was, or may have been, at the address before `process`; an announcement alone
+    /// then does not prove which one is running.
     #[must_use]
     pub fn may_replace_another(&self, process: &Process) -> bool {
         let same_name = |ended: &Process| ended.instance == process.instance;
         self.current.is_some() || self.ended.iter().any(same_name)
     }
 
-    /// Notes which life has answered at the address: better evidence than any announcement.
+    /// Records which instance has responded at the address, which is better evidence than any announcement.
     ///
-    /// Guards against an announcement of a dead life that arrives first after a restart of this
-    /// daemon: the living one would count as ended for good.
+    /// After a restart of this daemon, an announcement of a dead process may arrive first. The running process
+    /// would otherwise count as ended for good.
     pub fn confirm(&mut self, instance: &Instance) {
         let same_name = |ended: &Process| ended.instance == *instance;
         let known = self.ended.iter().position(same_name);
@@ -153,24 +153,24 @@
         }
     }
 
-    /// Whether any life is current.
+    /// Whether no process is current.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.current.is_none()
     }
 
-    /// Notes that the current life takes no more calls; it never takes that back.
+    /// Records that the current process accepts no more calls, which is final.
     pub const fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Whether the current life takes no more calls.
+    /// Whether the current process accepts no more calls.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether the current life has this name.
+    /// Whether the current process has this instance name.
     #[must_use]
     pub fn is_current(&self, instance: &Instance) -> bool {
         self.current
@@ -178,13 +178,13 @@
             .is_some_and(|(now, _)| now.instance == *instance)
     }
 
-    /// Notes that a life ends by its own word; whether it is the current one, which takes no more
-    /// calls from now on.
+    /// Records that a process has declared its end; returns whether the current process accepts no more calls
+    /// from now on.
     pub fn deregister(&mut self, process: &Process) -> bool {
         let current = self.current.as_ref().map(|(now, _)| now);
         let same = current.filter(|now| now.instance == process.instance);
         match same {
-            // Guards against a farewell that comes late: the next life of its name would go with it.
+            // A late deregistration must not take the next process of the same name out of service.
             Some(now) if now.is_successor_of(process) => false,
             Some(now) if process.is_successor_of(now) => {
                 self.retire_current();
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Whether a life is known to have ended. One without a birth is taken for any of its name; one
-    /// that tells its birth may follow one that did not.
+    /// Whether a process is known to have ended. One without a start time matches any of its name; one with a
+    /// start time may be the successor of one without.
     fn has_ended(&self, process: &Process) -> bool {
         let same_name = self
             .ended
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -1,4 +1,4 @@
-//! Telling members of versions, and of how recent the one in force is.
+//! Propagation of configuration versions and watermarks to other members.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 use crate::settings::Delivery;
 use crate::units::Version;
 
-/// Time in which a version reaches daemons by itself before a reader tells them of it: many times what a
-/// read takes, or the way through the tree.
+/// Time that a version gets to reach daemons by itself before a reader notifies them: many times what a read or
+/// the delivery through the relay tree takes.
 const PROPAGATION_TIME: Duration = Duration::from_millis(200);
 
 impl Membership {
-    /// Tells the other data centres of each version, while reading is this daemon's duty.
+    /// Notifies the other data centres of each version, while this daemon is a reader.
     pub(super) async fn announce_version(&self) {
         let mut versions = self.board().versions();
         while versions.changed().await.is_ok() {
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Tells the own data centre how recent the version in force is, after each read of this daemon.
+    /// Sends the watermark to the local data centre after each read by this daemon.
     pub(super) async fn send_watermark(&self) {
         if self.board().settings.delivery == Delivery::Poll {
-            // Each daemon reads for itself.
+            // With polling, each daemon reads for itself.
             return;
         }
         let mut watermarks = self.board().freshness.subscribe();
@@ -49,7 +49,8 @@
             }
             let version = self.board().digest().version;
             if std::mem::replace(&mut sent, version) != version {
-                // It travels by the tree meanwhile; whom it does not reach hears of it here.
+                // A new version is first delivered through the relay tree; daemons that it does not reach are
+                // notified here.
                 tokio::time::sleep(PROPAGATION_TIME).await;
             }
             let sends = {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Asks a few members what they have in force and how recent that is.
+    /// Probes a few members, whose responses carry their active configuration and watermark.
     pub async fn query_peers(&self) {
         let sends = {
             let mut guard = self.state();
@@ -72,7 +73,7 @@
         self.send(sends).await;
     }
 
-    /// Takes over a watermark, unless its sender has something newer in force, which has to be fetched first.
+    /// Adopts a watermark, unless its sender has a newer version active, which has to be fetched first.
     pub(super) fn note_watermark(&self, datagram: &Datagram) {
         if datagram.digest.version > self.board().digest().version {
             return;
