--- a/tests/member_count.rs
+++ b/tests/member_count.rs
@@ -8,17 +8,17 @@
 /// a line at every daemon, 300 in the first second; now there is a line a second at most, and the last
 /// number is always said.
 #[test]
-fn storms_are_summed_up() {
+fn count_changes_are_rate_limited() {
     let start = Instant::now();
-    let mut census = Throttle::default();
+    let mut throttle = Throttle::default();
     let mut lines = Vec::new();
     let changes = (1..=300).chain((200..300).rev()).chain(201..=300);
     for (tick, members) in (0_u64..).zip(changes) {
         let now = start + Duration::from_millis(tick * 4);
-        lines.extend(census.due(now, members).map(|_| (now, members)));
+        lines.extend(throttle.due(now, members).map(|_| (now, members)));
     }
     assert!(lines.len() <= 2, "in two seconds: {lines:?}");
     let later = start + Duration::from_secs(10);
-    assert!(census.due(later, 300).is_some());
-    assert!(census.due(later + Duration::from_secs(10), 300).is_none());
+    assert!(throttle.due(later, 300).is_some());
+    assert!(throttle.due(later + Duration::from_secs(10), 300).is_none());
 }
--- a/tests/membership_view.rs
+++ b/tests/membership_view.rs
@@ -40,8 +40,8 @@
 enum Step {
     Tick(usize),
     Deliver(usize),
-    Repeat(usize),
-    Lose(usize),
+    Duplicate(usize),
+    Drop(usize),
     Pause(u64),
     Restart(usize),
 }
@@ -50,59 +50,59 @@
     prop_oneof![
         10 => (0..COUNT).prop_map(Step::Tick),
         12 => (0_usize..20).prop_map(Step::Deliver),
-        2 => (0_usize..20).prop_map(Step::Repeat),
-        4 => (0_usize..20).prop_map(Step::Lose),
+        2 => (0_usize..20).prop_map(Step::Duplicate),
+        4 => (0_usize..20).prop_map(Step::Drop),
         2 => (1_u64..20).prop_map(Step::Pause),
         1 => (0..COUNT).prop_map(Step::Restart),
     ]
 }
 
 /// Views and the datagrams between them, in any order.
-struct Net {
+struct Network {
     now: Instant,
     rng: SmallRng,
     views: Vec<View>,
-    flying: Vec<Send>,
+    in_flight: Vec<Send>,
 }
 
-impl Net {
+impl Network {
     fn new(seed: u64) -> Self {
         let now = Instant::now();
         let views = (0..COUNT).map(|index| View::new(member(index, 1), Timing::default()));
-        let mut net = Self {
+        let mut network = Self {
             now,
             rng: SmallRng::seed_from_u64(seed),
             views: views.collect(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
         };
-        for view in &mut net.views[1..] {
+        for view in &mut network.views[1..] {
             view.merge(now, &member(0, 1));
         }
-        net
+        network
     }
 
-    fn carry(&mut self, effects: Effects) {
-        self.flying.extend(effects.sends);
-        self.flying.truncate(200);
+    fn enqueue(&mut self, effects: Effects) {
+        self.in_flight.extend(effects.sends);
+        self.in_flight.truncate(200);
     }
 
     fn tick(&mut self, index: usize) {
         self.now += TICK / 5;
         let effects = self.views[index].tick(self.now, &mut self.rng);
-        self.carry(effects);
+        self.enqueue(effects);
     }
 
     fn deliver(&mut self, send: &Send) {
         let receiver = (0..COUNT).find(|&index| address(index) == send.to);
         let effects = self.views[receiver.expect("known")].receive(self.now, &send.datagram);
-        self.carry(effects);
+        self.enqueue(effects);
     }
 
     /// A daemon comes back at its address, knowing nothing, with a clock that was set back.
     fn restart(&mut self, index: usize) {
         let mut view = View::new(member(index, 1), Timing::default());
-        let greeter = (index + 1) % COUNT;
-        for known in self.views[greeter].members() {
+        let seed_peer = (index + 1) % COUNT;
+        for known in self.views[seed_peer].members() {
             view.merge(self.now, &known);
         }
         self.views[index] = view;
@@ -111,16 +111,16 @@
     fn run(&mut self, step: &Step) {
         match *step {
             Step::Tick(index) => self.tick(index),
-            Step::Deliver(place) if !self.flying.is_empty() => {
-                let send = self.flying.remove(place % self.flying.len());
+            Step::Deliver(position) if !self.in_flight.is_empty() => {
+                let send = self.in_flight.remove(position % self.in_flight.len());
                 self.deliver(&send);
             }
-            Step::Repeat(place) if !self.flying.is_empty() => {
-                let send = self.flying[place % self.flying.len()].clone();
+            Step::Duplicate(position) if !self.in_flight.is_empty() => {
+                let send = self.in_flight[position % self.in_flight.len()].clone();
                 self.deliver(&send);
             }
-            Step::Lose(place) if !self.flying.is_empty() => {
-                self.flying.remove(place % self.flying.len());
+            Step::Drop(position) if !self.in_flight.is_empty() => {
+                self.in_flight.remove(position % self.in_flight.len());
             }
             Step::Pause(ticks) => self.now += TICK * u32::try_from(ticks).expect("small"),
             Step::Restart(index) => self.restart(index),
@@ -129,15 +129,15 @@
     }
 
     /// Lets the network be well for a while.
-    fn settle(&mut self) {
+    fn stabilize(&mut self) {
         for _ in 0..600 {
             self.now += TICK;
             for index in 0..COUNT {
                 let effects = self.views[index].tick(self.now, &mut self.rng);
-                self.carry(effects);
+                self.enqueue(effects);
             }
-            while !self.flying.is_empty() {
-                let send = self.flying.remove(0);
+            while !self.in_flight.is_empty() {
+                let send = self.in_flight.remove(0);
                 self.deliver(&send);
             }
         }
@@ -158,26 +158,26 @@
     #![proptest_config(fixed(200))]
 
     #[test]
-    fn views_agree_once_the_network_is_well(
+    fn views_converge_on_a_reliable_network(
         seed: u64,
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let mut net = Net::new(seed);
+        let mut network = Network::new(seed);
         for step in steps {
-            let before = net.incarnations();
-            net.run(&step);
+            let before = network.incarnations();
+            network.run(&step);
             if matches!(step, Step::Restart(_)) {
                 continue;
             }
-            for (old, new) in before.iter().zip(net.incarnations()) {
+            for (old, new) in before.iter().zip(network.incarnations()) {
                 for (peer, incarnation) in old {
                     let now = new.iter().find(|(other, _)| other == peer);
                     prop_assert!(now.is_none_or(|(_, now)| now >= incarnation));
                 }
             }
         }
-        net.settle();
-        for view in &net.views {
+        network.stabilize();
+        for view in &network.views {
             prop_assert_eq!(view.live().count(), COUNT - 1);
             prop_assert!(view.live().all(|member| member.health == Health::Alive));
         }
@@ -187,14 +187,14 @@
 /// A daemon is stopped for ten seconds and continued. All its probes look overdue, so it would
 /// call every healthy member suspect, and the callers' requests would avoid them all.
 #[test]
-fn own_pause_is_not_blamed_on_others() {
-    let mut net = Net::new(1);
-    net.settle();
-    net.now += Duration::from_secs(10);
-    let effects = net.views[0].tick(net.now, &mut net.rng);
+fn own_pause_suspects_nobody() {
+    let mut network = Network::new(1);
+    network.stabilize();
+    network.now += Duration::from_secs(10);
+    let effects = network.views[0].tick(network.now, &mut network.rng);
     assert!(!effects.changed);
     assert!(
-        net.views[0]
+        network.views[0]
             .live()
             .all(|member| member.health == Health::Alive)
     );
@@ -203,63 +203,70 @@
 /// Two data centres part for longer than it takes to call the other side gone. When the link is
 /// back nobody would probe the gone ones, and the split would last for ever.
 #[test]
-fn split_heals_by_itself() {
-    let mut net = Net::new(2);
-    net.settle();
+fn partition_heals() {
+    let mut network = Network::new(2);
+    network.stabilize();
     for _ in 0..200 {
-        net.now += TICK;
+        network.now += TICK;
         for index in 0..COUNT {
-            let effects = net.views[index].tick(net.now, &mut net.rng);
-            net.carry(effects);
+            let effects = network.views[index].tick(network.now, &mut network.rng);
+            network.enqueue(effects);
         }
-        let flying = std::mem::take(&mut net.flying);
-        for send in flying {
+        let in_flight = std::mem::take(&mut network.in_flight);
+        for send in in_flight {
             let side = |peer: SocketAddr| peer.port() < 7_002;
             if side(send.to) == side(send.datagram.from.peer) {
-                net.deliver(&send);
+                network.deliver(&send);
             }
         }
     }
-    assert!(net.views[0].live().count() < COUNT - 1, "the cut was seen");
-    net.settle();
     assert!(
-        net.views
+        network.views[0].live().count() < COUNT - 1,
+        "the cut was seen"
+    );
+    network.stabilize();
+    assert!(
+        network
+            .views
             .iter()
             .all(|view| view.live().count() == COUNT - 1)
     );
 }
 
 #[test]
-fn newer_version_is_noticed() {
-    let mut net = Net::new(3);
-    net.settle();
-    net.views[1].set_digest(Digest {
+fn newer_version_is_reported() {
+    let mut network = Network::new(3);
+    network.stabilize();
+    network.views[1].set_digest(Digest {
         version: Version(9),
         hash: 1,
     });
-    let effects = net.views[1].tick(net.now + TICK * 10, &mut net.rng);
+    let effects = network.views[1].tick(network.now + TICK * 10, &mut network.rng);
     let probe = effects.sends.first().expect("a probe");
     let receiver = (0..COUNT)
         .find(|&index| address(index) == probe.to)
         .expect("known");
-    let effects = net.views[receiver].receive(net.now, &probe.datagram);
+    let effects = network.views[receiver].receive(network.now, &probe.datagram);
     assert_eq!(effects.newer_config_at, Some(address(1)));
-    assert_eq!(net.views[receiver].highest_version(address(1)), Version(9));
+    assert_eq!(
+        network.views[receiver].highest_version(address(1)),
+        Version(9)
+    );
 }
 
 #[test]
-fn leaver_is_gone_at_once() {
-    let mut net = Net::new(4);
-    net.settle();
-    let sends = net.views[0].leave(Health::Left, &mut net.rng);
+fn leaver_is_dropped_at_once() {
+    let mut network = Network::new(4);
+    network.stabilize();
+    let sends = network.views[0].leave(Health::Left, &mut network.rng);
     assert!(!sends.is_empty());
     for send in sends {
         let receiver = (0..COUNT)
             .find(|&index| address(index) == send.to)
             .expect("known");
-        net.views[receiver].receive(net.now, &send.datagram);
+        network.views[receiver].receive(network.now, &send.datagram);
         assert!(
-            net.views[receiver]
+            network.views[receiver]
                 .live()
                 .all(|member| member.peer != address(0))
         );
@@ -267,9 +274,9 @@
 }
 
 /// A data centre of two hundred comes back and fills the news of every datagram for minutes. A
-/// death meanwhile must be told in the next one, or callers are sent to a dead host for as long.
+/// death meanwhile must be receivers in the next one, or callers are sent to a gone host for as long.
 #[test]
-fn latest_news_goes_first() {
+fn latest_update_is_sent_first() {
     let now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(5);
     let mut view = View::new(member(0, 1), Timing::default());
@@ -279,40 +286,48 @@
     for step in 1..20 {
         view.tick(now + TICK * 6 * step, &mut rng);
     }
-    let mut dead = member(199, 1);
-    dead.health = Health::Gone;
-    view.merge(now, &dead);
+    let mut gone = member(199, 1);
+    gone.health = Health::Gone;
+    view.merge(now, &gone);
     let effects = view.tick(now + TICK * 200, &mut rng);
-    let told = |send: &Send| send.datagram.updates.contains(&dead);
-    assert!(effects.sends.iter().any(told), "{:?}", effects.sends.len());
+    let has_update = |send: &Send| send.datagram.updates.contains(&gone);
+    assert!(
+        effects.sends.iter().any(has_update),
+        "{:?}",
+        effects.sends.len()
+    );
 }
 
-/// The platform's list of daemons is away when a daemon that was stopped as planned starts again,
+/// The platform's list of daemons is remote when a daemon that was stopped as planned starts again,
 /// so it knows nobody. Unless the others look for it, its callers are refused until the list is
 /// back.
 #[test]
-fn returning_leaver_is_met() {
-    let mut net = Net::new(6);
-    net.settle();
-    let sends = net.views[0].leave(Health::Left, &mut net.rng);
-    net.carry(Effects {
+fn restarted_leaver_is_found() {
+    let mut network = Network::new(6);
+    network.stabilize();
+    let sends = network.views[0].leave(Health::Left, &mut network.rng);
+    network.enqueue(Effects {
         sends,
         ..Effects::default()
     });
-    net.settle();
-    net.views[0] = View::new(member(0, 1_000), Timing::default());
-    net.settle();
-    assert_eq!(net.views[0].live().count(), COUNT - 1);
-    assert!(net.views[1].live().any(|member| member.peer == address(0)));
+    network.stabilize();
+    network.views[0] = View::new(member(0, 1_000), Timing::default());
+    network.stabilize();
+    assert_eq!(network.views[0].live().count(), COUNT - 1);
+    assert!(
+        network.views[1]
+            .live()
+            .any(|member| member.peer == address(0))
+    );
 }
 
 /// A fleet of three data centres on a calm day. Probes and their news go to every member alike, and
 /// two thirds of their bytes, which grow with the fleet, pass between data centres and are paid for.
 #[test]
-fn probes_stay_near() {
-    let (home, away) = (DataCentre::from("eros"), DataCentre::from("olympia"));
+fn probes_are_mostly_local() {
+    let (local, remote) = (DataCentre::from("eros"), DataCentre::from("olympia"));
     let at = |index: usize| {
-        let data_centre = if index < 4 { &home } else { &away };
+        let data_centre = if index < 4 { &local } else { &remote };
         Member {
             data_centre: data_centre.clone(),
             ..member(index, 1)
@@ -338,38 +353,41 @@
             view.receive(now, &answer[0].datagram);
         }
     }
-    let far: usize = probed[4..].iter().sum();
-    assert!(far * 100 <= 30 * probed.iter().sum::<usize>(), "{probed:?}");
+    let remote_count: usize = probed[4..].iter().sum();
+    assert!(
+        remote_count * 100 <= 30 * probed.iter().sum::<usize>(),
+        "{probed:?}"
+    );
     assert!(probed[1..].iter().all(|count| *count > 0), "{probed:?}");
 }
 
 /// A daemon that is alone in its data centre has nobody beside it. It has to probe the others all
 /// the same, or it would never notice that one of them is gone.
 #[test]
-fn lonely_one_probes_the_others() {
+fn single_local_member_probes_remote_ones() {
     let now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut view = View::new(member(0, 1), Timing::default());
-    let far = Member {
+    let remote = Member {
         data_centre: DataCentre::from("olympia"),
         ..member(1, 1)
     };
-    view.merge(now, &far);
+    view.merge(now, &remote);
     let effects = view.tick(now, &mut rng);
-    assert!(effects.sends.iter().any(|send| send.to == far.peer));
+    assert!(effects.sends.iter().any(|send| send.to == remote.peer));
 }
 
 /// Guards against watermarks that cross to other data centres after each read.
 #[test]
-fn vouch_stays_near() {
+fn watermarks_stay_local() {
     let now = Instant::now();
     let mut view = View::new(member(0, 1), Timing::default());
-    let far = Member {
+    let remote = Member {
         data_centre: DataCentre::from("olympia"),
         ..member(2, 1)
     };
     view.merge(now, &member(1, 1));
-    view.merge(now, &far);
+    view.merge(now, &remote);
     let watermark = Report {
         age: Millis(5),
         next: Position {
@@ -379,7 +397,7 @@
     };
     view.set_watermark(Some(watermark));
     let sends = view.send_watermark();
-    let told: Vec<SocketAddr> = sends.iter().map(|send| send.to).collect();
-    assert_eq!(told, [address(1)]);
+    let receivers: Vec<SocketAddr> = sends.iter().map(|send| send.to).collect();
+    assert_eq!(receivers, [address(1)]);
     assert_eq!(sends[0].datagram.watermark, Some(watermark));
 }
