--- a/tests/member_count.rs
+++ b/tests/member_count.rs
@@ -1,12 +1,12 @@
-//! Lines about the number of members.
+//! Rate limit of log lines with the number of members.
 
 use std::time::{Duration, Instant};
 
 use jackdawpulley::membership::member_count::Throttle;
 
-/// Three hundred daemons start within a second, later a third of them restart in turn. Each change was
-/// a line at every daemon, 300 in the first second; now there is a line a second at most, and the last
-/// number is always said.
+/// Guards against a log line for each change: when three hundred daemons start within a second, every daemon would
+/// log 300 lines; later a third of them restart in turn. At most one line a second is logged, and always the last
+/// number.
 #[test]
 fn count_changes_are_rate_limited() {
     let start = Instant::now();
--- a/tests/membership_view.rs
+++ b/tests/membership_view.rs
@@ -57,7 +57,7 @@
     ]
 }
 
-/// Views and the datagrams between them, in any order.
+/// Views and the datagrams in flight between them, which may be reordered, duplicated and dropped.
 struct Network {
     now: Instant,
     rng: SmallRng,
@@ -98,7 +98,7 @@
         self.enqueue(effects);
     }
 
-    /// A daemon comes back at its address, knowing nothing, with a clock that was set back.
+    /// Restarts a daemon at its address without any state, and with a clock that was set back.
     fn restart(&mut self, index: usize) {
         let mut view = View::new(member(index, 1), Timing::default());
         let seed_peer = (index + 1) % COUNT;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Lets the network be well for a while.
+    /// Runs all views for a while and delivers every datagram.
     fn stabilize(&mut self) {
         for _ in 0..600 {
             self.now += TICK;
@@ -184,8 +184,8 @@
     }
 }
 
-/// A daemon is stopped for ten seconds and continued. All its probes look overdue, so it would
-/// call every healthy member suspect, and the callers' requests would avoid them all.
+/// Guards against a daemon that suspects every healthy member, so that requests avoid them all, after it was
+/// paused for ten seconds: all its pending probes then look overdue.
 #[test]
 fn own_pause_suspects_nobody() {
     let mut network = Network::new(1);
@@ -200,8 +200,8 @@
     );
 }
 
-/// Two data centres part for longer than it takes to call the other side gone. When the link is
-/// back nobody would probe the gone ones, and the split would last for ever.
+/// Guards against a partition between two data centres that never heals: it lasts until each side considers the
+/// other one gone, and afterwards nobody would probe the gone members.
 #[test]
 fn partition_heals() {
     let mut network = Network::new(2);
@@ -222,7 +222,7 @@
     }
     assert!(
         network.views[0].live().count() < COUNT - 1,
-        "the cut was seen"
+        "the partition was detected"
     );
     network.stabilize();
     assert!(
@@ -273,8 +273,8 @@
     }
 }
 
-/// A data centre of two hundred comes back and fills the news of every datagram for minutes. A
-/// death meanwhile must be receivers in the next one, or callers are sent to a gone host for as long.
+/// Guards against the failure of a member that is propagated minutes late, while callers are sent to a dead host:
+/// a data centre of two hundred comes back, and its updates fill every datagram for minutes.
 #[test]
 fn latest_update_is_sent_first() {
     let now = Instant::now();
@@ -298,9 +298,8 @@
     );
 }
 
-/// The platform's list of daemons is remote when a daemon that was stopped as planned starts again,
-/// so it knows nobody. Unless the others look for it, its callers are refused until the list is
-/// back.
+/// Guards against a daemon that restarts after a planned stop, knows nobody since the list of daemons is
+/// unavailable, and refuses its callers until the list is back: the other daemons have to probe it.
 #[test]
 fn restarted_leaver_is_found() {
     let mut network = Network::new(6);
@@ -321,8 +320,8 @@
     );
 }
 
-/// A fleet of three data centres on a calm day. Probes and their news go to every member alike, and
-/// two thirds of their bytes, which grow with the fleet, pass between data centres and are paid for.
+/// Guards against probes that go to all members alike: in a fleet of three data centres, two thirds of their
+/// bytes, which grow with the fleet, would pass between data centres and be paid for.
 #[test]
 fn probes_are_mostly_local() {
     let (local, remote) = (DataCentre::from("eros"), DataCentre::from("olympia"));
@@ -346,7 +345,7 @@
         for send in effects.sends {
             let index = (0..12).find(|index| address(*index) == send.to);
             probed[index.expect("known")] += 1;
-            // Everybody answers, so that nobody is suspected.
+            // All members respond, so that none is suspected.
             let answer = View::new(at(index.expect("known")), Timing::default())
                 .receive(now, &send.datagram)
                 .sends;
@@ -361,8 +360,8 @@
     assert!(probed[1..].iter().all(|count| *count > 0), "{probed:?}");
 }
 
-/// A daemon that is alone in its data centre has nobody beside it. It has to probe the others all
-/// the same, or it would never notice that one of them is gone.
+/// Guards against a daemon that never notices that a member is gone, since it is the only one in its data centre
+/// and probes no remote members.
 #[test]
 fn single_local_member_probes_remote_ones() {
     let now = Instant::now();
@@ -377,7 +376,7 @@
     assert!(effects.sends.iter().any(|send| send.to == remote.peer));
 }
 
-/// Guards against watermarks that cross to other data centres after each read.
+/// Guards against watermarks that are sent to other data centres after each read.
 #[test]
 fn watermarks_stay_local() {
     let now = Instant::now();
--- a/tests/target_processes.rs
+++ b/tests/target_processes.rs
@@ -1,4 +1,4 @@
-//! Which announcements of a target's processes are believed.
+//! Order of the announcements of a target's processes.
 
 use jackdawpulley::membership::target::{Process, Processes, Recency};
 use jackdawpulley::units::StartTime;
@@ -8,8 +8,8 @@
     Process::new("a", Some(StartTime(start_time)))
 }
 
-/// A daemon that starts beside a target learns its name from its health check, not its birth. The
-/// first heartbeat, whatever its count, is of that process.
+/// A daemon that starts beside a target learns its instance name from its health check, but not its start time.
+/// The first heartbeat, whatever its sequence number, is of that process.
 #[test]
 fn start_time_is_learnt() {
     let mut processes = Processes::default();
@@ -22,7 +22,7 @@
     );
 }
 
-/// A target that did not tell its birth says good-bye; the next process of its name tells one.
+/// A target that reported no start time deregisters; the next process of its name reports one.
 #[test]
 fn process_without_start_time_ends() {
     let mut processes = Processes::default();
@@ -35,7 +35,7 @@
     assert_eq!(processes.observe(&process(5), 1), Recency::New);
 }
 
-/// A process whose deregisters was heard before any heartbeat of it does not come in later.
+/// A process whose deregistration arrives before any heartbeat of it is not accepted later.
 #[test]
 fn deregistration_may_come_first() {
     let mut processes = Processes::default();
@@ -50,8 +50,8 @@
 }
 
 proptest! {
-    /// However heartbeats and farewells of the processes of one name are mixed, what is current never
-    /// goes back to an earlier process, and a process that said good-bye takes no calls again.
+    /// In whatever order heartbeats and deregistrations of the processes of one name arrive, an earlier process
+    /// never becomes current again, and one that has deregistered accepts no calls again.
     #[test]
     fn ended_process_never_returns(announcements in prop::collection::vec((0_u64..6, 1_u64..5, any::<bool>()), 1..60)) {
         let mut processes = Processes::default();
