--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -118,7 +118,7 @@
     }
 
     async fn attempt(&self, upstream: &Arc<Upstream>, attempt: Attempt, rule: &Ejection) -> Reply {
-        let in_flight = upstream.begin();
+        let in_flight = upstream.track_request();
         let left = attempt.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Reply::Failed(Reason::Expired);
@@ -150,7 +150,7 @@
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
             let ejected = upstreams.iter().filter(|other| other.ejected(now)).count();
-            upstream.failed(now, rule, ejected, upstreams.len());
+            upstream.record_failure(now, rule, ejected, upstreams.len());
         }
         match reply {
             Reply::Answered(response) => {
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -132,7 +132,11 @@
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.record(&metadata.route, &metadata.caller_service, &roster.fleet)
+        origins.record(
+            &metadata.route,
+            &metadata.caller_service,
+            &roster.host_counts,
+        )
     }
 
     fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -26,12 +26,12 @@
 use crate::error::{ListenSnafu, Result};
 use crate::extension::{Extension, Face, Handles};
 use crate::idempotency::guard::Keys;
-use crate::membership::announce::Desk;
+use crate::membership::announce::Endpoint;
 use crate::membership::contacts::Contacts;
-use crate::membership::greeting::Greeting;
+use crate::membership::controller::Membership;
 use crate::membership::join::Joiner;
+use crate::membership::join_client::JoinClient;
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
 use crate::membership::refresh::Refresher;
 use crate::operation::operator::Operator;
 use crate::peer::Links;
@@ -41,11 +41,10 @@
 use crate::rollout::controller::Controller;
 use crate::settings::Settings;
 use crate::stop::Stopping;
+pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
 use crate::telemetry;
 use crate::units::{Era, Millis};
 
-pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
-
 /// Exit status when the daemon failed.
 pub const EXIT_FAILED: u8 = 1;
 /// Exit status when the settings are wrong.
@@ -172,14 +171,14 @@
         log.clone(),
     );
     let operator = operator(&board, publisher, &gate, &keys);
-    let desk = Arc::new(Desk::new(Arc::clone(&board), Arc::clone(&membership)));
+    let desk = Arc::new(Endpoint::new(Arc::clone(&board), Arc::clone(&membership)));
     let contacts = Contacts {
         board: Arc::clone(&board),
         log,
         links: Arc::clone(&links),
         membership: Arc::clone(&membership),
     };
-    let greeting = Arc::new(Greeting {
+    let greeting = Arc::new(JoinClient {
         board: Arc::clone(&board),
         links,
         membership: Arc::clone(&membership),
@@ -190,12 +189,12 @@
         board: Arc::clone(&board),
         store,
         membership: Arc::clone(&membership),
-        greeting,
+        join_client: greeting,
         reader: Arc::clone(&reader),
         contacts,
         origin: origin.clone(),
         archive: archive.clone(),
-        desk: Arc::clone(&desk),
+        endpoint: Arc::clone(&desk),
     };
     let entry = Arc::new(Ingress::new(Arc::clone(&board), gate));
     let refresher = Refresher::new(&board, &membership, &reader);
@@ -297,13 +296,13 @@
 /// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
 async fn serve_faces(
     board: &Arc<Board>,
-    desk: &Arc<Desk>,
+    desk: &Arc<Endpoint>,
     operator: Arc<Operator>,
     faces: Vec<Face>,
 ) -> Result<()> {
     let handles = Handles {
         board: Arc::clone(board),
-        desk: Arc::clone(desk),
+        endpoint: Arc::clone(desk),
     };
     let mut routers = vec![
         (board.settings.operator_addr, operator.router()),
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -1,8 +1,7 @@
-//! The face towards the co-located target: it announces itself, renews and leaves.
+//! Endpoint for the co-located target, through which it announces itself, renews its lease and leaves.
 //!
-//! `POST /announce` with an [`Announcement`] starts or renews a lease; `POST /leave` ends it. The
-//! lease is a hint for liveness: when it lapses the target gets no new work, and what is in flight
-//! is left alone.
+//! `POST /announce` with an [`Announcement`] starts or renews a lease; `POST /leave` ends it. The lease is a
+//! hint about liveness: when it expires, the target gets no new requests, and those in flight are left alone.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,31 +18,32 @@
 use crate::board::{Board, Target};
 use crate::calls::dispatch::Dispatcher;
 use crate::clock;
+use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
-use crate::membership::target::{Beat, Life, Lives, Standing};
+use crate::membership::target::{Process, Processes, Recency, Renewal};
 use crate::quarantine::inspect::{Inspector, lock};
-use crate::units::{Birth, Instance, Millis, Revision, Service, Slots, Version};
+use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime, Version};
 
 /// Longest lease, in milliseconds.
 pub const MAX_LEASE_MS: u64 = 60_000;
-/// Time by which a birth may lie ahead of this host's clock, in milliseconds: clocks differ by
-/// seconds at most.
-const MAX_AHEAD_MS: u64 = 60_000;
-/// Longest name of a revision, in bytes: it travels with each target's entry.
-pub const MAX_REVISION: usize = 64;
+/// Time by which a start time may be ahead of this host's clock, in milliseconds; clocks differ by seconds at
+/// most.
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
+/// Longest name of a revision, in bytes; it is sent with each target's membership entry.
+pub const MAX_REVISION_BYTES: usize = 64;
 /// Largest announcement, in bytes.
-const MAX_BODY: usize = 4_096;
-/// Time for a target to tell its health; it is on the same host.
-const HEALTH: Duration = Duration::from_millis(400);
-/// Slots of a target that has answered but not announced itself, where no peer remembers them: a
-/// usual size. A target queues or refuses by itself what it can't do, and that is no harm; with a
-/// small guess it would stand half idle after every daemon was killed, for an announcement's time.
-const UNTOLD_SLOTS: Slots = Slots(16);
-/// Lease of such a target: several times the usual time between two announcements.
-const UNTOLD_LEASE: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 4_096;
+/// Time-out of a target's health check, which does not leave the host.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Slots of a target that has passed its health check but not announced itself, if no peer remembers them.
+///
+/// This is a common size. A target queues or refuses the requests that it cannot run, which does no harm. With
+/// a smaller value it would be half idle until its next announcement after all daemons were killed.
+const DEFAULT_SLOTS: Slots = Slots(16);
+/// Lease of such a target: several times the usual interval between two announcements.
+const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 
-/// What a target says of itself.
+/// Announcement of a target, the body of `POST /announce`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
@@ -58,60 +58,63 @@
     /// Version of its software.
     #[serde(default)]
     pub revision: Option<Revision>,
-    /// Time for which it is slow yet after its start.
+    /// Time for which it is still slow after its start.
     #[serde(default)]
     pub cold_ms: Millis,
-    /// When it began, in milliseconds since 1970; with it, a restart is told apart from a renewal.
-    #[serde(default)]
-    pub born: Option<Birth>,
+    /// Start of its process, in milliseconds since 1970; distinguishes a restart from a renewal.
+    #[serde(default, rename = "born")]
+    pub start_time: Option<StartTime>,
 }
 
 impl Announcement {
-    /// What is wrong with it, with a remedy.
+    /// Describes what is wrong with it, with a remedy.
     #[must_use]
-    pub fn fault(&self) -> Option<&'static str> {
+    pub fn problem(&self) -> Option<&'static str> {
         if !self.service.is_valid() {
             return Some("service must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
         if self.slots.0 == 0 {
-            return Some("slots is 0; name how many calls run at the same time");
+            return Some("slots is 0; give the number of calls that run at the same time");
         }
         if self.lease_ms.0 == 0 || self.lease_ms.0 > MAX_LEASE_MS {
             return Some("lease_ms must be 1 to 60000; renew at a third of it");
         }
         let revision = self.revision.as_ref().map_or("", Revision::as_str);
-        if revision.len() > MAX_REVISION {
+        if revision.len() > MAX_REVISION_BYTES {
             return Some("revision must have at most 64 bytes");
         }
         if self.cold_ms.0 > MAX_LEASE_MS {
-            return Some("cold_ms must be at most 60000; tell what is left of it");
+            return Some("cold_ms must be at most 60000; give the time that remains");
         }
-        let latest = Birth(clock::unix_ms() + MAX_AHEAD_MS);
-        if self.born.is_some_and(|born| born > latest) {
-            return Some("born lies in the future; tell the time of the start");
+        let latest = StartTime(clock::unix_ms() + MAX_CLOCK_SKEW_MS);
+        if self
+            .start_time
+            .is_some_and(|start_time| start_time > latest)
+        {
+            return Some("born is in the future; give the start time of the process");
         }
         None
     }
 }
 
-/// Serves the co-located target.
+/// HTTP endpoint for the co-located target.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Endpoint {
     board: Arc<Board>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
     inspector: Inspector,
-    lives: Mutex<Lives>,
-    /// When the last target began that has no names for its lives, in milliseconds since 1970; 0 for not told.
-    born_ms: AtomicU64,
+    processes: Mutex<Processes>,
+    /// Latest start time of targets that name no instance, in milliseconds since 1970; 0 if none was reported.
+    latest_start_ms: AtomicU64,
 }
 
-/// Why an announcement was not taken: it contradicts itself, and the text names the remedy.
+/// Reason why an announcement was rejected, with a remedy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Faulty(pub &'static str);
+pub struct Rejection(pub &'static str);
 
-impl Desk {
-    /// A desk that writes the target on `board`.
+impl Endpoint {
+    /// Creates an endpoint that records the target on `board`.
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
         Self {
@@ -119,22 +122,22 @@
             board,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
-            lives: Mutex::default(),
-            born_ms: AtomicU64::new(0),
+            processes: Mutex::default(),
+            latest_start_ms: AtomicU64::new(0),
         }
     }
 
-    /// The routes of this face.
+    /// Routes of this endpoint.
     pub fn router(self: Arc<Self>) -> Router {
         let announcing = Arc::clone(&self);
         let leaving = Arc::clone(&self);
         let announce = move |body: Vec<u8>| {
-            let desk = Arc::clone(&announcing);
-            async move { desk.announce(&body).await }
+            let endpoint = Arc::clone(&announcing);
+            async move { endpoint.announce(&body).await }
         };
         let leave = move || {
-            let desk = Arc::clone(&leaving);
-            async move { desk.leave().await }
+            let endpoint = Arc::clone(&leaving);
+            async move { endpoint.leave().await }
         };
         let stage = move || {
             let stage = self.board.stage().to_string();
@@ -146,141 +149,148 @@
             .route("/stage", get(stage))
     }
 
-    /// Takes an announcement of a target that tells its lives apart.
+    /// Handles an announcement of a target that names its instance.
     ///
     /// # Errors
     ///
-    /// [`Faulty`], and nothing is changed by it.
-    pub async fn beat(&self, beat: Beat) -> Result<(), Faulty> {
+    /// [`Rejection`] if the announcement is invalid; it then changes nothing.
+    pub async fn renew_lease(&self, renewal: Renewal) -> Result<(), Rejection> {
         let announcement = Announcement {
-            service: beat.service.clone(),
-            address: beat.address,
-            slots: beat.slots,
-            lease_ms: beat.lease,
-            revision: beat.revision.clone(),
-            cold_ms: beat.cold,
-            born: beat.life.born,
+            service: renewal.service.clone(),
+            address: renewal.address,
+            slots: renewal.slots,
+            lease_ms: renewal.lease,
+            revision: renewal.revision.clone(),
+            cold_ms: renewal.cold,
+            start_time: renewal.process.start_time,
         };
-        let fault = announcement.fault().or_else(|| self.fault(&beat));
-        if let Some(fault) = fault {
-            return Err(Faulty(fault));
+        let problem = announcement
+            .problem()
+            .or_else(|| self.service_problem(&renewal));
+        if let Some(problem) = problem {
+            return Err(Rejection(problem));
         }
-        let (standing, contested, leaving) = {
-            let mut lives = self.lives();
-            let contested = lives.contest(&beat.life);
-            let standing = lives.hear(&beat.life, beat.sequence);
-            if beat.leaving && matches!(standing, Standing::New | Standing::Current) {
-                lives.leave();
+        let (recency, contested, leaving) = {
+            let mut processes = self.processes();
+            let contested = processes.may_replace_another(&renewal.process);
+            let recency = processes.observe(&renewal.process, renewal.sequence);
+            if renewal.leaving && matches!(recency, Recency::New | Recency::Current) {
+                processes.set_leaving();
             }
-            (standing, contested, lives.leaving())
+            (recency, contested, processes.is_leaving())
         };
-        match standing {
-            Standing::Stale | Standing::Past => {
-                debug!(self.board.logger, "late announcement passed over";
-                    "instance" => %beat.life.instance, "sequence" => beat.sequence);
+        match recency {
+            Recency::Stale | Recency::Ended => {
+                debug!(self.board.logger, "late announcement ignored";
+                    "instance" => %renewal.process.instance, "sequence" => renewal.sequence);
                 return Ok(());
             }
-            Standing::New => {
-                info!(self.board.logger, "target announced"; "service" => %beat.service,
-                    "instance" => %beat.life.instance, "born" => beat.life.born.map(|born| born.0),
-                    "sequence" => beat.sequence,
-                    "revision" => beat.revision.as_ref().map(ToString::to_string),
-                    "slots" => beat.slots.0);
+            Recency::New => {
+                info!(self.board.logger, "target announced"; "service" => %renewal.service,
+                    "instance" => %renewal.process.instance, "born" => renewal.process.start_time.map(|start_time| start_time.0),
+                    "sequence" => renewal.sequence,
+                    "revision" => renewal.revision.as_ref().map(ToString::to_string),
+                    "slots" => renewal.slots.0);
             }
-            Standing::Current => {}
+            Recency::Current => {}
         }
         if leaving {
-            self.close("target leaves", &beat.life.instance).await;
+            self.clear_target("target is leaving", &renewal.process.instance)
+                .await;
             return Ok(());
         }
-        // Two lives have claimed the address, in an order that proves nothing: ask who is there.
-        if standing == Standing::New && contested {
-            let asked = self.ask_health(beat.address, &beat.service).await;
-            if let Some(there) = asked.filter(|there| *there != beat.life.instance) {
-                self.lives().prove(&there);
+        // Two processes have claimed the address, and the order of their announcements proves nothing: the
+        // health check tells which one is running.
+        if recency == Recency::New && contested {
+            let responder = self.check_health(renewal.address, &renewal.service).await;
+            if let Some(responder) =
+                responder.filter(|responder| *responder != renewal.process.instance)
+            {
+                self.processes().confirm(&responder);
                 return Ok(());
             }
         }
         let target = Target {
-            instance: Some(beat.life.instance),
-            born: beat.life.born,
-            address: beat.address,
-            service: beat.service,
-            slots: beat.slots,
-            revision: beat.revision,
-            cold_until: Instant::now() + beat.cold.duration(),
-            lease_until: Instant::now() + beat.lease.duration(),
+            instance: Some(renewal.process.instance),
+            start_time: renewal.process.start_time,
+            address: renewal.address,
+            service: renewal.service,
+            slots: renewal.slots,
+            revision: renewal.revision,
+            cold_until: Instant::now() + renewal.cold.duration(),
+            lease_until: Instant::now() + renewal.lease.duration(),
         };
-        if standing == Standing::New && contested {
+        if recency == Recency::New && contested {
             self.inspector.succeed(&target);
         }
-        self.open(target).await;
+        self.set_target(target).await;
         Ok(())
     }
 
-    /// What contradicts what this daemon knows, with a remedy.
+    /// Describes a mismatch with the configuration, with a remedy.
     ///
-    /// Guards against an announcement that is not the target's: taken for the word of its next life,
-    /// it would put the one that serves out of use until it announces itself again.
-    fn fault(&self, beat: &Beat) -> Option<&'static str> {
+    /// An announcement of an unknown service is not the target's. Accepted as one of its next process, it would
+    /// take the running process out of service until that announces itself again.
+    fn service_problem(&self, renewal: &Renewal) -> Option<&'static str> {
         let config = self.board.config();
         let groups = &config.document.groups;
-        let named = groups.iter().any(|group| group.service == beat.service);
+        let named = groups.iter().any(|group| group.service == renewal.service);
         if config.digest.version != Version(0) && !named {
             return Some("no group names the service; publish one or correct the announcement");
         }
         None
     }
 
-    /// Notes an announcement that could not be read, and why.
-    pub fn unreadable(&self, problem: &str) {
+    /// Records that an announcement was rejected, and why.
+    pub fn record_rejected(&self, problem: &str) {
         metrics::counter!("jackdaw_bad_announcements_total").increment(1);
-        warn!(self.board.logger, "announcement refused"; "problem" => problem);
+        warn!(self.board.logger, "announcement rejected"; "problem" => problem);
     }
 
-    /// Notes that a life of the target ends: it gets no new work.
-    pub async fn deregister(&self, life: &Life) {
-        if self.lives().close(life) {
-            self.close("target ends", &life.instance).await;
+    /// Handles the end of a target process, which gets no new requests.
+    pub async fn deregister(&self, process: &Process) {
+        if self.processes().deregister(process) {
+            self.clear_target("target deregistered", &process.instance)
+                .await;
         }
     }
 
-    /// Looks for the target that the settings name, when it has not announced itself yet.
+    /// Looks for the target that the settings name, if it has not announced itself yet.
     ///
-    /// Guards against a daemon that was killed beside a healthy target: until the next
-    /// announcement the target would stand idle and its share of the work go to the others.
-    pub async fn find_target(&self, slots: Option<Slots>) {
+    /// After a daemon is killed and restarted beside a healthy target, the target would otherwise be idle until
+    /// its next announcement, and its share of the requests would go to the others.
+    pub async fn discover_target(&self, slots: Option<Slots>) {
         let settings = &self.board.settings;
         let (Some(address), Some(service)) = (settings.service_addr, settings.service.clone())
         else {
             return;
         };
-        if !self.lives().is_empty() {
+        if !self.processes().is_empty() {
             return;
         }
-        let Some(instance) = self.ask_health(address, &service).await else {
+        let Some(instance) = self.check_health(address, &service).await else {
             return;
         };
-        if !self.lives().is_empty() {
+        if !self.processes().is_empty() {
             return;
         }
-        self.lives().prove(&instance);
+        self.processes().confirm(&instance);
         info!(self.board.logger, "target found"; "instance" => %instance, "slots" => ?slots);
-        self.open(Target {
+        self.set_target(Target {
             instance: Some(instance),
-            born: None,
+            start_time: None,
             address,
             service,
-            slots: slots.unwrap_or(UNTOLD_SLOTS),
+            slots: slots.unwrap_or(DEFAULT_SLOTS),
             revision: None,
             cold_until: Instant::now(),
-            lease_until: Instant::now() + UNTOLD_LEASE,
+            lease_until: Instant::now() + DEFAULT_LEASE,
         })
         .await;
     }
 
-    /// The life that is healthy at `address`, where targets of the service tell it.
-    async fn ask_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
+    /// Returns the instance that is healthy at `address`, if targets of the service report it.
+    async fn check_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         let group = groups.find(|group| group.service == *service)?;
@@ -292,39 +302,44 @@
             .body(Body::empty());
         let request = request.ok()?;
         let asking = self.dispatcher.send(address, request, true);
-        let (response, _lease) = tokio::time::timeout(HEALTH, asking).await.ok()?.ok()?;
+        let (response, _lease) = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, asking)
+            .await
+            .ok()?
+            .ok()?;
         let healthy = response.status().is_success();
         let instance = response.headers().get(name).filter(|_| healthy)?;
         instance.to_str().ok().map(Instance::from)
     }
 
-    async fn open(&self, target: Target) {
-        let life = |target: &Target| (target.instance.clone(), target.born);
+    async fn set_target(&self, target: Target) {
+        let identity = |target: &Target| (target.instance.clone(), target.start_time);
         let before = self.board.target();
-        let same = before.is_some_and(|before| life(&before) == life(&target));
+        let same = before.is_some_and(|before| identity(&before) == identity(&target));
         lock(&self.board.running).open(!same);
         self.board.set_target(Some(target));
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
     }
 
-    async fn close(&self, event: &'static str, instance: &Instance) {
+    async fn clear_target(&self, event: &'static str, instance: &Instance) {
         if self.board.target().is_some() {
             info!(self.board.logger, "{}", event; "instance" => %instance);
         }
         lock(&self.board.running).leave();
         self.board.set_target(None);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
     }
 
-    fn lives(&self) -> MutexGuard<'_, Lives> {
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner)
+    fn processes(&self) -> MutexGuard<'_, Processes> {
+        self.processes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn announce(&self, body: &[u8]) -> (StatusCode, String) {
-        if body.len() > MAX_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return (
                 StatusCode::PAYLOAD_TOO_LARGE,
-                "announce in under 4096 bytes".to_owned(),
+                "the announcement is larger than 4096 bytes".to_owned(),
             );
         }
         let announcement: Announcement = match serde_json::from_slice(body) {
@@ -332,12 +347,12 @@
             Err(error) => {
                 return (
                     StatusCode::BAD_REQUEST,
-                    format!("not an announcement: {error}"),
+                    format!("invalid announcement: {error}"),
                 );
             }
         };
-        if let Some(fault) = announcement.fault() {
-            return (StatusCode::UNPROCESSABLE_ENTITY, fault.to_owned());
+        if let Some(problem) = announcement.problem() {
+            return (StatusCode::UNPROCESSABLE_ENTITY, problem.to_owned());
         }
         if self.board.stage() == Stage::Draining {
             return (
@@ -348,7 +363,7 @@
         let known = self.board.target().is_some();
         let target = Target {
             instance: None,
-            born: announcement.born,
+            start_time: announcement.start_time,
             address: announcement.address,
             service: announcement.service,
             slots: announcement.slots,
@@ -359,27 +374,27 @@
         if !known {
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
-        if self.follows_another(target.born) {
+        if self.replaces_earlier(target.start_time) {
             self.inspector.succeed(&target);
         }
-        self.open(target).await;
+        self.set_target(target).await;
         (StatusCode::OK, "announced".to_owned())
     }
 
-    /// Whether a target that began then follows one that began earlier; notes when it began.
-    fn follows_another(&self, born: Option<Birth>) -> bool {
-        let Some(Birth(born_ms)) = born else {
+    /// Records a start time; returns whether the latest one before was known and earlier.
+    fn replaces_earlier(&self, start_time: Option<StartTime>) -> bool {
+        let Some(StartTime(start_ms)) = start_time else {
             return false;
         };
-        let before_ms = self.born_ms.fetch_max(born_ms, Ordering::AcqRel);
-        before_ms != 0 && before_ms < born_ms
+        let previous_ms = self.latest_start_ms.fetch_max(start_ms, Ordering::AcqRel);
+        previous_ms != 0 && previous_ms < start_ms
     }
 
     async fn leave(&self) -> (StatusCode, String) {
         info!(self.board.logger, "target left");
         lock(&self.board.running).leave();
         self.board.set_target(None);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         (StatusCode::OK, "left".to_owned())
     }
 }
--- /dev/null
+++ b/src/membership/registration.rs
@@ -0,0 +1,128 @@
+//! Registration of a daemon in the control plane's list of daemons.
+//!
+//! A starting daemon needs a handful of contacts, from which it learns of the other members. Daemons therefore
+//! list themselves only until enough of them are listed, so that the load of a start on the control plane does
+//! not grow with the fleet.
+
+use std::sync::Arc;
+
+use crate::board::Board;
+use crate::clock;
+use crate::configuration::origin::{Contact, Directory, Origin};
+use crate::error::Result;
+use crate::membership::seeds::Peers;
+use crate::units::Millis;
+
+/// Listed daemons with which a list is long enough: many more than a daemon joins through, so that hosts that
+/// fail together are not all of them.
+const MIN_CONTACTS: usize = 16;
+
+/// Quarantine periods after which a quarantine note is deleted from the control plane. One would do if all hosts'
+/// clocks were right.
+const NOTE_EXPIRY_SPANS: u64 = 2;
+
+/// Registration of one daemon.
+#[derive(Debug, Clone)]
+pub struct Registration {
+    board: Arc<Board>,
+    origin: Arc<dyn Origin>,
+}
+
+impl Registration {
+    /// Creates the registration of the daemon of `board` in the list of `origin`.
+    #[must_use]
+    pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
+        Self { board, origin }
+    }
+
+    /// Reads the list, and lists this daemon if too few are listed.
+    ///
+    /// Of any two daemons that list themselves, the later one to be listed reads the other.
+    ///
+    /// # Errors
+    ///
+    /// As [`Origin::directory`] and [`Origin::list`].
+    pub async fn discover(&self) -> Result<Peers> {
+        let contacts = self.read(MIN_CONTACTS).await?;
+        if contacts.len() >= MIN_CONTACTS {
+            return Ok(peers(contacts));
+        }
+        self.register_and_read().await
+    }
+
+    /// Lists this daemon, then reads the whole list.
+    ///
+    /// # Errors
+    ///
+    /// As [`Listing::consult`].
+    pub async fn register_and_read(&self) -> Result<Peers> {
+        self.register().await?;
+        Ok(peers(self.read(usize::MAX).await?))
+    }
+
+    /// Lists this daemon.
+    ///
+    /// # Errors
+    ///
+    /// As [`Origin::list`].
+    pub async fn register(&self) -> Result<()> {
+        // The request may succeed although no response arrives.
+        self.board.set_listed();
+        self.origin.list(&self.contact()).await
+    }
+
+    /// Reads the whole list, and lists this daemon if too few of those listed are members.
+    ///
+    /// # Errors
+    ///
+    /// As [`Listing::consult`].
+    pub async fn maintain(&self) -> Result<Peers> {
+        let contacts = self.read(usize::MAX).await?;
+        let roster = self.board.roster();
+        let live = contacts.iter().filter(|c| roster.member(c.peer).is_some());
+        let too_few = live.count() < MIN_CONTACTS;
+        if too_few && !contacts.contains(&self.contact()) && !self.board.stage().is_stopping() {
+            return self.register_and_read().await;
+        }
+        Ok(peers(contacts))
+    }
+
+    /// Removes this daemon from the list if it may be listed.
+    ///
+    /// # Errors
+    ///
+    /// As [`Origin::unlist`].
+    pub async fn deregister(&self) -> Result<()> {
+        if self.board.is_listed() {
+            self.origin.unlist(&self.contact()).await?;
+        }
+        Ok(())
+    }
+
+    /// Reads the list, and restores the quarantine notes that come with it; deletes those that are outdated.
+    async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
+        let Directory { contacts, notes } = self.origin.directory(enough).await?;
+        let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
+        self.board.quarantine.recall(&notes, now);
+        for (cause, note) in notes {
+            if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
+                // A note that cannot be deleted is read again and has no effect.
+                let _ = self.origin.note(cause, None).await;
+            }
+        }
+        Ok(contacts)
+    }
+
+    fn contact(&self) -> Contact {
+        let settings = &self.board.settings;
+        Contact {
+            peer: settings.identity(),
+            data_centre: settings.data_centre.clone(),
+        }
+    }
+}
+
+fn peers(contacts: Vec<Contact>) -> Peers {
+    let contacts = contacts.into_iter();
+    contacts.map(|c| (c.peer, c.data_centre)).collect()
+}
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,6 +1,6 @@
-//! The members, arranged for the path of a request.
+//! Members and upstreams, arranged for the request path.
 //!
-//! A [`Roster`] is rebuilt whenever the membership view changes. An [`Upstream`] outlives its
+//! A [`Roster`] is immutable and rebuilt whenever the membership view changes. An [`Upstream`] outlives its
 //! roster, so that what was learnt about a target is kept.
 
 use std::net::{IpAddr, SocketAddr};
@@ -15,44 +15,43 @@
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
 use crate::rollout::usual::Usual;
-use crate::units::{Birth, DataCentre, Millis, Revision, Service};
+use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
-/// Bytes in a kilobyte.
-const KB: f64 = 1_024.0;
-/// Greatest age of own requests that is reckoned with, in milliseconds: beyond any time-out.
-const OLDEST_MS: u64 = 5_000;
-/// Size of the heads of a request and its answer between two daemons, in kilobytes.
-const HEADS_KB: f64 = 0.5;
+const BYTES_PER_KB: f64 = 1_024.0;
+/// Limit to the age of own requests, in milliseconds; longer than any time-out.
+const MAX_REQUEST_AGE_MS: u64 = 5_000;
+/// Size of the headers of a request and its response between two daemons, in kilobytes.
+const HEADERS_KB: f64 = 0.5;
 
 /// All members, sorted by address, and the upstreams of each service.
 #[derive(Debug, Default)]
 pub struct Roster {
     /// Members that are not gone, this daemon included.
     pub members: Vec<Member>,
-    /// Members that are thought to be gone and not yet forgotten.
+    /// Members that count as gone and have not been dropped yet.
     pub gone: Vec<Departed>,
-    /// Hosts of each service, sorted by it, whether their targets take calls or not.
-    pub fleet: Vec<(Service, usize)>,
+    /// Number of hosts of each service, sorted by service, whether or not their targets accept calls.
+    pub host_counts: Vec<(Service, usize)>,
     pools: Vec<Pool>,
-    /// Revisions that get requests without an order.
-    pub usual: Usual,
+    /// Stable revision of each service.
+    pub stable_revisions: Usual,
 }
 
-/// A member that is thought to be gone.
+/// A member that counts as gone.
 #[derive(Debug, Clone)]
 pub struct Departed {
     /// Its last entry.
     pub member: Member,
-    /// When it went.
+    /// When it was found to be gone.
     pub since: Instant,
 }
 
-/// Where this daemon is.
+/// Location of this daemon.
 #[derive(Debug, Clone)]
-pub struct Home {
+pub struct Location {
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Address that its connections leave from.
+    /// Local address of its connections to peers.
     pub address: IpAddr,
 }
 
@@ -65,7 +64,7 @@
     revisions: Vec<Option<Revision>>,
 }
 
-/// A target that takes calls, reached through its daemon.
+/// A target that accepts calls, reached through its daemon.
 #[derive(Debug)]
 pub struct Upstream {
     /// Address of its daemon.
@@ -74,30 +73,30 @@
     pub local: bool,
     /// Connection for calls.
     pub link: Link,
-    /// Start of the target's life in Unix milliseconds; 0 while it is not known.
-    born: AtomicU64,
+    /// Start of the target's process in Unix milliseconds; 0 while it is not known.
+    start_ms: AtomicU64,
     slots: AtomicU32,
-    came: Instant,
+    first_seen: Instant,
     suspect: AtomicBool,
-    own: AtomicU32,
-    /// Times at which own requests were sent, in milliseconds since it came, as their sum.
-    sent_ms: AtomicU64,
-    reported: AtomicU32,
-    /// Held for a few instructions, as the evidence is.
-    pace: Mutex<Profile>,
-    /// Held for a few instructions, by the path of a request alone.
-    evidence: Mutex<Detector>,
+    own_requests: AtomicU32,
+    /// Sum of the times at which own outstanding requests were sent, in milliseconds since `first_seen`.
+    sent_sum_ms: AtomicU64,
+    reported_load: AtomicU32,
+    /// Locked for a few instructions, like the detector.
+    latency: Mutex<Profile>,
+    /// Locked for a few instructions, by the request path and the state dump.
+    detector: Mutex<Detector>,
 }
 
 impl Roster {
-    /// Arranges `members`, keeping the upstreams of the `old` roster; what is `usual` goes on being so.
+    /// Builds a roster of `members`, keeping the upstreams of the `old` one; updates the stable revisions.
     #[must_use]
     pub fn build(
         mut members: Vec<Member>,
         gone: Vec<Departed>,
-        home: &Home,
+        location: &Location,
         old: &Self,
-        mut usual: Usual,
+        mut stable_revisions: Usual,
         now: Instant,
     ) -> Self {
         members.sort_by_key(|member| member.peer);
@@ -111,11 +110,11 @@
                 continue;
             };
             let kept = old.upstream(&offer.service, member.peer);
-            let kept = kept.filter(|upstream| upstream.continues(offer.born));
-            let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, home, now)));
+            let kept = kept.filter(|upstream| upstream.is_same_process(offer.start_time));
+            let upstream = kept.unwrap_or_else(|| Arc::new(Upstream::new(member, location, now)));
             upstream.slots.store(offer.slots.0, Ordering::Relaxed);
-            if let Some(Birth(born)) = offer.born {
-                upstream.born.store(born, Ordering::Relaxed);
+            if let Some(StartTime(start_ms)) = offer.start_time {
+                upstream.start_ms.store(start_ms, Ordering::Relaxed);
             }
             upstream
                 .suspect
@@ -139,17 +138,17 @@
             }
         }
         for pool in &pools {
-            let told: Vec<&Revision> = pool.revisions.iter().flatten().collect();
-            usual.note(now, &pool.service, &told);
+            let reported: Vec<&Revision> = pool.revisions.iter().flatten().collect();
+            stable_revisions.note(now, &pool.service, &reported);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
-        usual.miss(now, &services);
+        stable_revisions.miss(now, &services);
         Self {
-            fleet: fleet(&members),
+            host_counts: host_counts(&members),
             members,
             gone,
             pools,
-            usual,
+            stable_revisions,
         }
     }
 
@@ -165,11 +164,13 @@
         self.pool(service).map_or(&[], |pool| &pool.revisions)
     }
 
-    /// Whether a target is of the revision that gets the requests without an order.
+    /// Whether a target runs the stable revision of its service, as far as both are known.
     #[must_use]
-    pub fn is_usual(&self, target: &Target, now: Instant) -> bool {
-        let usual = self.usual.get(&target.service, now);
-        usual.is_none() || target.revision.is_none() || target.revision.as_ref() == usual
+    pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
+        let stable_revisions = self.stable_revisions.get(&target.service, now);
+        stable_revisions.is_none()
+            || target.revision.is_none()
+            || target.revision.as_ref() == stable_revisions
     }
 
     fn pool(&self, service: &Service) -> Option<&Pool> {
@@ -179,7 +180,7 @@
     }
 
     /// All upstreams with their services.
-    pub fn all(&self) -> impl Iterator<Item = (&Service, &Arc<Upstream>)> {
+    pub fn all_upstreams(&self) -> impl Iterator<Item = (&Service, &Arc<Upstream>)> {
         self.pools
             .iter()
             .flat_map(|pool| pool.upstreams.iter().map(|u| (&pool.service, u)))
@@ -204,8 +205,8 @@
     }
 }
 
-/// Hosts of each service, sorted by it.
-fn fleet(members: &[Member]) -> Vec<(Service, usize)> {
+/// Number of hosts of each service, sorted by service.
+fn host_counts(members: &[Member]) -> Vec<(Service, usize)> {
     let mut fleet: Vec<(Service, usize)> = Vec::new();
     for offer in members.iter().filter_map(|member| member.offer.as_ref()) {
         match fleet.binary_search_by(|(service, _)| service.cmp(&offer.service)) {
@@ -217,41 +218,41 @@
 }
 
 impl Upstream {
-    fn new(member: &Member, home: &Home, now: Instant) -> Self {
+    fn new(member: &Member, location: &Location, now: Instant) -> Self {
         Self {
             peer: member.peer,
-            local: member.data_centre == home.data_centre,
-            link: Link::new(member.peer, home.address),
-            born: AtomicU64::new(0),
+            local: member.data_centre == location.data_centre,
+            link: Link::new(member.peer, location.address),
+            start_ms: AtomicU64::new(0),
             slots: AtomicU32::new(0),
-            came: now,
+            first_seen: now,
             suspect: AtomicBool::new(false),
-            own: AtomicU32::new(0),
-            sent_ms: AtomicU64::new(0),
-            reported: AtomicU32::new(0),
-            pace: Mutex::new(Profile::new(now)),
-            evidence: Mutex::default(),
+            own_requests: AtomicU32::new(0),
+            sent_sum_ms: AtomicU64::new(0),
+            reported_load: AtomicU32::new(0),
+            latency: Mutex::new(Profile::new(now)),
+            detector: Mutex::default(),
         }
     }
 
-    /// Whether what was learnt still holds for a target that was born then.
+    /// Whether what was learnt also applies to a target process with this start time.
     ///
-    /// Guards against the bad name of a life that has ended: the next one, under the same name at
-    /// the same address, would inherit its pace, its refusals and its ejection.
-    fn continues(&self, born: Option<Birth>) -> bool {
-        let known = self.born.load(Ordering::Relaxed);
-        known == 0 || born.is_none_or(|born| born.0 == known)
+    /// The next process under the same name at the same address must not inherit the latency, refusals and
+    /// ejection of one that has ended.
+    fn is_same_process(&self, start_time: Option<StartTime>) -> bool {
+        let known = self.start_ms.load(Ordering::Relaxed);
+        known == 0 || start_time.is_none_or(|start_time| start_time.0 == known)
     }
 
-    /// What a choice needs to know at `now`.
+    /// Properties at `now` by which an upstream is chosen.
     #[must_use]
     pub fn candidate(&self, group: &Group, now: Instant) -> Candidate {
-        let age = now.saturating_duration_since(self.came);
+        let age = now.saturating_duration_since(self.first_seen);
         let slots = self.slots.load(Ordering::Relaxed);
-        let own = self.own.load(Ordering::Relaxed);
+        let own_requests = self.own_requests.load(Ordering::Relaxed);
         Candidate {
             local: self.local,
-            load: own.max(self.reported.load(Ordering::Relaxed)),
+            load: own_requests.max(self.reported_load.load(Ordering::Relaxed)),
             slots: group.slots.map_or(slots, |bound| slots.min(bound.0)),
             share: pick::slow_start_share(age, group.slow_start_ms.duration()),
             ejected: self.suspect.load(Ordering::Relaxed)
@@ -260,130 +261,134 @@
         }
     }
 
-    /// What it would cost a request of a route at `now`; `far_ms` is the price of each kilobyte
-    /// from another data centre.
+    /// Expected cost of a request of a route at `now`; `far_ms` is the cost of each kilobyte from another data
+    /// centre, in milliseconds.
     #[must_use]
     pub fn cost(&self, group: &Group, typical: &Baseline, far_ms: f64, now: Instant) -> Cost {
         let candidate = self.candidate(group, now);
-        let own = self.underway();
-        let expected = self.pace().expected_ms(now, own, candidate.slots, typical);
-        let way_ms = self.way(typical, far_ms).as_secs_f64() * 1_000.0;
+        let outstanding = self.outstanding();
+        let expected = self
+            .latency()
+            .expected_ms(now, outstanding, candidate.slots, typical);
+        let way_ms = self.transfer_cost(typical, far_ms).as_secs_f64() * 1_000.0;
         Cost {
             ms: expected / candidate.share + way_ms,
             ejected: candidate.ejected,
         }
     }
 
-    /// Price of the way there and back, as a time that a request of a route could wait instead.
+    /// Cost of the transfer there and back, as a time that a request of a route could wait instead.
     #[must_use]
-    pub fn way(&self, typical: &Baseline, far_ms: f64) -> Duration {
+    pub fn transfer_cost(&self, typical: &Baseline, far_ms: f64) -> Duration {
         if self.local {
             return Duration::ZERO;
         }
-        let ms = far_ms * (HEADS_KB + typical.response_bytes / KB);
+        let ms = far_ms * (HEADERS_KB + typical.response_bytes / BYTES_PER_KB);
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
     }
 
-    /// What was learnt of its pace, to read or to add to.
-    pub fn pace(&self) -> MutexGuard<'_, Profile> {
-        self.pace.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Latency statistics, to read or to update.
+    pub fn latency(&self) -> MutexGuard<'_, Profile> {
+        self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether own evidence keeps it out at `now`.
+    /// Whether this daemon's outlier detection ejects it at `now`.
     #[must_use]
     pub fn ejected(&self, now: Instant) -> bool {
-        self.evidence().ejected(now)
+        self.detector().ejected(now)
     }
 
-    /// A copy of the evidence, for the state dump.
+    /// Copy of the outlier detection's state, for the state dump.
     #[must_use]
-    pub fn evidence(&self) -> Detector {
-        *self.evidence.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn detector(&self) -> Detector {
+        *self.detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what its gate reported as in flight.
-    pub fn report(&self, now: Instant, load: u32) {
-        self.reported.store(load, Ordering::Relaxed);
-        let own = self.own.load(Ordering::Relaxed);
-        self.pace().record_load(now, load, own);
+    /// Records the number of requests in flight that its sidecar reported.
+    pub fn record_load(&self, now: Instant, load: u32) {
+        self.reported_load.store(load, Ordering::Relaxed);
+        let own_requests = self.own_requests.load(Ordering::Relaxed);
+        self.latency().record_load(now, load, own_requests);
     }
 
-    /// Load as known here: own requests and the gate's report.
+    /// Load as known to this daemon: own requests, and those that its sidecar reported.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         (
-            self.own.load(Ordering::Relaxed),
-            self.reported.load(Ordering::Relaxed),
+            self.own_requests.load(Ordering::Relaxed),
+            self.reported_load.load(Ordering::Relaxed),
         )
     }
 
-    /// Notes a success.
-    pub fn succeeded(&self) {
-        self.evidence
+    /// Records a success.
+    pub fn record_success(&self) {
+        self.detector
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .record_success();
     }
 
-    /// Notes that it could not be reached.
-    pub fn absent(&self, now: Instant) {
-        let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records that it could not be reached.
+    pub fn record_unavailable(&self, now: Instant) {
+        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.record_unavailable(now);
     }
 
-    /// Notes a failure; `out` of `total` upstreams of its group are ejected.
-    pub fn failed(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
-        let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records a failure; `out` of `total` upstreams of its group are ejected.
+    pub fn record_failure(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
+        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
         evidence.record_failure(now, rule, out, total);
     }
 
     /// Counts an own request until the returned value is dropped.
     #[must_use]
-    pub fn begin(self: &Arc<Self>) -> Own {
-        let sent_ms = Millis::from(self.came.elapsed()).0;
-        self.own.fetch_add(1, Ordering::Relaxed);
-        self.sent_ms.fetch_add(sent_ms, Ordering::Relaxed);
-        Own {
+    pub fn track_request(self: &Arc<Self>) -> RequestGuard {
+        let sent_ms = Millis::from(self.first_seen.elapsed()).0;
+        self.own_requests.fetch_add(1, Ordering::Relaxed);
+        self.sent_sum_ms.fetch_add(sent_ms, Ordering::Relaxed);
+        RequestGuard {
             upstream: Arc::clone(self),
             sent_ms,
         }
     }
 
-    /// Own requests under way there.
+    /// Own requests that are outstanding.
     #[must_use]
-    pub fn underway(&self) -> Outstanding {
-        let count = self.own.load(Ordering::Relaxed);
-        let sum_ms = self.sent_ms.load(Ordering::Relaxed);
+    pub fn outstanding(&self) -> Outstanding {
+        let count = self.own_requests.load(Ordering::Relaxed);
+        let sum_ms = self.sent_sum_ms.load(Ordering::Relaxed);
         let mean_ms = sum_ms.checked_div(u64::from(count));
-        // The two are not read together: a sum that is ahead of its count reads as no age.
+        // The two are not read atomically; a sum that is ahead of its count gives an age of 0.
         let age = mean_ms.map_or(0, |mean_ms| {
-            Millis::from(self.came.elapsed()).0.saturating_sub(mean_ms)
+            Millis::from(self.first_seen.elapsed())
+                .0
+                .saturating_sub(mean_ms)
         });
         Outstanding {
             count,
-            mean_age: Millis(age.min(OLDEST_MS)).duration(),
+            mean_age: Millis(age.min(MAX_REQUEST_AGE_MS)).duration(),
         }
     }
 
-    /// Time since it came.
+    /// Time since it was first seen.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.came)
+        now.saturating_duration_since(self.first_seen)
     }
 }
 
 /// Counts one own request while it exists.
 #[derive(Debug)]
-pub struct Own {
+pub struct RequestGuard {
     upstream: Arc<Upstream>,
     sent_ms: u64,
 }
 
-impl Drop for Own {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.upstream.own.fetch_sub(1, Ordering::Relaxed);
+        self.upstream.own_requests.fetch_sub(1, Ordering::Relaxed);
         self.upstream
-            .sent_ms
+            .sent_sum_ms
             .fetch_sub(self.sent_ms, Ordering::Relaxed);
     }
 }
--- a/src/membership/target.rs
+++ b/src/membership/target.rs
@@ -1,174 +1,176 @@
-//! What a target says of itself, and which of its lives counts.
+//! Processes of a target, and which of their announcements apply.
 //!
-//! A target that starts again is another life at the same address, under another name or under the
-//! same one with a later [`Birth`]. Its announcements can be late by seconds, so one of an earlier
-//! life may arrive when the next one has announced itself: [`Lives`] tells which to believe.
+//! A target that restarts is a new process at the same address, under another instance name or under the same
+//! one with a later [`StartTime`]. Announcements can be delayed by seconds, so one of an earlier process may
+//! arrive after the next process has announced itself: [`Processes`] decides which of them apply.
 //!
-//! Births order the lives of one name only, so a clock that is wrong does no harm between names. A
-//! life whose birth is not known, such as one that has only answered its health check, is taken for
-//! the one that tells its birth under that name. An announcement without a birth, under a name that
-//! has told one, is not that target's.
+//! Start times order only the processes of one name, so a wrong clock does no harm between names. A process
+//! whose start time is not known, such as one that has only passed its health check, is taken for the one that
+//! reports its start time under that name. An announcement without a start time, under a name that has
+//! reported one, is not from that target.
 //!
 //! ```
-//! use jackdawpulley::membership::target::{Life, Lives, Standing};
-//! use jackdawpulley::units::Birth;
+//! use jackdawpulley::membership::target::{Process, Processes, Recency};
+//! use jackdawpulley::units::StartTime;
 //!
-//! let (old, new) = (Life::new("a", Some(Birth(10))), Life::new("a", Some(Birth(20))));
-//! let mut lives = Lives::default();
-//! assert_eq!(lives.hear(&old, 4), Standing::New);
-//! assert_eq!(lives.hear(&new, 1), Standing::New, "it started again under its name");
-//! assert_eq!(lives.hear(&old, 5), Standing::Past, "it was on its way when its sender died");
-//! assert_eq!(lives.hear(&new, 1), Standing::Stale);
+//! let (old, new) = (Process::new("a", Some(StartTime(10))), Process::new("a", Some(StartTime(20))));
+//! let mut processes = Processes::default();
+//! assert_eq!(processes.observe(&old, 4), Recency::New);
+//! assert_eq!(processes.observe(&new, 1), Recency::New, "it restarted under its name");
+//! assert_eq!(processes.observe(&old, 5), Recency::Ended, "it was in flight when its sender died");
+//! assert_eq!(processes.observe(&new, 1), Recency::Stale);
 //! ```
 
 use std::net::SocketAddr;
 
-use crate::units::{Birth, Instance, Millis, Revision, Service, Slots};
+use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime};
 
-/// Lives that are remembered after their end.
-const REMEMBERED: usize = 32;
+/// Ended processes that are remembered.
+const MAX_ENDED: usize = 32;
 
-/// One life of a target, from its start to its end.
+/// One process of a target, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Life {
-    /// Name of the life, which the next one may have as well.
+pub struct Process {
+    /// Instance name, which the next process may reuse.
     pub instance: Instance,
-    /// When it began, where that is known.
-    pub born: Option<Birth>,
+    /// Start time, if known.
+    pub start_time: Option<StartTime>,
 }
 
-impl Life {
-    /// The life of this name that began then.
+impl Process {
+    /// Creates a process with an instance name and, if known, a start time.
     #[must_use]
-    pub fn new(instance: impl Into<Instance>, born: Option<Birth>) -> Self {
+    pub fn new(instance: impl Into<Instance>, start_time: Option<StartTime>) -> Self {
         Self {
             instance: instance.into(),
-            born,
+            start_time,
         }
     }
 
-    /// Whether it has the name of `other` and began later.
+    /// Whether it has the name of `other` and started later.
     #[must_use]
-    pub fn succeeds(&self, other: &Self) -> bool {
+    pub fn is_successor_of(&self, other: &Self) -> bool {
         self.instance == other.instance
-            && matches!((self.born, other.born), (Some(own), Some(others)) if own > others)
+            && matches!((self.start_time, other.start_time), (Some(start), Some(other_start)) if start > other_start)
     }
 }
 
-/// One announcement of a target.
+/// One announcement of a target process, which starts or renews its lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
-    /// The life that announces itself.
-    pub life: Life,
+pub struct Renewal {
+    /// Process that announces itself.
+    pub process: Process,
     /// Service that it belongs to.
     pub service: Service,
     /// Where it takes calls, on this host.
     pub address: SocketAddr,
     /// Calls that it takes at the same time.
     pub slots: Slots,
-    /// Version of its software, where it tells that.
+    /// Version of its software, if reported.
     pub revision: Option<Revision>,
-    /// Time for which it is slow yet after its start.
+    /// Time for which it is still slow after its start.
     pub cold: Millis,
-    /// Whether it is about to end and wants no new calls.
+    /// Whether it is about to end and accepts no new calls.
     pub leaving: bool,
-    /// Orders the announcements of one life.
+    /// Orders the announcements of one process.
     pub sequence: u64,
     /// Time until it has to announce itself again.
     pub lease: Millis,
 }
 
-/// What an announcement is worth.
+/// How an announcement relates to the current process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// The first of a life that was not known: it is the current one from now on.
+pub enum Recency {
+    /// First one of an unknown process, which becomes the current one.
     New,
-    /// The newest of the current life.
+    /// Newest one of the current process.
     Current,
-    /// Of the current life, overtaken by a later one.
+    /// Outdated by a later one of the current process, or without the start time that it has reported.
     Stale,
-    /// Of a life that has ended.
-    Past,
+    /// From a process that has ended.
+    Ended,
 }
 
-/// The lives of the targets at one address.
+/// Processes of the targets at one address.
 #[derive(Debug, Default)]
-pub struct Lives {
-    /// The current life and the highest sequence of its announcements.
-    current: Option<(Life, u64)>,
-    /// Whether the current life has said that it takes no more calls.
+pub struct Processes {
+    /// Current process, with the highest sequence number of its announcements.
+    current: Option<(Process, u64)>,
+    /// Whether the current process has declared that it accepts no more calls.
     leaving: bool,
-    /// Lives that have ended, the last one last; the latest of each name.
-    past: Vec<Life>,
+    /// Ended processes in the order of their ends, the latest of each name.
+    ended: Vec<Process>,
 }
 
-impl Lives {
-    /// Notes an announcement.
-    pub fn hear(&mut self, life: &Life, sequence: u64) -> Standing {
+impl Processes {
+    /// Records an announcement.
+    pub fn observe(&mut self, process: &Process, sequence: u64) -> Recency {
         let same = self.current.as_mut();
-        if let Some((current, last)) = same.filter(|(now, _)| now.instance == life.instance) {
-            if current.succeeds(life) {
-                return Standing::Past;
+        if let Some((current, last)) = same.filter(|(now, _)| now.instance == process.instance) {
+            if current.is_successor_of(process) {
+                return Recency::Ended;
             }
-            // One that announced itself without a birth is not the one that tells its birth.
-            let told_first = current.born.is_none() && life.born.is_some() && *last > 0;
-            if !life.succeeds(current) && !told_first {
-                if current.born.is_some() && life.born.is_none() || sequence <= *last {
-                    return Standing::Stale;
+            // A process that announced itself without a start time is not the one that reports its start time.
+            let announced_without_start_time =
+                current.start_time.is_none() && process.start_time.is_some() && *last > 0;
+            if !process.is_successor_of(current) && !announced_without_start_time {
+                if current.start_time.is_some() && process.start_time.is_none() || sequence <= *last
+                {
+                    return Recency::Stale;
                 }
-                current.born = life.born;
+                current.start_time = process.start_time;
                 *last = sequence;
-                return Standing::Current;
+                return Recency::Current;
             }
-        } else if self.has_ended(life) {
-            return Standing::Past;
+        } else if self.has_ended(process) {
+            return Recency::Ended;
         }
-        self.end();
-        self.current = Some((life.clone(), sequence));
-        Standing::New
+        self.retire_current();
+        self.current = Some((process.clone(), sequence));
+        Recency::New
     }
 
-    /// Whether another life was, or may have been, at the address before `life`: then an
-    /// announcement alone does not prove who is there.
+    /// Whether another process was, or may have been, at the address before `process`; an announcement alone
+    /// then does not prove which one is running.
     #[must_use]
-    pub fn contest(&self, life: &Life) -> bool {
-        let namesake = |past: &Life| past.instance == life.instance;
-        self.current.is_some() || self.past.iter().any(namesake)
+    pub fn may_replace_another(&self, process: &Process) -> bool {
+        let same_name = |ended: &Process| ended.instance == process.instance;
+        self.current.is_some() || self.ended.iter().any(same_name)
     }
 
-    /// Notes which life has answered at the address: better evidence than any announcement.
+    /// Records which instance has responded at the address, which is better evidence than any announcement.
     ///
-    /// Guards against an announcement of a dead life that arrives first after a restart of this
-    /// daemon: the living one would count as ended for good.
-    pub fn prove(&mut self, instance: &Instance) {
-        let namesake = |past: &Life| past.instance == *instance;
-        let known = self.past.iter().position(namesake);
-        let known = known.map(|index| self.past.remove(index));
+    /// After a restart of this daemon, an announcement of a dead process may arrive first. The running process
+    /// would otherwise count as ended for good.
+    pub fn confirm(&mut self, instance: &Instance) {
+        let same_name = |ended: &Process| ended.instance == *instance;
+        let known = self.ended.iter().position(same_name);
+        let known = known.map(|index| self.ended.remove(index));
         if !self.is_current(instance) {
-            self.end();
-            let life = known.unwrap_or_else(|| Life::new(instance.clone(), None));
-            self.current = Some((life, 0));
+            self.retire_current();
+            let process = known.unwrap_or_else(|| Process::new(instance.clone(), None));
+            self.current = Some((process, 0));
         }
     }
 
-    /// Whether any life is current.
+    /// Whether no process is current.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.current.is_none()
     }
 
-    /// Notes that the current life takes no more calls; it never takes that back.
-    pub const fn leave(&mut self) {
+    /// Records that the current process accepts no more calls, which is final.
+    pub const fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Whether the current life takes no more calls.
+    /// Whether the current process accepts no more calls.
     #[must_use]
-    pub const fn leaving(&self) -> bool {
+    pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether the current life has this name.
+    /// Whether the current process has this instance name.
     #[must_use]
     pub fn is_current(&self, instance: &Instance) -> bool {
         self.current
@@ -176,52 +178,58 @@
             .is_some_and(|(now, _)| now.instance == *instance)
     }
 
-    /// Notes that a life ends by its own word; whether it is the current one, which takes no more
-    /// calls from now on.
-    pub fn close(&mut self, life: &Life) -> bool {
+    /// Records that a process has declared its end; returns whether the current process accepts no more calls
+    /// from now on.
+    pub fn deregister(&mut self, process: &Process) -> bool {
         let current = self.current.as_ref().map(|(now, _)| now);
-        let same = current.filter(|now| now.instance == life.instance);
+        let same = current.filter(|now| now.instance == process.instance);
         match same {
-            // Guards against a farewell that comes late: the next life of its name would go with it.
-            Some(now) if now.succeeds(life) => false,
-            Some(now) if life.succeeds(now) => {
-                self.end();
-                self.remember(life.clone());
+            // A late deregistration must not take the next process of the same name out of service.
+            Some(now) if now.is_successor_of(process) => false,
+            Some(now) if process.is_successor_of(now) => {
+                self.retire_current();
+                self.remember(process.clone());
                 true
             }
             Some(_) => {
-                self.leave();
+                self.set_leaving();
                 true
             }
             None => {
-                if !self.has_ended(life) {
-                    self.remember(life.clone());
+                if !self.has_ended(process) {
+                    self.remember(process.clone());
                 }
                 false
             }
         }
     }
 
-    /// Whether a life is known to have ended. One without a birth is taken for any of its name; one
-    /// that tells its birth may follow one that did not.
-    fn has_ended(&self, life: &Life) -> bool {
-        let namesake = self.past.iter().find(|past| past.instance == life.instance);
-        namesake
-            .is_some_and(|past| life.born.is_none() || past.born.is_some() && !life.succeeds(past))
+    /// Whether a process is known to have ended. One without a start time matches any of its name; one with a
+    /// start time may be the successor of one without.
+    fn has_ended(&self, process: &Process) -> bool {
+        let same_name = self
+            .ended
+            .iter()
+            .find(|ended| ended.instance == process.instance);
+        same_name.is_some_and(|ended| {
+            process.start_time.is_none()
+                || ended.start_time.is_some() && !process.is_successor_of(ended)
+        })
     }
 
-    fn end(&mut self) {
-        if let Some((life, _)) = self.current.take() {
-            self.remember(life);
+    fn retire_current(&mut self) {
+        if let Some((process, _)) = self.current.take() {
+            self.remember(process);
         }
         self.leaving = false;
     }
 
-    fn remember(&mut self, life: Life) {
-        self.past.retain(|past| past.instance != life.instance);
-        if self.past.len() == REMEMBERED {
-            self.past.remove(0);
+    fn remember(&mut self, process: Process) {
+        self.ended
+            .retain(|ended| ended.instance != process.instance);
+        if self.ended.len() == MAX_ENDED {
+            self.ended.remove(0);
         }
-        self.past.push(life);
+        self.ended.push(process);
     }
 }
--- a/src/quarantine/keeper.rs
+++ b/src/quarantine/keeper.rs
@@ -8,7 +8,7 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::membership::probe::Membership;
+use crate::membership::controller::Membership;
 use crate::quarantine::archive::Archive;
 use crate::quarantine::evidence::Verdicts;
 use crate::quarantine::fingerprint::Fingerprint;
@@ -53,7 +53,7 @@
             self.board.quarantine.expire();
             let news = self.board.quarantine.take_news();
             if !news.is_empty() {
-                self.membership.pass_on(news).await;
+                self.membership.gossip_crashes(news).await;
             }
             let before = std::mem::replace(&mut verdicts, self.board.quarantine.verdicts());
             self.compare(&before, &verdicts);
