--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -21,8 +21,8 @@
 use crate::calls::stream::{self, Gathered, Held, HeldBack};
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
-use crate::quarantine::inspect::Inspector;
-use crate::quarantine::running::{End, Run};
+use crate::quarantine::detector::Detector;
+use crate::quarantine::running::{Completion, Run};
 use crate::rollout::tally::Outcome;
 use crate::settings::Limits;
 use crate::units::{Millis, Service};
@@ -67,7 +67,7 @@
 pub struct Work {
     board: Arc<Board>,
     dispatcher: Dispatcher,
-    inspector: Inspector,
+    inspector: Detector,
     line: Arc<Line>,
     /// Bodies that come over the link, and those that wait for that.
     bodies: Arc<Line>,
@@ -79,7 +79,7 @@
     pub fn new(board: Arc<Board>) -> Self {
         let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
         Self {
-            inspector: Inspector::new(Arc::clone(&board)),
+            inspector: Detector::new(Arc::clone(&board)),
             board,
             dispatcher,
             line: Arc::default(),
@@ -331,11 +331,11 @@
 
 /// How a run at the target is over. A failure of the target clears no request: it may come before the part of
 /// the work that would have ended the target.
-fn end(result: &Result<Response<Body>, Reason>) -> End {
+fn end(result: &Result<Response<Body>, Reason>) -> Completion {
     match result {
-        Ok(response) if !response.status().is_server_error() => End::Answered,
-        Err(Reason::Broken | Reason::TimedOut) => End::Open,
-        _ => End::Over,
+        Ok(response) if !response.status().is_server_error() => Completion::Answered,
+        Err(Reason::Broken | Reason::TimedOut) => Completion::Unresolved,
+        _ => Completion::Resolved,
     }
 }
 
--- a/src/configuration/origin.rs
+++ b/src/configuration/origin.rs
@@ -14,7 +14,7 @@
 use crate::configuration::document::Document;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::note::Note;
+use crate::quarantine::record::Record;
 use crate::rollout::order::{Notice, Order, Status};
 use crate::units::{DataCentre, Era, Millis, Offset, Version};
 
@@ -66,7 +66,7 @@
     /// Daemons that are listed.
     pub contacts: Vec<Contact>,
     /// Requests in quarantine.
-    pub notes: Vec<(Fingerprint, Note)>,
+    pub notes: Vec<(Fingerprint, Record)>,
 }
 
 /// The platform, as a daemon needs it.
@@ -101,5 +101,9 @@
     fn note_begin<'a>(&'a self, order: &'a Order, begin_ms: u64) -> BoxFuture<'a, Result<u64>>;
 
     /// Notes a request in quarantine, in place of what was noted of it; drops that note without one.
-    fn note<'a>(&'a self, cause: Fingerprint, note: Option<&'a Note>) -> BoxFuture<'a, Result<()>>;
+    fn note<'a>(
+        &'a self,
+        cause: Fingerprint,
+        note: Option<&'a Record>,
+    ) -> BoxFuture<'a, Result<()>>;
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -37,7 +37,7 @@
 use crate::peer::Links;
 use crate::peer::server::Server;
 use crate::quarantine::archive::Archive;
-use crate::quarantine::keeper::Keeper;
+use crate::quarantine::replicator::Replicator;
 use crate::rollout::controller::Controller;
 use crate::settings::Settings;
 use crate::stop::Stopping;
@@ -235,7 +235,7 @@
         tokio::spawn(follow_eras(Arc::clone(board), origin.eras()));
     }
     tokio::spawn(Controller::new(board, membership, origin).run());
-    tokio::spawn(Keeper::new(board, membership, archive).run());
+    tokio::spawn(Replicator::new(board, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -22,7 +22,7 @@
 use crate::membership::member::Stage;
 use crate::membership::probe::Membership;
 use crate::membership::target::{Beat, Life, Lives, Standing};
-use crate::quarantine::inspect::{Inspector, lock};
+use crate::quarantine::detector::{Detector, lock};
 use crate::units::{Birth, Instance, Millis, Revision, Service, Slots, Version};
 
 /// Longest lease, in milliseconds.
@@ -100,7 +100,7 @@
     board: Arc<Board>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
-    inspector: Inspector,
+    inspector: Detector,
     lives: Mutex<Lives>,
     /// When the last target began that has no names for its lives, in milliseconds since 1970; 0 for not told.
     born_ms: AtomicU64,
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
         Self {
-            inspector: Inspector::new(Arc::clone(&board)),
+            inspector: Detector::new(Arc::clone(&board)),
             board,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
@@ -302,7 +302,7 @@
         let life = |target: &Target| (target.instance.clone(), target.born);
         let before = self.board.target();
         let same = before.is_some_and(|before| life(&before) == life(&target));
-        lock(&self.board.running).open(!same);
+        lock(&self.board.running).mark_ready(!same);
         self.board.set_target(Some(target));
         self.membership.reflect().await;
     }
@@ -311,7 +311,7 @@
         if self.board.target().is_some() {
             info!(self.board.logger, "{}", event; "instance" => %instance);
         }
-        lock(&self.board.running).leave();
+        lock(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.reflect().await;
     }
@@ -377,7 +377,7 @@
 
     async fn leave(&self) -> (StatusCode, String) {
         info!(self.board.logger, "target left");
-        lock(&self.board.running).leave();
+        lock(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.reflect().await;
         (StatusCode::OK, "left".to_owned())
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -11,7 +11,7 @@
 use crate::idempotency::guard::Keys;
 use crate::membership::member::{Health, Member, Stage};
 use crate::membership::roster::{Roster, Upstream};
-use crate::quarantine::evidence::Verdicts;
+use crate::quarantine::crash_set::Assessments;
 use crate::rollout::progress::Progress;
 use crate::settings::Settings;
 use crate::telemetry::Reading;
@@ -193,7 +193,7 @@
     offer.revision.clone()
 }
 
-fn quarantined(verdicts: &Verdicts, now: Instant) -> Vec<QuarantineDump> {
+fn quarantined(verdicts: &Assessments, now: Instant) -> Vec<QuarantineDump> {
     let quarantined = verdicts.quarantined().take(MOST);
     quarantined
         .map(|(cause, until)| QuarantineDump {
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -8,7 +8,7 @@
 use crate::configuration::origin::Origin;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::note::Note;
+use crate::quarantine::record::Record;
 use crate::units::{Millis, Offset};
 
 /// Records of the log that a start looks at: each of the requests in quarantine has a few.
@@ -25,11 +25,11 @@
 
 /// One record of the `quarantine` stream.
 #[derive(Debug, Serialize, Deserialize)]
-struct Record {
+struct Entry {
     /// What stays the same when the request is sent again.
     cause: Fingerprint,
     /// What holds of it; nothing once it may run again.
-    note: Option<Note>,
+    note: Option<Record>,
 }
 
 impl Archive {
@@ -38,12 +38,12 @@
     /// # Errors
     ///
     /// As [`Origin::note`] and [`Log::append`].
-    pub async fn note(&self, cause: Fingerprint, note: Option<&Note>) -> Result<()> {
+    pub async fn note(&self, cause: Fingerprint, note: Option<&Record>) -> Result<()> {
         match self {
             Self::Platform(origin) => origin.note(cause, note).await,
             Self::Log(log) => {
                 let note = note.cloned();
-                let record = Record { cause, note };
+                let record = Entry { cause, note };
                 log.append(Stream::Quarantine, &record).await.map(|_| ())
             }
         }
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// As [`Log::read`].
-    pub async fn recall(&self) -> Result<Vec<(Fingerprint, Note)>> {
+    pub async fn recall(&self) -> Result<Vec<(Fingerprint, Record)>> {
         let Self::Log(log) = self else {
             return Ok(Vec::new());
         };
@@ -71,7 +71,7 @@
             next = last.offset.0 + 1;
             for stored in &page.records {
                 // One that can't be read was not written by a daemon of this release.
-                let Ok(Record { cause, note }) = serde_json::from_str(&stored.value) else {
+                let Ok(Entry { cause, note }) = serde_json::from_str(&stored.value) else {
                     continue;
                 };
                 notes.retain(|(known, _)| *known != cause);
--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -9,7 +9,7 @@
 use crate::units::Millis;
 
 /// Requests that one end names at most, so that it fits into a datagram.
-pub const MOST_RUNNING: usize = 128;
+pub const MAX_RUNNING: usize = 128;
 
 /// Name of one end of a target, drawn at random.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     /// An end that has just happened.
     #[must_use]
     pub fn new(id: CrashId, mut running: Vec<Fingerprint>) -> Self {
-        running.truncate(MOST_RUNNING);
+        running.truncate(MAX_RUNNING);
         running.sort_unstable();
         running.dedup();
         Self {
@@ -60,7 +60,7 @@
 
     /// The same end as one told `age` ago, as far as it accuses one request.
     #[must_use]
-    pub fn by(id: CrashId, cause: Fingerprint, age: Millis) -> Self {
+    pub fn with_cause(id: CrashId, cause: Fingerprint, age: Millis) -> Self {
         Self {
             age,
             ..Self::new(id, vec![cause])
@@ -69,7 +69,7 @@
 
     /// Whether a request may have caused it.
     #[must_use]
-    pub fn accuses(&self, fingerprint: Fingerprint) -> bool {
+    pub fn implicates(&self, fingerprint: Fingerprint) -> bool {
         contains(&self.running, fingerprint)
     }
 
@@ -100,7 +100,7 @@
 /// Adds one to a sorted list within its bound; whether it was not there.
 fn insert(list: &mut Vec<Fingerprint>, one: Fingerprint) -> bool {
     match list.binary_search(&one) {
-        Err(index) if list.len() < MOST_RUNNING => {
+        Err(index) if list.len() < MAX_RUNNING => {
             list.insert(index, one);
             true
         }
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/crash_set.rs
@@ -34,53 +34,53 @@
 
 /// Ends of targets at which a request ran that is taken for their cause. One end has as many bystanders as
 /// the target has slots, and one of them may be repeated onto the next target; each end more costs a target.
-pub const ENDS: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 /// Ends after which a request is kept apart from others under the same suspicion: the next end tells which
 /// of them it was.
-const APART: usize = ENDS - 1;
+const ISOLATION_CRASHES: usize = MIN_CRASHES - 1;
 /// Time within which ends count as one moment.
 ///
 /// Guards against many targets that are killed at once, with the same long request under way on several of
 /// them: nothing but the kill connects them. It covers the time that news of an end take, and is shorter
 /// than the time between two attempts of a request that ends its targets.
-pub const MOMENT: Duration = Duration::from_millis(300);
+pub const COINCIDENCE_WINDOW: Duration = Duration::from_millis(300);
 /// Moments that the ends of a cause belong to at least.
-const MOMENTS: usize = 2;
+const MIN_DISTINCT_TIMES: usize = 2;
 /// Ends that are remembered at most, so that memory is bounded: enough for 85 fatal requests at a time.
-pub const MOST_CRASHES: usize = 256;
+pub const MAX_CRASHES: usize = 256;
 
 /// What is held against a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Assessment {
     /// Ends of targets that nothing else explains, at which it ran.
     pub ends: usize,
     /// Until when it must not run, if it is taken for the cause.
     pub until: Option<Instant>,
 }
 
-impl Standing {
+impl Assessment {
     /// Whether it has to run apart from others of which this is true.
     #[must_use]
-    pub const fn apart(&self) -> bool {
-        self.ends >= APART
+    pub const fn must_isolate(&self) -> bool {
+        self.ends >= ISOLATION_CRASHES
     }
 }
 
 /// What is held against each request, for the path of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdicts {
+pub struct Assessments {
     /// Sorted.
-    all: Vec<(Fingerprint, Standing)>,
+    all: Vec<(Fingerprint, Assessment)>,
 }
 
-impl Verdicts {
+impl Assessments {
     /// What is held against one request.
     #[must_use]
-    pub fn of(&self, fingerprint: Fingerprint) -> Standing {
+    pub fn of(&self, fingerprint: Fingerprint) -> Assessment {
         let found = self
             .all
             .binary_search_by_key(&fingerprint, |(known, _)| *known);
-        found.map_or_else(|_| Standing::default(), |index| self.all[index].1)
+        found.map_or_else(|_| Assessment::default(), |index| self.all[index].1)
     }
 
     /// Requests that must not run, with the time at which they may again.
@@ -102,13 +102,13 @@
 /// A union of what was told: merging is commutative, associative and idempotent, so daemons that have heard
 /// the same hold the same. What expires at one a moment earlier is not taken in again there.
 #[derive(Debug)]
-pub struct Evidence {
+pub struct CrashSet {
     /// Sorted by identifier.
     known: Vec<Known>,
     memory: Duration,
 }
 
-impl Evidence {
+impl CrashSet {
     /// No ends yet; each will be remembered for `memory`.
     #[must_use]
     pub const fn new(memory: Duration) -> Self {
@@ -133,7 +133,7 @@
                 };
                 self.known.insert(index, known);
                 self.make_room();
-                self.knows(crash.id)
+                self.contains(crash.id)
             }
         }
     }
@@ -144,7 +144,7 @@
         let crashes = self.known.iter_mut().map(|known| &mut known.crash);
         let meant = crashes.filter(|crash| id.is_none_or(|id| crash.id == id));
         meant
-            .filter(|crash| crash.accuses(fingerprint))
+            .filter(|crash| crash.implicates(fingerprint))
             .map(|crash| {
                 crash.clear(fingerprint);
                 crash.id
@@ -161,17 +161,17 @@
 
     /// Whether an end is remembered.
     #[must_use]
-    pub fn knows(&self, id: CrashId) -> bool {
+    pub fn contains(&self, id: CrashId) -> bool {
         self.find(id).is_ok()
     }
 
     /// The ends at which a request ran that was not answered since, with the time since each.
     #[must_use]
-    pub fn ends_of(&self, fingerprint: Fingerprint, now: Instant) -> Vec<(CrashId, Millis)> {
+    pub fn crashes_of(&self, fingerprint: Fingerprint, now: Instant) -> Vec<(CrashId, Millis)> {
         let accusing = self
             .known
             .iter()
-            .filter(|known| known.crash.accuses(fingerprint));
+            .filter(|known| known.crash.implicates(fingerprint));
         accusing
             .map(|known| (known.crash.id, self.age(known, now)))
             .collect()
@@ -179,7 +179,7 @@
 
     /// What is to be told of some ends, or of all.
     #[must_use]
-    pub fn told(&self, now: Instant, ids: Option<&[CrashId]>) -> Vec<Crash> {
+    pub fn snapshot(&self, now: Instant, ids: Option<&[CrashId]>) -> Vec<Crash> {
         let wanted = |known: &&Known| ids.is_none_or(|ids| ids.contains(&known.crash.id));
         let told = |known: &Known| Crash {
             age: self.age(known, now),
@@ -212,23 +212,28 @@
     /// The request that explains most ends is judged first, and the ends that it explains count against
     /// nobody else: bystanders repeat as well, and meet the cause on more than one target.
     #[must_use]
-    pub fn verdicts(&self) -> Verdicts {
+    pub fn assess(&self) -> Assessments {
         let mut open: Vec<&Known> = self.known.iter().collect();
         let mut all = Vec::new();
         loop {
             let counts = count(&open);
             let Some((cause, ends)) = cause(&open, &counts) else {
-                let standing = |(fingerprint, ends)| (fingerprint, Standing { ends, until: None });
+                let standing =
+                    |(fingerprint, ends)| (fingerprint, Assessment { ends, until: None });
                 all.extend(counts.into_iter().map(standing));
                 break;
             };
             // When too few of its ends will be remembered.
-            let until = times(&open, cause).iter().rev().nth(ENDS - 1).copied();
-            all.push((cause, Standing { ends, until }));
-            open.retain(|known| !known.crash.accuses(cause));
+            let until = times(&open, cause)
+                .iter()
+                .rev()
+                .nth(MIN_CRASHES - 1)
+                .copied();
+            all.push((cause, Assessment { ends, until }));
+            open.retain(|known| !known.crash.implicates(cause));
         }
         all.sort_unstable_by_key(|(fingerprint, _)| *fingerprint);
-        Verdicts { all }
+        Assessments { all }
     }
 
     fn age(&self, known: &Known, now: Instant) -> Millis {
@@ -242,10 +247,10 @@
 
     /// Keeps to the bound: forgets the oldest end that no verdict rests on, else the oldest.
     fn make_room(&mut self) {
-        while self.known.len() > MOST_CRASHES {
-            let verdicts = self.verdicts();
+        while self.known.len() > MAX_CRASHES {
+            let verdicts = self.assess();
             let causes: Vec<Fingerprint> = verdicts.quarantined().map(|(cause, _)| cause).collect();
-            let needed = |known: &Known| causes.iter().any(|cause| known.crash.accuses(*cause));
+            let needed = |known: &Known| causes.iter().any(|cause| known.crash.implicates(*cause));
             let ranked = self.known.iter().enumerate();
             let first = ranked.min_by_key(|(_, known)| (needed(known), known.until));
             let Some((index, _)) = first else {
@@ -258,9 +263,12 @@
 
 /// The request that is taken for the cause of most ends, with their number, if any is.
 fn cause(open: &[&Known], counts: &[(Fingerprint, usize)]) -> Option<(Fingerprint, usize)> {
-    let enough = counts.iter().copied().filter(|(_, ends)| *ends >= ENDS);
+    let enough = counts
+        .iter()
+        .copied()
+        .filter(|(_, ends)| *ends >= MIN_CRASHES);
     let decided = enough
-        .filter(|(one, _)| moments(&times(open, *one)) >= MOMENTS)
+        .filter(|(one, _)| moments(&times(open, *one)) >= MIN_DISTINCT_TIMES)
         .filter(|(one, ends)| !is_matched(open, counts, *one, *ends));
     decided.max_by_key(|(_, ends)| *ends)
 }
@@ -279,14 +287,16 @@
         let found = counts.binary_search_by_key(&other, |(known, _)| *known);
         found.map_or(0, |index| counts[index].1)
     };
-    let accusing = open.iter().filter(|known| known.crash.accuses(one));
+    let accusing = open.iter().filter(|known| known.crash.implicates(one));
     let mut others = accusing.flat_map(|known| known.crash.running.iter());
     others.any(|other| *other != one && ends_of(*other) == ends)
 }
 
 /// When the ends will be forgotten that accuse a request, in the order in which they happened.
 fn times(open: &[&Known], fingerprint: Fingerprint) -> Vec<Instant> {
-    let accusing = open.iter().filter(|known| known.crash.accuses(fingerprint));
+    let accusing = open
+        .iter()
+        .filter(|known| known.crash.implicates(fingerprint));
     let mut times: Vec<Instant> = accusing.map(|known| known.until).collect();
     times.sort_unstable();
     times
@@ -297,7 +307,7 @@
     let mut began = None;
     let mut count = 0;
     for time in times {
-        if began.is_none_or(|began| *time - began >= MOMENT) {
+        if began.is_none_or(|began| *time - began >= COINCIDENCE_WINDOW) {
             began = Some(*time);
             count += 1;
         }
--- a/src/quarantine/inspect.rs
+++ b/src/quarantine/detector.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::quarantine::crash::{Crash, CrashId};
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::running::{End, Run, Running, Ticket};
+use crate::quarantine::running::{Completion, Run, RunId, Running};
 use crate::units::Millis;
 
 /// Time after the first broken connection in which the others that break with it are noticed.
@@ -25,20 +25,20 @@
 
 /// Follows the runs at the target of one gate.
 #[derive(Debug, Clone)]
-pub struct Inspector {
+pub struct Detector {
     board: Arc<Board>,
 }
 
 /// A run that is over when this is dropped, with an unknown fate if nothing else was said.
 #[derive(Debug)]
-pub struct Watched {
-    inspector: Inspector,
+pub struct RunGuard {
+    inspector: Detector,
     fingerprint: Fingerprint,
-    ticket: Ticket,
-    end: End,
+    ticket: RunId,
+    end: Completion,
 }
 
-impl Inspector {
+impl Detector {
     /// An inspector of the target that `board` names.
     #[must_use]
     pub const fn new(board: Arc<Board>) -> Self {
@@ -51,7 +51,7 @@
     ///
     /// [`Reason::Quarantined`] for one under which targets ended, [`Reason::Overloaded`] for one that has
     /// to wait until another under suspicion is done.
-    pub fn begin(&self, run: Run) -> Result<Watched, Reason> {
+    pub fn begin(&self, run: Run) -> Result<RunGuard, Reason> {
         let quarantine = &self.board.quarantine;
         let standing = quarantine.standing(run.fingerprint);
         // Guards against a request that ends each target which runs it, while its caller sends it again and
@@ -63,18 +63,18 @@
         let mut running = self.running();
         // Guards against a bystander that goes from one ending target to the next beside the cause, as
         // both are repeated: with each of them on a target of its own, the next end tells which it is.
-        let apart = |run: &Run| quarantine.standing(run.fingerprint).apart();
-        if standing.apart() && running.under_way().any(apart) {
+        let apart = |run: &Run| quarantine.standing(run.fingerprint).must_isolate();
+        if standing.must_isolate() && running.under_way().any(apart) {
             return Err(Reason::Overloaded);
         }
         let fingerprint = run.fingerprint;
         let ticket = running.begin(run);
         drop(running);
-        Ok(Watched {
+        Ok(RunGuard {
             ticket,
             fingerprint,
             inspector: self.clone(),
-            end: End::Open,
+            end: Completion::Unresolved,
         })
     }
 
@@ -88,7 +88,10 @@
             // At once: a supervisor may have the next life listen within a few milliseconds.
             let mut gone_since = refused_at(target.address).await;
             tokio::time::sleep(SETTLE).await;
-            let together = inspector.running().ended_within(Instant::now(), 2 * SETTLE) > 1;
+            let together = inspector
+                .running()
+                .unresolved_within(Instant::now(), 2 * SETTLE)
+                > 1;
             if gone_since.is_none() && together {
                 // Its connections may have been closed before its listener.
                 gone_since = refused_at(target.address).await;
@@ -110,7 +113,7 @@
         let age = began.map(|began| Duration::from_millis(clock::unix_ms().saturating_sub(began)));
         let now = Instant::now();
         let mut running = self.running();
-        let ended_at = running.ended_at(now, age);
+        let ended_at = running.crash_time(now, age);
         let runs = running.succeed(now, age);
         drop(running);
         if !runs.is_empty() {
@@ -148,17 +151,17 @@
     }
 }
 
-impl Watched {
+impl RunGuard {
     /// Notes how the run is over.
-    pub fn finish(mut self, end: End) {
+    pub fn finish(mut self, end: Completion) {
         self.end = end;
-        if end == End::Answered {
+        if end == Completion::Answered {
             self.inspector.board.quarantine.answered(self.fingerprint);
         }
     }
 }
 
-impl Drop for Watched {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let now = Instant::now();
         self.inspector.running().finish(now, self.ticket, self.end);
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -7,12 +7,12 @@
 //! what is [`shared`]. A [`note`] outlives the daemons.
 
 pub mod crash;
-pub mod evidence;
+pub mod crash_set;
 pub mod fingerprint;
-pub mod note;
+pub mod record;
 pub mod running;
 pub mod shared;
 
 pub(crate) mod archive;
-pub(crate) mod inspect;
-pub(crate) mod keeper;
+pub(crate) mod detector;
+pub(crate) mod replicator;
--- a/src/quarantine/note.rs
+++ b/src/quarantine/record.rs
@@ -24,16 +24,16 @@
 use crate::units::Millis;
 
 /// Ends that are noted at most: the first and the last ones tell as much as all of them.
-const MOST_ENDS: usize = 16;
+const MAX_RECORDED_CRASHES: usize = 16;
 
 /// The ends of targets that put a request into quarantine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct Record {
     /// Each with its time, in Unix milliseconds, the first one first.
     ends: Vec<(CrashId, u64)>,
 }
 
-impl Note {
+impl Record {
     /// A note of ends that happened so long before `now_ms`.
     #[must_use]
     pub fn of(ends: &[(CrashId, Millis)], now_ms: u64) -> Self {
@@ -41,8 +41,8 @@
         let ends = ends.map(|(id, age)| (*id, now_ms.saturating_sub(age.0)));
         let mut ends: Vec<(CrashId, u64)> = ends.collect();
         ends.sort_unstable_by_key(|(_, at_ms)| *at_ms);
-        if ends.len() > MOST_ENDS {
-            ends.drain(MOST_ENDS / 2..ends.len() - MOST_ENDS / 2);
+        if ends.len() > MAX_RECORDED_CRASHES {
+            ends.drain(MAX_RECORDED_CRASHES / 2..ends.len() - MAX_RECORDED_CRASHES / 2);
         }
         Self { ends }
     }
@@ -52,7 +52,7 @@
     pub fn told(&self, cause: Fingerprint, now_ms: u64) -> Vec<Crash> {
         let age = |at_ms: u64| Millis(now_ms.saturating_sub(at_ms));
         let ends = self.ends.iter();
-        ends.map(|(id, at_ms)| Crash::by(*id, cause, age(*at_ms)))
+        ends.map(|(id, at_ms)| Crash::with_cause(*id, cause, age(*at_ms)))
             .collect()
     }
 
@@ -64,7 +64,7 @@
     }
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, (id, at_ms)) in self.ends.iter().enumerate() {
             let comma = if index == 0 { "" } else { "," };
@@ -74,7 +74,7 @@
     }
 }
 
-impl FromStr for Note {
+impl FromStr for Record {
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/src/quarantine/keeper.rs
+++ b/src/quarantine/replicator.rs
@@ -10,9 +10,9 @@
 use crate::clock;
 use crate::membership::probe::Membership;
 use crate::quarantine::archive::Archive;
-use crate::quarantine::evidence::Verdicts;
+use crate::quarantine::crash_set::Assessments;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::note::Note;
+use crate::quarantine::record::Record;
 
 /// Time between two looks for ends that are too long ago: small beside the quarantine.
 const LOOK: Duration = Duration::from_secs(10);
@@ -21,13 +21,13 @@
 
 /// Keeps what one daemon knows in step with the others and the platform.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct Replicator {
     board: Arc<Board>,
     membership: Arc<Membership>,
     archive: Archive,
 }
 
-impl Keeper {
+impl Replicator {
     /// A keeper of what `board` knows, which has `archive` keep notes.
     #[must_use]
     pub fn new(board: &Arc<Board>, membership: &Arc<Membership>, archive: Archive) -> Self {
@@ -42,7 +42,7 @@
     pub async fn run(self) {
         let mut changes = self.board.quarantine.changes();
         let mut eras = self.board.eras();
-        let mut verdicts: Arc<Verdicts> = Arc::default();
+        let mut verdicts: Arc<Assessments> = Arc::default();
         loop {
             // Nobody learns of anything without a change; time alone lets ends go.
             tokio::select! {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn compare(&self, before: &Verdicts, now: &Verdicts) {
+    fn compare(&self, before: &Assessments, now: &Assessments) {
         for (cause, _) in now.quarantined() {
             if before.of(cause).until.is_none() {
                 warn!(self.board.logger, "request in quarantine";
@@ -82,7 +82,7 @@
     ///
     /// Guards against a platform that comes back from a copy of before a note: when all daemons are lost
     /// then, the request would end three targets again.
-    fn note_again(&self, verdicts: &Verdicts) {
+    fn note_again(&self, verdicts: &Assessments) {
         verdicts
             .quarantined()
             .for_each(|(cause, _)| self.note(cause));
@@ -103,7 +103,7 @@
             while !board.stage().is_stopping() {
                 let ends = board.quarantine.ends_of(cause);
                 let held = board.quarantine.standing(cause).until.is_some();
-                let note = held.then(|| Note::of(&ends, clock::unix_ms()));
+                let note = held.then(|| Record::of(&ends, clock::unix_ms()));
                 if archive.note(cause, note.as_ref()).await.is_ok() {
                     return;
                 }
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -10,15 +10,15 @@
 
 /// Time for which a request counts that its entry or caller has given up: not every target stops the work
 /// when its connection closes, and what takes longer to end a target than this is told by later ends.
-const LINGER: Duration = Duration::from_secs(1);
+const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
 /// Time after a broken connection in which another life of the target proves that it had ended: a supervisor
 /// starts it again, and it announces itself.
-const SUCCESSION: Duration = Duration::from_secs(5);
+const RESTART_WINDOW: Duration = Duration::from_secs(5);
 /// Requests of unknown fate that are kept: as many as a target of many slots may have under way.
-const MOST_ENDED: usize = 256;
+const MAX_UNRESOLVED: usize = 256;
 /// Answered requests that are remembered of one life of the target, in 8 KB. At a hundred answers a second
 /// they span ten seconds, many times what a request takes.
-const MOST_ANSWERED: usize = 1_024;
+const MAX_ANSWERED: usize = 1_024;
 
 /// One request at the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -35,17 +35,17 @@
 
 /// Names a run until it is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ticket(u64);
+pub struct RunId(u64);
 
 /// How a run was over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     /// The target answered it.
     Answered,
     /// The target failed or refused it, or never saw it.
-    Over,
+    Resolved,
     /// Its connection broke, or whoever waited for it has given up.
-    Open,
+    Unresolved,
 }
 
 /// The requests at one target.
@@ -69,11 +69,11 @@
 
 impl Running {
     /// Notes that a request is sent to the target.
-    pub fn begin(&mut self, run: Run) -> Ticket {
+    pub fn begin(&mut self, run: Run) -> RunId {
         let ticket = self.next;
         self.next += 1;
         self.under_way.push((ticket, run));
-        Ticket(ticket)
+        RunId(ticket)
     }
 
     /// The requests that are under way.
@@ -82,7 +82,7 @@
     }
 
     /// Notes that a run is over.
-    pub fn finish(&mut self, now: Instant, ticket: Ticket, end: End) {
+    pub fn finish(&mut self, now: Instant, ticket: RunId, end: Completion) {
         let found = self
             .under_way
             .binary_search_by_key(&ticket.0, |(ticket, _)| *ticket);
@@ -91,13 +91,13 @@
         };
         let (_, run) = self.under_way.remove(index);
         match end {
-            End::Answered => self.remember(run.fingerprint),
-            End::Over => {}
+            Completion::Answered => self.remember(run.fingerprint),
+            Completion::Resolved => {}
             // What is cut while the target leaves is not the cause.
-            End::Open if self.leaving => {}
-            End::Open => {
+            Completion::Unresolved if self.leaving => {}
+            Completion::Unresolved => {
                 self.forget_old(now);
-                if self.ended.len() == MOST_ENDED {
+                if self.ended.len() == MAX_UNRESOLVED {
                     self.ended.remove(0);
                 }
                 self.ended.push((now, run));
@@ -107,7 +107,7 @@
 
     /// Runs that were over with an unknown fate in the last `time`.
     #[must_use]
-    pub fn ended_within(&self, now: Instant, time: Duration) -> usize {
+    pub fn unresolved_within(&self, now: Instant, time: Duration) -> usize {
         let ended = self.ended.iter();
         ended
             .filter(|(over, _)| now.saturating_duration_since(*over) < time)
@@ -119,20 +119,20 @@
     /// Guards against targets that end together and whose ends pass for several moments: the next lives announce
     /// themselves one after the other.
     #[must_use]
-    pub fn ended_at(&self, now: Instant, age: Option<Duration>) -> Instant {
+    pub fn crash_time(&self, now: Instant, age: Option<Duration>) -> Instant {
         let broken = self.ended.iter().map(|(over, _)| *over).max();
         let born = age.and_then(|age| now.checked_sub(age));
         broken.into_iter().chain(born).min().unwrap_or(now)
     }
 
     /// Notes that the target has said that it ends: what was cut before did not end it.
-    pub fn leave(&mut self) {
+    pub fn mark_draining(&mut self) {
         self.leaving = true;
         self.ended.clear();
     }
 
     /// Notes that the target takes requests; `another` when it is not the life that did so before.
-    pub fn open(&mut self, another: bool) {
+    pub fn mark_ready(&mut self, another: bool) {
         self.leaving = false;
         if another {
             self.answered.clear();
@@ -183,7 +183,7 @@
         let ended = std::mem::take(&mut self.ended);
         let (ended, later) = ended.into_iter().partition(|(_, run)| at_the_end(run));
         self.ended = later;
-        let lingers = |over: Instant| now.saturating_duration_since(over) < LINGER;
+        let lingers = |over: Instant| now.saturating_duration_since(over) < ABANDONED_WINDOW;
         let ended = ended.into_iter().filter(|(over, _)| lingers(*over));
         let under_way = self.under_way().filter(|run| at_the_end(run)).cloned();
         let runs = self.suspects(ended.map(|(_, run)| run).chain(under_way));
@@ -207,16 +207,16 @@
     }
 
     fn remember(&mut self, fingerprint: Fingerprint) {
-        if self.answered.len() < MOST_ANSWERED {
+        if self.answered.len() < MAX_ANSWERED {
             self.answered.push(fingerprint);
             return;
         }
         self.answered[self.oldest_answered] = fingerprint;
-        self.oldest_answered = (self.oldest_answered + 1) % MOST_ANSWERED;
+        self.oldest_answered = (self.oldest_answered + 1) % MAX_ANSWERED;
     }
 
     fn forget_old(&mut self, now: Instant) {
         self.ended
-            .retain(|(over, _)| now.saturating_duration_since(*over) < SUCCESSION);
+            .retain(|(over, _)| now.saturating_duration_since(*over) < RESTART_WINDOW);
     }
 }
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -8,27 +8,27 @@
 use tokio::sync::watch;
 
 use crate::quarantine::crash::{Crash, CrashId};
-use crate::quarantine::evidence::{Evidence, Standing, Verdicts};
+use crate::quarantine::crash_set::{Assessment, Assessments, CrashSet};
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::note::Note;
+use crate::quarantine::record::Record;
 use crate::units::Millis;
 
 /// Answered requests of one end each that are remembered: as many as run on fifty targets that are killed at
 /// once.
-const MOST_ANSWERED: usize = 1_024;
+const MAX_ANSWERED: usize = 1_024;
 
 /// What is known of requests that end targets.
 #[derive(Debug)]
 pub struct Quarantine {
     /// Held for as long as it takes to judge, and never by a request that nothing is held against.
     state: Mutex<State>,
-    verdicts: ArcSwap<Verdicts>,
+    verdicts: ArcSwap<Assessments>,
     changes: watch::Sender<u64>,
 }
 
 #[derive(Debug)]
 struct State {
-    evidence: Evidence,
+    evidence: CrashSet,
     /// Ends of this daemon's own target; those that are forgotten go with the next one.
     seen: Vec<CrashId>,
     /// Requests that were answered here after the one end at which they ran; the first one first.
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn new(memory: Duration) -> Self {
         let state = State {
-            evidence: Evidence::new(memory),
+            evidence: CrashSet::new(memory),
             seen: Vec::new(),
             answered: VecDeque::new(),
             news: Vec::new(),
@@ -58,13 +58,13 @@
 
     /// What is held against a request.
     #[must_use]
-    pub fn standing(&self, fingerprint: Fingerprint) -> Standing {
+    pub fn standing(&self, fingerprint: Fingerprint) -> Assessment {
         self.verdicts.load().of(fingerprint)
     }
 
     /// What is held against all requests.
     #[must_use]
-    pub fn verdicts(&self) -> Arc<Verdicts> {
+    pub fn verdicts(&self) -> Arc<Assessments> {
         self.verdicts.load_full()
     }
 
@@ -72,7 +72,7 @@
     pub fn see(&self, crash: &Crash) {
         let mut state = self.state();
         let State { seen, evidence, .. } = &mut *state;
-        seen.retain(|id| evidence.knows(*id));
+        seen.retain(|id| evidence.contains(*id));
         seen.push(crash.id);
         drop(state);
         self.merge(std::slice::from_ref(crash));
@@ -82,14 +82,14 @@
     #[must_use]
     pub fn has_seen(&self, cause: Fingerprint) -> bool {
         let state = self.state();
-        let ends = state.evidence.ends_of(cause, Instant::now());
+        let ends = state.evidence.crashes_of(cause, Instant::now());
         ends.iter().any(|(id, _)| state.seen.contains(id))
     }
 
     /// The ends that accuse a request, with the time since each.
     #[must_use]
     pub fn ends_of(&self, cause: Fingerprint) -> Vec<(CrashId, Millis)> {
-        self.state().evidence.ends_of(cause, Instant::now())
+        self.state().evidence.crashes_of(cause, Instant::now())
     }
 
     /// Takes in what was told of ends.
@@ -109,7 +109,7 @@
     }
 
     /// Takes in notes as they are read at `now_ms`, in Unix milliseconds.
-    pub fn recall(&self, notes: &[(Fingerprint, Note)], now_ms: u64) {
+    pub fn recall(&self, notes: &[(Fingerprint, Record)], now_ms: u64) {
         for (cause, note) in notes {
             self.merge(&note.told(*cause, now_ms));
         }
@@ -126,13 +126,13 @@
             return;
         }
         let mut state = self.state();
-        if standing.apart() {
+        if standing.must_isolate() {
             self.clear(&mut state, fingerprint, None);
             return;
         }
-        let ends = state.evidence.ends_of(fingerprint, Instant::now());
+        let ends = state.evidence.crashes_of(fingerprint, Instant::now());
         for (id, _) in ends {
-            if state.answered.len() == MOST_ANSWERED {
+            if state.answered.len() == MAX_ANSWERED {
                 state.answered.pop_front();
             }
             state.answered.push_back((fingerprint, id));
@@ -156,7 +156,7 @@
     /// Everything that is known.
     #[must_use]
     pub fn told(&self) -> Vec<Crash> {
-        self.state().evidence.told(Instant::now(), None)
+        self.state().evidence.snapshot(Instant::now(), None)
     }
 
     /// What has not been passed on yet, which counts as passed on from now on.
@@ -164,7 +164,7 @@
     pub fn take_news(&self) -> Vec<Crash> {
         let mut state = self.state();
         let news = std::mem::take(&mut state.news);
-        state.evidence.told(Instant::now(), Some(&news))
+        state.evidence.snapshot(Instant::now(), Some(&news))
     }
 
     /// Follows changes.
@@ -176,7 +176,7 @@
     /// Takes in the answers that were kept here to requests that ran at another end since.
     fn clear_answered(&self, state: &mut State) {
         let verdicts = self.verdicts();
-        let matters = |known: &(Fingerprint, CrashId)| verdicts.of(known.0).apart();
+        let matters = |known: &(Fingerprint, CrashId)| verdicts.of(known.0).must_isolate();
         let matter: Vec<_> = state.answered.iter().copied().filter(matters).collect();
         if matter.is_empty() {
             return;
@@ -198,7 +198,7 @@
 
     fn judge(&self, state: &mut State) {
         state.hash = state.evidence.hash();
-        self.verdicts.store(Arc::new(state.evidence.verdicts()));
+        self.verdicts.store(Arc::new(state.evidence.assess()));
         self.changes.send_modify(|count| *count += 1);
     }
 
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -17,7 +17,7 @@
 use crate::configuration::origin::Origin;
 use crate::membership::member::{Health, Stage};
 use crate::membership::probe::Membership;
-use crate::quarantine::inspect;
+use crate::quarantine::detector;
 use crate::rollout::decision::{Decision, decide};
 use crate::rollout::duty::{Duty, Gates, MOVE_TICK, SAMPLED, TICK, ranked};
 use crate::rollout::observed::Limits;
@@ -169,7 +169,7 @@
     /// Requests that the target works on, by route and the time since it got them.
     fn under_way(&self, now: Instant) -> Vec<(RouteId, Counts)> {
         let mut ages = Tally::default();
-        let running = inspect::lock(&self.board.running);
+        let running = detector::lock(&self.board.running);
         for run in running.under_way() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
@@ -178,7 +178,7 @@
     }
 
     fn busy(&self) -> u32 {
-        let running = inspect::lock(&self.board.running);
+        let running = detector::lock(&self.board.running);
         u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
     }
 
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -5,10 +5,12 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::quarantine::crash::{Crash, CrashId, MOST_RUNNING};
-use jackdawpulley::quarantine::evidence::{ENDS, Evidence, MOMENT, MOST_CRASHES};
+use jackdawpulley::quarantine::crash::{Crash, CrashId, MAX_RUNNING};
+use jackdawpulley::quarantine::crash_set::{
+    COINCIDENCE_WINDOW, CrashSet, MAX_CRASHES, MIN_CRASHES,
+};
 use jackdawpulley::quarantine::fingerprint::Fingerprint;
-use jackdawpulley::quarantine::note::Note;
+use jackdawpulley::quarantine::record::Record;
 use jackdawpulley::units::Millis;
 use proptest::prelude::*;
 
@@ -21,18 +23,18 @@
 }
 
 /// What is known after ends at which these requests ran.
-fn evidence(ends: &[&[u64]]) -> Evidence {
-    let mut evidence = Evidence::new(MEMORY);
+fn evidence(ends: &[&[u64]]) -> CrashSet {
+    let mut evidence = CrashSet::new(MEMORY);
     let now = Instant::now();
     for (id, running) in (0..).zip(ends) {
-        let then = now + MOMENT * u32::try_from(id).expect("a few");
+        let then = now + COINCIDENCE_WINDOW * u32::try_from(id).expect("a few");
         evidence.merge(then, &crash(id, running));
     }
     evidence
 }
 
-fn quarantined(evidence: &Evidence) -> Vec<u64> {
-    let verdicts = evidence.verdicts();
+fn quarantined(evidence: &CrashSet) -> Vec<u64> {
+    let verdicts = evidence.assess();
     verdicts.quarantined().map(|(cause, _)| cause.0).collect()
 }
 
@@ -48,7 +50,7 @@
     let ends: [&[u64]; 5] = [&[1, 2], &[1, 2], &[1, 2], &[1], &[1]];
     let evidence = evidence(&ends);
     assert_eq!(quarantined(&evidence), [1]);
-    assert_eq!(evidence.verdicts().of(Fingerprint(2)).ends, 0);
+    assert_eq!(evidence.assess().of(Fingerprint(2)).ends, 0);
 }
 
 /// Two requests have run at the same three ends. One of them is a bystander, and three ends don't tell
@@ -57,7 +59,7 @@
 fn alike_ones_are_told_by_one_more() {
     let mut ends: Vec<&[u64]> = vec![&[1, 2], &[1, 2], &[1, 2]];
     assert_eq!(quarantined(&evidence(&ends)), [0_u64; 0]);
-    assert!(evidence(&ends).verdicts().of(FATAL).apart());
+    assert!(evidence(&ends).assess().of(FATAL).must_isolate());
     ends.push(&[1]);
     assert_eq!(quarantined(&evidence(&ends)), [1]);
 }
@@ -73,7 +75,7 @@
 /// must not be refused: nothing connects it with those ends but the moment.
 #[test]
 fn killed_together_accuses_nobody() {
-    let mut evidence = Evidence::new(MEMORY);
+    let mut evidence = CrashSet::new(MEMORY);
     let now = Instant::now();
     for id in 0..5 {
         let then = now + Duration::from_millis(20 * id);
@@ -82,7 +84,10 @@
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
     // Something else goes on ending targets, and is found all the same.
     for id in 10..13_u32 {
-        evidence.merge(now + MOMENT * 10 * id, &crash(id.into(), &[1, 7]));
+        evidence.merge(
+            now + COINCIDENCE_WINDOW * 10 * id,
+            &crash(id.into(), &[1, 7]),
+        );
     }
     evidence.clear(Fingerprint(7), None);
     assert_eq!(quarantined(&evidence), [1]);
@@ -95,7 +100,7 @@
     let mut evidence = evidence(&[&[7], &[7], &[7]]);
     assert_eq!(quarantined(&evidence), [7]);
     let cleared = evidence.clear(Fingerprint(7), None);
-    assert_eq!(cleared.len(), ENDS);
+    assert_eq!(cleared.len(), MIN_CRASHES);
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
     // An older word of the same ends does not accuse it again.
     assert!(!evidence.merge(Instant::now(), &crash(0, &[7])));
@@ -105,11 +110,11 @@
 #[test]
 fn quarantine_ends_with_its_time() {
     let mut evidence = evidence(&[&[1], &[1], &[1]]);
-    let until = evidence.verdicts().of(FATAL).until.expect("it is refused");
+    let until = evidence.assess().of(FATAL).until.expect("it is refused");
     assert!(!evidence.expire(Instant::now() + MEMORY / 2));
     assert!(evidence.expire(until));
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
-    let old = Crash::by(CrashId(9), FATAL, Millis::from(MEMORY));
+    let old = Crash::with_cause(CrashId(9), FATAL, Millis::from(MEMORY));
     assert!(
         !evidence.merge(Instant::now(), &old),
         "it is not taken in again"
@@ -126,9 +131,9 @@
         let running: Vec<u64> = (0..200).map(|run| id * 1_000 + run).collect();
         evidence.merge(now, &crash(id, &running));
     }
-    let told = evidence.told(now, None);
-    assert_eq!(told.len(), MOST_CRASHES);
-    assert!(told.iter().all(|crash| crash.running.len() <= MOST_RUNNING));
+    let told = evidence.snapshot(now, None);
+    assert_eq!(told.len(), MAX_CRASHES);
+    assert!(told.iter().all(|crash| crash.running.len() <= MAX_RUNNING));
     assert_eq!(quarantined(&evidence), [1]);
 }
 
@@ -137,17 +142,17 @@
 fn note_restores_the_quarantine() {
     let known = evidence(&[&[1, 2], &[1, 3], &[1, 4]]);
     let now = Instant::now() + Duration::from_secs(1);
-    let note = Note::of(&known.ends_of(FATAL, now), 1_000_000);
-    let read: Note = note.to_string().parse().expect("it was written so");
-    let mut started = Evidence::new(MEMORY);
+    let note = Record::of(&known.crashes_of(FATAL, now), 1_000_000);
+    let read: Record = note.to_string().parse().expect("it was written so");
+    let mut started = CrashSet::new(MEMORY);
     for crash in read.told(FATAL, 1_060_000) {
         started.merge(now, &crash);
     }
     assert_eq!(quarantined(&started), [1]);
-    let left = started.verdicts().of(FATAL).until.expect("it is refused") - now;
+    let left = started.assess().of(FATAL).until.expect("it is refused") - now;
     assert!(left + Duration::from_mins(1) <= MEMORY, "{left:?}");
     for text in ["", "x", "1@", "1@2,zz@3", "1@2,,3@4"] {
-        assert!(text.parse::<Note>().is_err(), "{text}");
+        assert!(text.parse::<Record>().is_err(), "{text}");
     }
 }
 
@@ -165,8 +170,8 @@
     ]
 }
 
-fn hear(words: &[Word]) -> Evidence {
-    let mut evidence = Evidence::new(MEMORY);
+fn hear(words: &[Word]) -> CrashSet {
+    let mut evidence = CrashSet::new(MEMORY);
     for word in words {
         match word {
             Word::Crash(id, running) => {
@@ -180,9 +185,9 @@
     evidence
 }
 
-fn take_in(evidence: &mut Evidence, other: &Evidence) {
+fn take_in(evidence: &mut CrashSet, other: &CrashSet) {
     let now = Instant::now();
-    for crash in other.told(now, None) {
+    for crash in other.snapshot(now, None) {
         evidence.merge(now, &crash);
     }
 }
@@ -199,8 +204,8 @@
         three in prop::collection::vec(word(), 0..12),
     ) {
         let all = [hear(&one), hear(&two), hear(&three)];
-        let mut forward = Evidence::new(MEMORY);
-        let mut backward = Evidence::new(MEMORY);
+        let mut forward = CrashSet::new(MEMORY);
+        let mut backward = CrashSet::new(MEMORY);
         for index in [0, 1, 2, 0] {
             take_in(&mut forward, &all[index]);
         }
@@ -208,8 +213,8 @@
             take_in(&mut backward, &all[index]);
         }
         prop_assert_eq!(forward.hash(), backward.hash());
-        let standings = |evidence: &Evidence| {
-            let verdicts = evidence.verdicts();
+        let standings = |evidence: &CrashSet| {
+            let verdicts = evidence.assess();
             (0..5).map(|request| {
                 let standing = verdicts.of(Fingerprint(request));
                 (standing.ends, standing.until.is_some())
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawpulley::quarantine::crash::{Crash, CrashId};
-use jackdawpulley::quarantine::evidence::MOMENT;
+use jackdawpulley::quarantine::crash_set::COINCIDENCE_WINDOW;
 use jackdawpulley::quarantine::fingerprint::{Content, Fingerprint};
 use jackdawpulley::quarantine::shared::Quarantine;
 use jackdawpulley::units::Millis;
@@ -17,7 +17,7 @@
 /// An end of a target under these requests, so many moments ago.
 fn end(id: u64, moments: u32, running: &[Fingerprint]) -> Crash {
     Crash {
-        age: Millis::from(MOMENT * moments),
+        age: Millis::from(COINCIDENCE_WINDOW * moments),
         ..Crash::new(CrashId(id), running.to_vec())
     }
 }
--- a/tests/running.rs
+++ b/tests/running.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawpulley::quarantine::fingerprint::{Content, Fingerprint};
-use jackdawpulley::quarantine::running::{End, Run, Running};
+use jackdawpulley::quarantine::running::{Completion, Run, Running};
 use jackdawpulley::units::Service;
 
 fn run(path: &str, began: Instant) -> Run {
@@ -27,8 +27,8 @@
     let broken = running.begin(run("/broken", now));
     running.begin(run("/running", now));
     let refused = running.begin(run("/refused", now));
-    running.finish(now, refused, End::Over);
-    running.finish(now, broken, End::Open);
+    running.finish(now, refused, Completion::Resolved);
+    running.finish(now, broken, Completion::Unresolved);
     assert_eq!(
         end(&mut running, now),
         [run("/broken", now), run("/running", now)]
@@ -40,7 +40,7 @@
 fn target_that_listens_has_not_ended() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
-    running.finish(now, broken, End::Open);
+    running.finish(now, broken, Completion::Unresolved);
     assert!(running.inspect());
     assert!(!running.inspect(), "once at a time");
     assert!(running.inspected(now, None).is_empty());
@@ -53,9 +53,9 @@
 fn planned_end_accuses_nobody() {
     let (mut running, now) = (Running::default(), Instant::now());
     running.begin(run("/slow", now));
-    running.leave();
+    running.mark_draining();
     assert!(end(&mut running, now).is_empty());
-    running.open(true);
+    running.mark_ready(true);
     assert_eq!(end(&mut running, now), [run("/slow", now)]);
 }
 
@@ -65,10 +65,10 @@
 fn answered_before_is_not_accused() {
     let (mut running, now) = (Running::default(), Instant::now());
     let first = running.begin(run("/popular", now));
-    running.finish(now, first, End::Answered);
+    running.finish(now, first, Completion::Answered);
     running.begin(run("/popular", now));
     assert!(end(&mut running, now).is_empty());
-    running.open(true);
+    running.mark_ready(true);
     let later = now + Duration::from_millis(1);
     running.begin(run("/popular", later));
     assert_eq!(
@@ -83,12 +83,12 @@
 fn given_up_counts_for_a_while() {
     let (mut running, now) = (Running::default(), Instant::now());
     let given_up = running.begin(run("/given-up", now));
-    running.finish(now, given_up, End::Open);
+    running.finish(now, given_up, Completion::Unresolved);
     let soon = now + Duration::from_millis(100);
     assert_eq!(end(&mut running, soon).len(), 1);
     let later = soon + Duration::from_millis(1);
     let given_up = running.begin(run("/given-up", later));
-    running.finish(later, given_up, End::Open);
+    running.finish(later, given_up, Completion::Unresolved);
     assert!(end(&mut running, later + Duration::from_secs(2)).is_empty());
 }
 
@@ -97,7 +97,7 @@
 fn quick_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
-    running.finish(now, broken, End::Open);
+    running.finish(now, broken, Completion::Unresolved);
     assert!(running.inspect());
     assert!(
         running.inspected(now, None).is_empty(),
@@ -118,16 +118,16 @@
 fn successor_dates_the_end() {
     let (mut running, now) = (Running::default(), Instant::now());
     let ms = Duration::from_millis;
-    assert_eq!(running.ended_at(now, None), now);
+    assert_eq!(running.crash_time(now, None), now);
     let broken = running.begin(run("/broken", now));
-    running.finish(now + ms(10), broken, End::Open);
+    running.finish(now + ms(10), broken, Completion::Unresolved);
     let announced = now + ms(700);
-    assert_eq!(running.ended_at(announced, None), now + ms(10));
-    assert_eq!(running.ended_at(announced, Some(ms(600))), now + ms(10));
+    assert_eq!(running.crash_time(announced, None), now + ms(10));
+    assert_eq!(running.crash_time(announced, Some(ms(600))), now + ms(10));
     // What was given up after the next life began does not date the end.
     let late = running.begin(run("/late", now));
-    running.finish(now + ms(500), late, End::Open);
-    let end = running.ended_at(announced, Some(ms(600)));
+    running.finish(now + ms(500), late, Completion::Unresolved);
+    let end = running.crash_time(announced, Some(ms(600)));
     assert_eq!(end, now + ms(100));
 }
 
@@ -137,7 +137,7 @@
     let (mut running, now) = (Running::default(), Instant::now());
     let late = running.begin(run("/late", now));
     assert_eq!(end(&mut running, now), [run("/late", now)]);
-    running.finish(now, late, End::Open);
+    running.finish(now, late, Completion::Unresolved);
     assert!(running.succeed(now, None).is_empty());
 }
 
@@ -146,8 +146,8 @@
 fn planned_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
     let cut = running.begin(run("/cut", now));
-    running.leave();
-    running.finish(now, cut, End::Open);
+    running.mark_draining();
+    running.finish(now, cut, Completion::Unresolved);
     assert!(running.succeed(now, None).is_empty());
 }
 
@@ -156,7 +156,7 @@
 fn old_break() {
     let (mut running, now) = (Running::default(), Instant::now());
     let cut = running.begin(run("/cut", now));
-    running.finish(now, cut, End::Open);
+    running.finish(now, cut, Completion::Unresolved);
     let later = now + Duration::from_secs(6);
     assert!(running.succeed(later, None).is_empty());
 }
@@ -171,13 +171,13 @@
         let broken = running.begin(run("/fatal", began));
         let looked = began + ms(345);
         let announced = looked + ms(5);
-        running.finish(looked, broken, End::Open);
+        running.finish(looked, broken, Completion::Unresolved);
         assert!(running.inspect());
         assert_eq!(
             running.succeed(announced, Some(ms(2))),
             [run("/fatal", began)]
         );
-        running.open(true);
+        running.mark_ready(true);
         let late = announced + ms(5);
         assert!(running.inspected(late, Some(looked)).is_empty(), "told");
     }
@@ -188,13 +188,13 @@
 fn nameless_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/fatal", now));
-    running.finish(now, broken, End::Open);
+    running.finish(now, broken, Completion::Unresolved);
     assert!(running.inspect());
-    running.open(true);
+    running.mark_ready(true);
     let next = running.begin(run("/next", now + Duration::from_millis(5)));
     let late = now + Duration::from_millis(10);
     assert_eq!(running.inspected(late, Some(now)), [run("/fatal", now)]);
-    running.finish(late, next, End::Open);
+    running.finish(late, next, Completion::Unresolved);
     assert_eq!(
         end(&mut running, late),
         [run("/next", now + Duration::from_millis(5))]
@@ -209,7 +209,7 @@
     let later = now + Duration::from_millis(400);
     let age = Some(Duration::from_millis(100));
     assert_eq!(running.succeed(later, age), [run("/late", now)]);
-    running.open(true);
-    running.finish(later, late, End::Open);
+    running.mark_ready(true);
+    running.finish(later, late, Completion::Unresolved);
     assert!(end(&mut running, later).is_empty());
 }
