--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -106,7 +106,7 @@
     /// Whether a call has to run apart, since targets have ended under the same request.
     pub fn is_suspect(&self, call: &Call) -> bool {
         let fingerprint = call.handover.fingerprint;
-        self.board.quarantine.standing(fingerprint).must_isolate()
+        self.board.quarantine.assessment(fingerprint).must_isolate()
     }
 
     /// The best of several by the policy of the settings.
--- a/src/calls/entry.rs
+++ b/src/calls/entry.rs
@@ -322,8 +322,10 @@
 
     /// Until when a call must not run since targets have ended under the same request.
     fn quarantined(&self, call: &Call) -> Option<Until> {
-        let standing = self.board.quarantine.standing(call.handover.fingerprint);
-        let until = standing.until.filter(|until| Instant::now() < *until);
+        let standing = self.board.quarantine.assessment(call.handover.fingerprint);
+        let until = standing
+            .quarantined_until
+            .filter(|until| Instant::now() < *until);
         until.map(Until)
     }
 }
--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -131,7 +131,7 @@
             self.board.drop_target(target);
         }
         if matches!(reason, Reason::Unreachable | Reason::Broken) {
-            self.inspector.inspect(target);
+            self.inspector.check_target(target);
         }
     }
 
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -22,7 +22,7 @@
 use crate::membership::member::Stage;
 use crate::membership::probe::Membership;
 use crate::membership::target::{Beat, Life, Lives, Standing};
-use crate::quarantine::detector::{Detector, lock};
+use crate::quarantine::detector::{Detector, lock_running};
 use crate::units::{Birth, Instance, Millis, Revision, Service, Slots, Version};
 
 /// Longest lease, in milliseconds.
@@ -212,7 +212,7 @@
             lease_until: Instant::now() + beat.lease.duration(),
         };
         if standing == Standing::New && contested {
-            self.inspector.succeed(&target);
+            self.inspector.target_restarted(&target);
         }
         self.open(target).await;
         Ok(())
@@ -302,7 +302,7 @@
         let life = |target: &Target| (target.instance.clone(), target.born);
         let before = self.board.target();
         let same = before.is_some_and(|before| life(&before) == life(&target));
-        lock(&self.board.running).mark_ready(!same);
+        lock_running(&self.board.running).mark_ready(!same);
         self.board.set_target(Some(target));
         self.membership.reflect().await;
     }
@@ -311,7 +311,7 @@
         if self.board.target().is_some() {
             info!(self.board.logger, "{}", event; "instance" => %instance);
         }
-        lock(&self.board.running).mark_draining();
+        lock_running(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.reflect().await;
     }
@@ -360,7 +360,7 @@
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
         if self.follows_another(target.born) {
-            self.inspector.succeed(&target);
+            self.inspector.target_restarted(&target);
         }
         self.open(target).await;
         (StatusCode::OK, "announced".to_owned())
@@ -377,7 +377,7 @@
 
     async fn leave(&self) -> (StatusCode, String) {
         info!(self.board.logger, "target left");
-        lock(&self.board.running).mark_draining();
+        lock_running(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.reflect().await;
         (StatusCode::OK, "left".to_owned())
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -72,7 +72,7 @@
     /// somebody a moment ago. The peer does the same, so both know the same then.
     pub(super) fn reconcile(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
-        let crashes = self.board().quarantine.told();
+        let crashes = self.board().quarantine.snapshot();
         let rollouts = self.board().rollouts.told();
         let mut guard = self.state();
         let told = guard.reconciled;
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -94,8 +94,8 @@
 
     /// Takes in what is kept of requests in quarantine. With the log away, the peers have told it.
     async fn recall(&self) {
-        match self.archive.recall().await {
-            Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
+        match self.archive.load().await {
+            Ok(notes) => self.board.quarantine.restore(&notes, clock::unix_ms()),
             Err(error) => {
                 warn!(self.board.logger, "notes of the quarantine can't be read"; "error" => %error);
             }
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -103,7 +103,7 @@
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
         let Directory { contacts, notes } = self.origin.directory(enough).await?;
         let (now, memory) = (clock::unix_ms(), self.board.settings.quarantine_ms);
-        self.board.quarantine.recall(&notes, now);
+        self.board.quarantine.restore(&notes, now);
         for (cause, note) in notes {
             if note.age(now) >= Millis(FORGOTTEN * memory.0) {
                 // One that stays is read once more, and counts for nothing.
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -174,7 +174,7 @@
             digest: self.board.digest(),
             ran,
             slots,
-            crashes: self.board.quarantine.told(),
+            crashes: self.board.quarantine.snapshot(),
             rollouts: self.board.rollouts.told(),
             era: self.board.era(),
             usual: guard.usual.told(),
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -169,7 +169,7 @@
             keys: keys.len(),
             rollouts: board.rollouts.told(),
             era: board.era(),
-            quarantined: quarantined(&board.quarantine.verdicts(), now),
+            quarantined: quarantined(&board.quarantine.assessments(), now),
             control: board.meter.read(),
             live: roster
                 .members
@@ -198,7 +198,7 @@
     quarantined
         .map(|(cause, until)| QuarantineDump {
             fingerprint: cause.to_string(),
-            ends: verdicts.of(cause).ends,
+            ends: verdicts.of(cause).crashes,
             left_ms: until.saturating_duration_since(now).into(),
         })
         .collect()
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -12,7 +12,7 @@
 use crate::units::{Millis, Offset};
 
 /// Records of the log that a start looks at: each of the requests in quarantine has a few.
-const RECALLED: u64 = 256;
+const MAX_READ_RECORDS: u64 = 256;
 
 /// Keeps notes for daemons that start when nobody else is left.
 #[derive(Debug, Clone)]
@@ -29,7 +29,8 @@
     /// What stays the same when the request is sent again.
     cause: Fingerprint,
     /// What holds of it; nothing once it may run again.
-    note: Option<Record>,
+    #[serde(rename = "note")]
+    record: Option<Record>,
 }
 
 impl Archive {
@@ -38,13 +39,13 @@
     /// # Errors
     ///
     /// As [`Origin::note`] and [`Log::append`].
-    pub async fn note(&self, cause: Fingerprint, note: Option<&Record>) -> Result<()> {
+    pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.note(cause, note).await,
+            Self::Platform(origin) => origin.note(cause, record).await,
             Self::Log(log) => {
-                let note = note.cloned();
-                let record = Entry { cause, note };
-                log.append(Stream::Quarantine, &record).await.map(|_| ())
+                let record = record.cloned();
+                let entry = Entry { cause, record };
+                log.append(Stream::Quarantine, &entry).await.map(|_| ())
             }
         }
     }
@@ -54,13 +55,17 @@
     /// # Errors
     ///
     /// As [`Log::read`].
-    pub async fn recall(&self) -> Result<Vec<(Fingerprint, Record)>> {
+    pub async fn load(&self) -> Result<Vec<(Fingerprint, Record)>> {
         let Self::Log(log) = self else {
             return Ok(Vec::new());
         };
         let bounds = log.bounds(Stream::Quarantine).await?;
-        let mut next = bounds.head.0.saturating_sub(RECALLED).max(bounds.first.0);
-        let mut notes = Vec::new();
+        let mut next = bounds
+            .head
+            .0
+            .saturating_sub(MAX_READ_RECORDS)
+            .max(bounds.first.0);
+        let mut records = Vec::new();
         while next < bounds.head.0 {
             let page = log
                 .read(Stream::Quarantine, Offset(next), Millis(0))
@@ -71,13 +76,13 @@
             next = last.offset.0 + 1;
             for stored in &page.records {
                 // One that can't be read was not written by a daemon of this release.
-                let Ok(Entry { cause, note }) = serde_json::from_str(&stored.value) else {
+                let Ok(Entry { cause, record }) = serde_json::from_str(&stored.value) else {
                     continue;
                 };
-                notes.retain(|(known, _)| *known != cause);
-                notes.extend(note.map(|note| (cause, note)));
+                records.retain(|(known, _)| *known != cause);
+                records.extend(record.map(|record| (cause, record)));
             }
         }
-        Ok(notes)
+        Ok(records)
     }
 }
--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -74,34 +74,39 @@
     }
 
     /// Adds what another told of the same end; whether any of it was news.
-    pub fn unite(&mut self, other: &Self) -> bool {
-        let cleared = other.cleared.iter().map(|one| self.clear(*one));
-        let cleared = cleared.filter(|news| *news).count() > 0;
+    pub fn merge(&mut self, other: &Self) -> bool {
+        let cleared = other
+            .cleared
+            .iter()
+            .map(|fingerprint| self.clear(*fingerprint));
+        let cleared = cleared.filter(|is_new| *is_new).count() > 0;
         let running = other
             .running
             .iter()
-            .filter(|one| !contains(&self.cleared, **one));
+            .filter(|fingerprint| !contains(&self.cleared, **fingerprint));
         let running: Vec<Fingerprint> = running.copied().collect();
-        let added = running.iter().map(|one| insert(&mut self.running, *one));
-        added.filter(|news| *news).count() > 0 || cleared
+        let added = running
+            .iter()
+            .map(|fingerprint| insert(&mut self.running, *fingerprint));
+        added.filter(|is_new| *is_new).count() > 0 || cleared
     }
 
     /// Notes that a request is not the cause; whether that was news.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
-        self.running.retain(|one| *one != fingerprint);
+        self.running.retain(|other| *other != fingerprint);
         insert(&mut self.cleared, fingerprint)
     }
 }
 
-fn contains(list: &[Fingerprint], one: Fingerprint) -> bool {
-    list.binary_search(&one).is_ok()
+fn contains(list: &[Fingerprint], fingerprint: Fingerprint) -> bool {
+    list.binary_search(&fingerprint).is_ok()
 }
 
 /// Adds one to a sorted list within its bound; whether it was not there.
-fn insert(list: &mut Vec<Fingerprint>, one: Fingerprint) -> bool {
-    match list.binary_search(&one) {
+fn insert(list: &mut Vec<Fingerprint>, fingerprint: Fingerprint) -> bool {
+    match list.binary_search(&fingerprint) {
         Err(index) if list.len() < MAX_RUNNING => {
-            list.insert(index, one);
+            list.insert(index, fingerprint);
             true
         }
         _ => false,
--- a/src/quarantine/crash_set.rs
+++ b/src/quarantine/crash_set.rs
@@ -53,16 +53,16 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Assessment {
     /// Ends of targets that nothing else explains, at which it ran.
-    pub ends: usize,
+    pub crashes: usize,
     /// Until when it must not run, if it is taken for the cause.
-    pub until: Option<Instant>,
+    pub quarantined_until: Option<Instant>,
 }
 
 impl Assessment {
     /// Whether it has to run apart from others of which this is true.
     #[must_use]
     pub const fn must_isolate(&self) -> bool {
-        self.ends >= ISOLATION_CRASHES
+        self.crashes >= ISOLATION_CRASHES
     }
 }
 
@@ -86,13 +86,15 @@
     /// Requests that must not run, with the time at which they may again.
     pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, Instant)> {
         let all = self.all.iter();
-        all.filter_map(|(fingerprint, standing)| Some((*fingerprint, standing.until?)))
+        all.filter_map(|(fingerprint, assessment)| {
+            Some((*fingerprint, assessment.quarantined_until?))
+        })
     }
 }
 
 /// An end with the time at which it will be forgotten.
 #[derive(Debug, Clone)]
-struct Known {
+struct Entry {
     crash: Crash,
     until: Instant,
 }
@@ -104,35 +106,35 @@
 #[derive(Debug)]
 pub struct CrashSet {
     /// Sorted by identifier.
-    known: Vec<Known>,
-    memory: Duration,
+    entries: Vec<Entry>,
+    retention: Duration,
 }
 
 impl CrashSet {
     /// No ends yet; each will be remembered for `memory`.
     #[must_use]
-    pub const fn new(memory: Duration) -> Self {
+    pub const fn new(retention: Duration) -> Self {
         Self {
-            known: Vec::new(),
-            memory,
+            entries: Vec::new(),
+            retention,
         }
     }
 
     /// Takes in what was told of an end; whether any of it was news.
     pub fn merge(&mut self, now: Instant, crash: &Crash) -> bool {
-        let left = self.memory.saturating_sub(crash.age.duration());
-        if left.is_zero() {
+        let remaining = self.retention.saturating_sub(crash.age.duration());
+        if remaining.is_zero() {
             return false;
         }
         match self.find(crash.id) {
-            Ok(index) => self.known[index].crash.unite(crash),
+            Ok(index) => self.entries[index].crash.merge(crash),
             Err(index) => {
-                let known = Known {
+                let known = Entry {
                     crash: crash.clone(),
-                    until: now + left,
+                    until: now + remaining,
                 };
-                self.known.insert(index, known);
-                self.make_room();
+                self.entries.insert(index, known);
+                self.evict_excess();
                 self.contains(crash.id)
             }
         }
@@ -141,9 +143,9 @@
     /// Notes that a target has answered a request, which did not cause the end `id`, or any of those known
     /// so far; the ends that accused it.
     pub fn clear(&mut self, fingerprint: Fingerprint, id: Option<CrashId>) -> Vec<CrashId> {
-        let crashes = self.known.iter_mut().map(|known| &mut known.crash);
-        let meant = crashes.filter(|crash| id.is_none_or(|id| crash.id == id));
-        meant
+        let crashes = self.entries.iter_mut().map(|known| &mut known.crash);
+        let selected = crashes.filter(|crash| id.is_none_or(|id| crash.id == id));
+        selected
             .filter(|crash| crash.implicates(fingerprint))
             .map(|crash| {
                 crash.clear(fingerprint);
@@ -154,9 +156,9 @@
 
     /// Forgets ends that are too long ago; whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let before = self.known.len();
-        self.known.retain(|known| now < known.until);
-        self.known.len() < before
+        let before = self.entries.len();
+        self.entries.retain(|known| now < known.until);
+        self.entries.len() < before
     }
 
     /// Whether an end is remembered.
@@ -168,11 +170,11 @@
     /// The ends at which a request ran that was not answered since, with the time since each.
     #[must_use]
     pub fn crashes_of(&self, fingerprint: Fingerprint, now: Instant) -> Vec<(CrashId, Millis)> {
-        let accusing = self
-            .known
+        let implicating = self
+            .entries
             .iter()
             .filter(|known| known.crash.implicates(fingerprint));
-        accusing
+        implicating
             .map(|known| (known.crash.id, self.age(known, now)))
             .collect()
     }
@@ -180,27 +182,27 @@
     /// What is to be told of some ends, or of all.
     #[must_use]
     pub fn snapshot(&self, now: Instant, ids: Option<&[CrashId]>) -> Vec<Crash> {
-        let wanted = |known: &&Known| ids.is_none_or(|ids| ids.contains(&known.crash.id));
-        let told = |known: &Known| Crash {
+        let selected = |known: &&Entry| ids.is_none_or(|ids| ids.contains(&known.crash.id));
+        let aged = |known: &Entry| Crash {
             age: self.age(known, now),
             ..known.crash.clone()
         };
-        self.known.iter().filter(wanted).map(told).collect()
+        self.entries.iter().filter(selected).map(aged).collect()
     }
 
     /// The same for daemons that know the same; 0 for none.
     #[must_use]
     pub fn hash(&self) -> u64 {
-        if self.known.is_empty() {
+        if self.entries.is_empty() {
             return 0;
         }
         let mut hasher = Xxh3::new();
-        for Known { crash, .. } in &self.known {
+        for Entry { crash, .. } in &self.entries {
             hasher.update(&crash.id.0.to_le_bytes());
             for list in [&crash.running, &crash.cleared] {
                 hasher.update(&(list.len() as u64).to_le_bytes());
-                for one in list {
-                    hasher.update(&one.0.to_le_bytes());
+                for fingerprint in list {
+                    hasher.update(&fingerprint.0.to_le_bytes());
                 }
             }
         }
@@ -213,97 +215,121 @@
     /// nobody else: bystanders repeat as well, and meet the cause on more than one target.
     #[must_use]
     pub fn assess(&self) -> Assessments {
-        let mut open: Vec<&Known> = self.known.iter().collect();
+        let mut unexplained: Vec<&Entry> = self.entries.iter().collect();
         let mut all = Vec::new();
         loop {
-            let counts = count(&open);
-            let Some((cause, ends)) = cause(&open, &counts) else {
-                let standing =
-                    |(fingerprint, ends)| (fingerprint, Assessment { ends, until: None });
-                all.extend(counts.into_iter().map(standing));
+            let counts = count_implications(&unexplained);
+            let Some((cause, crashes)) = find_cause(&unexplained, &counts) else {
+                let assessment = |(fingerprint, crashes)| {
+                    (
+                        fingerprint,
+                        Assessment {
+                            crashes,
+                            quarantined_until: None,
+                        },
+                    )
+                };
+                all.extend(counts.into_iter().map(assessment));
                 break;
             };
             // When too few of its ends will be remembered.
-            let until = times(&open, cause)
+            let until = expiry_times(&unexplained, cause)
                 .iter()
                 .rev()
                 .nth(MIN_CRASHES - 1)
                 .copied();
-            all.push((cause, Assessment { ends, until }));
-            open.retain(|known| !known.crash.implicates(cause));
+            all.push((
+                cause,
+                Assessment {
+                    crashes,
+                    quarantined_until: until,
+                },
+            ));
+            unexplained.retain(|known| !known.crash.implicates(cause));
         }
         all.sort_unstable_by_key(|(fingerprint, _)| *fingerprint);
         Assessments { all }
     }
 
-    fn age(&self, known: &Known, now: Instant) -> Millis {
-        let left = known.until.saturating_duration_since(now);
-        self.memory.saturating_sub(left).into()
+    fn age(&self, known: &Entry, now: Instant) -> Millis {
+        let remaining = known.until.saturating_duration_since(now);
+        self.retention.saturating_sub(remaining).into()
     }
 
     fn find(&self, id: CrashId) -> Result<usize, usize> {
-        self.known.binary_search_by_key(&id, |known| known.crash.id)
+        self.entries
+            .binary_search_by_key(&id, |known| known.crash.id)
     }
 
     /// Keeps to the bound: forgets the oldest end that no verdict rests on, else the oldest.
-    fn make_room(&mut self) {
-        while self.known.len() > MAX_CRASHES {
-            let verdicts = self.assess();
-            let causes: Vec<Fingerprint> = verdicts.quarantined().map(|(cause, _)| cause).collect();
-            let needed = |known: &Known| causes.iter().any(|cause| known.crash.implicates(*cause));
-            let ranked = self.known.iter().enumerate();
+    fn evict_excess(&mut self) {
+        while self.entries.len() > MAX_CRASHES {
+            let assessments = self.assess();
+            let causes: Vec<Fingerprint> =
+                assessments.quarantined().map(|(cause, _)| cause).collect();
+            let needed = |known: &Entry| causes.iter().any(|cause| known.crash.implicates(*cause));
+            let ranked = self.entries.iter().enumerate();
             let first = ranked.min_by_key(|(_, known)| (needed(known), known.until));
             let Some((index, _)) = first else {
                 return;
             };
-            self.known.remove(index);
+            self.entries.remove(index);
         }
     }
 }
 
 /// The request that is taken for the cause of most ends, with their number, if any is.
-fn cause(open: &[&Known], counts: &[(Fingerprint, usize)]) -> Option<(Fingerprint, usize)> {
-    let enough = counts
+fn find_cause(
+    unexplained: &[&Entry],
+    counts: &[(Fingerprint, usize)],
+) -> Option<(Fingerprint, usize)> {
+    let frequent = counts
         .iter()
         .copied()
-        .filter(|(_, ends)| *ends >= MIN_CRASHES);
-    let decided = enough
-        .filter(|(one, _)| moments(&times(open, *one)) >= MIN_DISTINCT_TIMES)
-        .filter(|(one, ends)| !is_matched(open, counts, *one, *ends));
-    decided.max_by_key(|(_, ends)| *ends)
+        .filter(|(_, crashes)| *crashes >= MIN_CRASHES);
+    let attributed = frequent
+        .filter(|(fingerprint, _)| {
+            count_distinct_times(&expiry_times(unexplained, *fingerprint)) >= MIN_DISTINCT_TIMES
+        })
+        .filter(|(fingerprint, crashes)| {
+            !is_ambiguous(unexplained, counts, *fingerprint, *crashes)
+        });
+    attributed.max_by_key(|(_, crashes)| *crashes)
 }
 
 /// Whether another request ran at as many ends and at some of the same ones.
 ///
 /// Ends alone don't tell the two apart, and one of them is a bystander. Neither is accused yet: they run
 /// apart, and one more end tells which it is.
-fn is_matched(
-    open: &[&Known],
+fn is_ambiguous(
+    unexplained: &[&Entry],
     counts: &[(Fingerprint, usize)],
-    one: Fingerprint,
-    ends: usize,
+    fingerprint: Fingerprint,
+    crashes: usize,
 ) -> bool {
-    let ends_of = |other: Fingerprint| {
+    let crash_count = |other: Fingerprint| {
         let found = counts.binary_search_by_key(&other, |(known, _)| *known);
         found.map_or(0, |index| counts[index].1)
     };
-    let accusing = open.iter().filter(|known| known.crash.implicates(one));
-    let mut others = accusing.flat_map(|known| known.crash.running.iter());
-    others.any(|other| *other != one && ends_of(*other) == ends)
+    let implicating = unexplained
+        .iter()
+        .filter(|known| known.crash.implicates(fingerprint));
+    let mut others = implicating.flat_map(|known| known.crash.running.iter());
+    others.any(|other| *other != fingerprint && crash_count(*other) == crashes)
 }
 
 /// When the ends will be forgotten that accuse a request, in the order in which they happened.
-fn times(open: &[&Known], fingerprint: Fingerprint) -> Vec<Instant> {
-    let accusing = open
+fn expiry_times(unexplained: &[&Entry], fingerprint: Fingerprint) -> Vec<Instant> {
+    let implicating = unexplained
         .iter()
         .filter(|known| known.crash.implicates(fingerprint));
-    let mut times: Vec<Instant> = accusing.map(|known| known.until).collect();
+    let mut times: Vec<Instant> = implicating.map(|known| known.until).collect();
     times.sort_unstable();
     times
 }
 
 /// Moments to which sorted times belong.
-fn moments(times: &[Instant]) -> usize {
+fn count_distinct_times(times: &[Instant]) -> usize {
     let mut began = None;
     let mut count = 0;
     for time in times {
@@ -316,12 +342,12 @@
 }
 
 /// How many of some ends accuse each request, sorted by request.
-fn count(open: &[&Known]) -> Vec<(Fingerprint, usize)> {
-    let suspects = open
+fn count_implications(unexplained: &[&Entry]) -> Vec<(Fingerprint, usize)> {
+    let implicated = unexplained
         .iter()
         .flat_map(|known| known.crash.running.iter().copied());
-    let mut suspects: Vec<Fingerprint> = suspects.collect();
-    suspects.sort_unstable();
-    let same = suspects.chunk_by(|a, b| a == b);
+    let mut implicated: Vec<Fingerprint> = implicated.collect();
+    implicated.sort_unstable();
+    let same = implicated.chunk_by(|a, b| a == b);
     same.map(|same| (same[0], same.len())).collect()
 }
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -17,11 +17,11 @@
 use crate::units::Millis;
 
 /// Time after the first broken connection in which the others that break with it are noticed.
-const SETTLE: Duration = Duration::from_millis(10);
+const SETTLE_TIME: Duration = Duration::from_millis(10);
 /// Time in which a host refuses a connection to a port of its own that nobody listens on, many times over.
-const REFUSAL: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Requests that a line about an ended target names.
-const NAMED: usize = 32;
+const MAX_LOGGED_REQUESTS: usize = 32;
 
 /// Follows the runs at the target of one gate.
 #[derive(Debug, Clone)]
@@ -32,10 +32,10 @@
 /// A run that is over when this is dropped, with an unknown fate if nothing else was said.
 #[derive(Debug)]
 pub struct RunGuard {
-    inspector: Detector,
+    detector: Detector,
     fingerprint: Fingerprint,
-    ticket: RunId,
-    end: Completion,
+    id: RunId,
+    completion: Completion,
 }
 
 impl Detector {
@@ -53,110 +53,120 @@
     /// to wait until another under suspicion is done.
     pub fn begin(&self, run: Run) -> Result<RunGuard, Reason> {
         let quarantine = &self.board.quarantine;
-        let standing = quarantine.standing(run.fingerprint);
+        let assessment = quarantine.assessment(run.fingerprint);
         // Guards against a request that ends each target which runs it, while its caller sends it again and
         // again: callers of all kinds see the service shrink to a few targets. Every gate refuses it by the
         // same evidence, so no entry that has not heard of it yet can bring it to a target.
-        if standing.until.is_some_and(|until| run.began < until) {
+        if assessment
+            .quarantined_until
+            .is_some_and(|until| run.began < until)
+        {
             return Err(Reason::Quarantined);
         }
         let mut running = self.running();
         // Guards against a bystander that goes from one ending target to the next beside the cause, as
         // both are repeated: with each of them on a target of its own, the next end tells which it is.
-        let apart = |run: &Run| quarantine.standing(run.fingerprint).must_isolate();
-        if standing.must_isolate() && running.under_way().any(apart) {
+        let must_isolate = |run: &Run| quarantine.assessment(run.fingerprint).must_isolate();
+        if assessment.must_isolate() && running.under_way().any(must_isolate) {
             return Err(Reason::Overloaded);
         }
         let fingerprint = run.fingerprint;
-        let ticket = running.begin(run);
+        let id = running.begin(run);
         drop(running);
         Ok(RunGuard {
-            ticket,
+            id,
             fingerprint,
-            inspector: self.clone(),
-            end: Completion::Unresolved,
+            detector: self.clone(),
+            completion: Completion::Unresolved,
         })
     }
 
     /// Finds out in a moment whether `target` has ended, unless that is under way already.
-    pub fn inspect(&self, target: &Arc<Target>) {
-        if !self.running().inspect() {
+    pub fn check_target(&self, target: &Arc<Target>) {
+        if !self.running().begin_check() {
             return;
         }
-        let (inspector, target) = (self.clone(), Arc::clone(target));
+        let (detector, target) = (self.clone(), Arc::clone(target));
         tokio::spawn(async move {
             // At once: a supervisor may have the next life listen within a few milliseconds.
-            let mut gone_since = refused_at(target.address).await;
-            tokio::time::sleep(SETTLE).await;
-            let together = inspector
+            let mut refused_since = refused_at(target.address).await;
+            tokio::time::sleep(SETTLE_TIME).await;
+            let broke_together = detector
                 .running()
-                .unresolved_within(Instant::now(), 2 * SETTLE)
+                .unresolved_within(Instant::now(), 2 * SETTLE_TIME)
                 > 1;
-            if gone_since.is_none() && together {
+            if refused_since.is_none() && broke_together {
                 // Its connections may have been closed before its listener.
-                gone_since = refused_at(target.address).await;
+                refused_since = refused_at(target.address).await;
             }
-            let runs = inspector.running().inspected(Instant::now(), gone_since);
-            if gone_since.is_some() {
-                inspector.board.drop_target(&target);
+            let runs = detector
+                .running()
+                .finish_check(Instant::now(), refused_since);
+            if refused_since.is_some() {
+                detector.board.drop_target(&target);
             }
             if !runs.is_empty() {
-                inspector.report(&target, &runs);
-                inspector.accuse(runs, Duration::ZERO);
+                detector.log_crash(&target, &runs);
+                detector.report_crash(runs, Duration::ZERO);
             }
         });
     }
 
     /// Notes that `target` is another life than the one before it.
-    pub fn succeed(&self, target: &Target) {
+    pub fn target_restarted(&self, target: &Target) {
         let began = target.born.map(|born| born.0);
         let age = began.map(|began| Duration::from_millis(clock::unix_ms().saturating_sub(began)));
         let now = Instant::now();
         let mut running = self.running();
-        let ended_at = running.crash_time(now, age);
-        let runs = running.succeed(now, age);
+        let crashed_at = running.crash_time(now, age);
+        let runs = running.restarted(now, age);
         drop(running);
         if !runs.is_empty() {
-            self.report(target, &runs);
-            self.accuse(runs, now.saturating_duration_since(ended_at));
+            self.log_crash(target, &runs);
+            self.report_crash(runs, now.saturating_duration_since(crashed_at));
         }
     }
 
     /// Tells that the target ended `ago` under these runs. Where they are too many, those that are suspected
     /// already and those that began last are told.
-    fn accuse(&self, mut runs: Vec<Run>, ago: Duration) {
+    fn report_crash(&self, mut runs: Vec<Run>, ago: Duration) {
         let quarantine = &self.board.quarantine;
-        runs.sort_by_key(|run| Reverse((quarantine.standing(run.fingerprint).ends, run.began)));
+        runs.sort_by_key(|run| {
+            Reverse((quarantine.assessment(run.fingerprint).crashes, run.began))
+        });
         let running = runs.into_iter().map(|run| run.fingerprint).collect();
-        quarantine.see(&Crash {
+        quarantine.record_local_crash(&Crash {
             age: ago.into(),
             ..Crash::new(CrashId(rand::random()), running)
         });
     }
 
-    fn report(&self, target: &Target, runs: &[Run]) {
+    fn log_crash(&self, target: &Target, runs: &[Run]) {
         let now = Instant::now();
         let name = |run: &Run| {
             let age = Millis::from(now.saturating_duration_since(run.began));
             format!("{}:{}:{}:{age}", run.fingerprint, run.route, run.from)
         };
-        let named: Vec<String> = runs.iter().take(NAMED).map(name).collect();
+        let named: Vec<String> = runs.iter().take(MAX_LOGGED_REQUESTS).map(name).collect();
         let instance = target.instance.as_ref().map(ToString::to_string);
         warn!(self.board.logger, "target ended"; "instance" => instance,
             "address" => %target.address, "running" => runs.len(), "requests" => named.join(" "));
     }
 
     fn running(&self) -> MutexGuard<'_, Running> {
-        lock(&self.board.running)
+        lock_running(&self.board.running)
     }
 }
 
 impl RunGuard {
     /// Notes how the run is over.
-    pub fn finish(mut self, end: Completion) {
-        self.end = end;
-        if end == Completion::Answered {
-            self.inspector.board.quarantine.answered(self.fingerprint);
+    pub fn finish(mut self, completion: Completion) {
+        self.completion = completion;
+        if completion == Completion::Answered {
+            self.detector
+                .board
+                .quarantine
+                .record_answer(self.fingerprint);
         }
     }
 }
@@ -164,12 +174,14 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         let now = Instant::now();
-        self.inspector.running().finish(now, self.ticket, self.end);
+        self.detector
+            .running()
+            .finish(now, self.id, self.completion);
     }
 }
 
 /// Takes the lock, which is held for a few instructions.
-pub fn lock(running: &Mutex<Running>) -> MutexGuard<'_, Running> {
+pub fn lock_running(running: &Mutex<Running>) -> MutexGuard<'_, Running> {
     running.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -179,7 +191,7 @@
 /// has ended does not, and its host says so at once.
 async fn refused_at(address: SocketAddr) -> Option<Instant> {
     let looked = Instant::now();
-    let connecting = tokio::time::timeout(REFUSAL, TcpStream::connect(address)).await;
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
     let gone = connecting.is_ok_and(|connected| connected.is_err_and(refused));
     gone.then_some(looked)
--- a/src/quarantine/record.rs
+++ b/src/quarantine/record.rs
@@ -9,7 +9,7 @@
 //! use jackdawpulley::units::Millis;
 //!
 //! let now_ms = 1_700_000_000_000;
-//! let note = Note::of(&[(CrashId(7), Millis(0)), (CrashId(8), Millis(900))], now_ms);
+//! let record = Record::of(&[(CrashId(7), Millis(0)), (CrashId(8), Millis(900))], now_ms);
 //! assert_eq!(note.to_string().parse(), Ok(note));
 //! ```
 
@@ -30,43 +30,45 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Each with its time, in Unix milliseconds, the first one first.
-    ends: Vec<(CrashId, u64)>,
+    #[serde(rename = "ends")]
+    crashes: Vec<(CrashId, u64)>,
 }
 
 impl Record {
     /// A note of ends that happened so long before `now_ms`.
     #[must_use]
-    pub fn of(ends: &[(CrashId, Millis)], now_ms: u64) -> Self {
-        let ends = ends.iter();
-        let ends = ends.map(|(id, age)| (*id, now_ms.saturating_sub(age.0)));
-        let mut ends: Vec<(CrashId, u64)> = ends.collect();
-        ends.sort_unstable_by_key(|(_, at_ms)| *at_ms);
-        if ends.len() > MAX_RECORDED_CRASHES {
-            ends.drain(MAX_RECORDED_CRASHES / 2..ends.len() - MAX_RECORDED_CRASHES / 2);
+    pub fn of(crashes: &[(CrashId, Millis)], now_ms: u64) -> Self {
+        let crashes = crashes.iter();
+        let crashes = crashes.map(|(id, age)| (*id, now_ms.saturating_sub(age.0)));
+        let mut crashes: Vec<(CrashId, u64)> = crashes.collect();
+        crashes.sort_unstable_by_key(|(_, at_ms)| *at_ms);
+        if crashes.len() > MAX_RECORDED_CRASHES {
+            crashes.drain(MAX_RECORDED_CRASHES / 2..crashes.len() - MAX_RECORDED_CRASHES / 2);
         }
-        Self { ends }
+        Self { crashes }
     }
 
     /// The ends as they are told at `now_ms`; one of the future counts as one of now, since clocks differ.
     #[must_use]
-    pub fn told(&self, cause: Fingerprint, now_ms: u64) -> Vec<Crash> {
+    pub fn to_crashes(&self, cause: Fingerprint, now_ms: u64) -> Vec<Crash> {
         let age = |at_ms: u64| Millis(now_ms.saturating_sub(at_ms));
-        let ends = self.ends.iter();
-        ends.map(|(id, at_ms)| Crash::with_cause(*id, cause, age(*at_ms)))
+        let crashes = self.crashes.iter();
+        crashes
+            .map(|(id, at_ms)| Crash::with_cause(*id, cause, age(*at_ms)))
             .collect()
     }
 
     /// Time since the last end.
     #[must_use]
     pub fn age(&self, now_ms: u64) -> Millis {
-        let last = self.ends.last().map_or(0, |(_, at_ms)| *at_ms);
+        let last = self.crashes.last().map_or(0, |(_, at_ms)| *at_ms);
         Millis(now_ms.saturating_sub(last))
     }
 }
 
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, (id, at_ms)) in self.ends.iter().enumerate() {
+        for (index, (id, at_ms)) in self.crashes.iter().enumerate() {
             let comma = if index == 0 { "" } else { "," };
             write!(f, "{comma}{id}@{at_ms}")?;
         }
@@ -78,11 +80,11 @@
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let end = |text: &str| {
+        let parse_crash = |text: &str| {
             let (id, at_ms) = text.split_once('@').unwrap_or((text, ""));
             Ok((id.parse()?, at_ms.parse()?))
         };
-        let ends: Result<Vec<_>, _> = text.split(',').map(end).collect();
-        Ok(Self { ends: ends? })
+        let crashes: Result<Vec<_>, _> = text.split(',').map(parse_crash).collect();
+        Ok(Self { crashes: crashes? })
     }
 }
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -15,9 +15,9 @@
 use crate::quarantine::record::Record;
 
 /// Time between two looks for ends that are too long ago: small beside the quarantine.
-const LOOK: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 /// Pauses after calls to the platform that failed; while it is away, the daemons remember.
-const PAUSES: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
 
 /// Keeps what one daemon knows in step with the others and the platform.
 #[derive(Debug, Clone)]
@@ -42,36 +42,36 @@
     pub async fn run(self) {
         let mut changes = self.board.quarantine.changes();
         let mut eras = self.board.eras();
-        let mut verdicts: Arc<Assessments> = Arc::default();
+        let mut assessments: Arc<Assessments> = Arc::default();
         loop {
             // Nobody learns of anything without a change; time alone lets ends go.
             tokio::select! {
                 _ = changes.changed() => {}
-                _ = eras.changed() => self.note_again(&verdicts),
-                () = tokio::time::sleep(LOOK) => {}
+                _ = eras.changed() => self.store_all_again(&assessments),
+                () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
             self.board.quarantine.expire();
-            let news = self.board.quarantine.take_news();
-            if !news.is_empty() {
-                self.membership.pass_on(news).await;
+            let updates = self.board.quarantine.take_updates();
+            if !updates.is_empty() {
+                self.membership.pass_on(updates).await;
             }
-            let before = std::mem::replace(&mut verdicts, self.board.quarantine.verdicts());
-            self.compare(&before, &verdicts);
+            let before = std::mem::replace(&mut assessments, self.board.quarantine.assessments());
+            self.apply_changes(&before, &assessments);
         }
     }
 
-    fn compare(&self, before: &Assessments, now: &Assessments) {
+    fn apply_changes(&self, before: &Assessments, now: &Assessments) {
         for (cause, _) in now.quarantined() {
-            if before.of(cause).until.is_none() {
+            if before.of(cause).quarantined_until.is_none() {
                 warn!(self.board.logger, "request in quarantine";
-                    "fingerprint" => %cause, "ends" => now.of(cause).ends);
-                self.note(cause);
+                    "fingerprint" => %cause, "ends" => now.of(cause).crashes);
+                self.store(cause);
             }
         }
         for (cause, _) in before.quarantined() {
-            if now.of(cause).until.is_none() {
+            if now.of(cause).quarantined_until.is_none() {
                 info!(self.board.logger, "request out of quarantine"; "fingerprint" => %cause);
-                self.note(cause);
+                self.store(cause);
             }
         }
         let count = u32::try_from(now.quarantined().count()).unwrap_or(u32::MAX);
@@ -82,10 +82,10 @@
     ///
     /// Guards against a platform that comes back from a copy of before a note: when all daemons are lost
     /// then, the request would end three targets again.
-    fn note_again(&self, verdicts: &Assessments) {
-        verdicts
+    fn store_all_again(&self, assessments: &Assessments) {
+        assessments
             .quarantined()
-            .for_each(|(cause, _)| self.note(cause));
+            .for_each(|(cause, _)| self.store(cause));
     }
 
     /// Has the archive keep what holds of a request now.
@@ -93,21 +93,25 @@
     /// Guards against the loss of all daemons at once: those that start know nothing, and the request
     /// would end three targets again, and as many more as run it meanwhile. Each gate whose own target
     /// ended under the request writes, so that one that dies before it is done is not missed.
-    fn note(&self, cause: Fingerprint) {
-        if !self.board.quarantine.has_seen(cause) {
+    fn store(&self, cause: Fingerprint) {
+        if !self.board.quarantine.has_local_crash(cause) {
             return;
         }
         let (board, archive) = (Arc::clone(&self.board), self.archive.clone());
         tokio::spawn(async move {
-            let mut pauses = PAUSES;
+            let mut backoff = RETRY_BACKOFF;
             while !board.stage().is_stopping() {
-                let ends = board.quarantine.ends_of(cause);
-                let held = board.quarantine.standing(cause).until.is_some();
-                let note = held.then(|| Record::of(&ends, clock::unix_ms()));
-                if archive.note(cause, note.as_ref()).await.is_ok() {
+                let crashes = board.quarantine.crashes_of(cause);
+                let is_quarantined = board
+                    .quarantine
+                    .assessment(cause)
+                    .quarantined_until
+                    .is_some();
+                let record = is_quarantined.then(|| Record::of(&crashes, clock::unix_ms()));
+                if archive.store(cause, record.as_ref()).await.is_ok() {
                     return;
                 }
-                tokio::time::sleep(pauses.random_pause()).await;
+                tokio::time::sleep(backoff.random_pause()).await;
             }
         });
     }
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -55,25 +55,25 @@
     /// Sorted by ticket.
     under_way: Vec<(u64, Run)>,
     /// Runs of unknown fate, with the time at which they were over.
-    ended: Vec<(Instant, Run)>,
+    unresolved: Vec<(Instant, Run)>,
     /// Fingerprints that this life of the target has answered; the oldest is overwritten first.
     answered: Vec<Fingerprint>,
-    oldest_answered: usize,
+    next_answered: usize,
     /// Whether the target has said that it ends.
-    leaving: bool,
+    draining: bool,
     /// Runs that began up to then were at lives whose end is known.
-    known_until: Option<Instant>,
+    attributed_until: Option<Instant>,
     /// Whether it is being found out if the target is still there.
-    inspected: bool,
+    check_in_progress: bool,
 }
 
 impl Running {
     /// Notes that a request is sent to the target.
     pub fn begin(&mut self, run: Run) -> RunId {
-        let ticket = self.next;
+        let id = self.next;
         self.next += 1;
-        self.under_way.push((ticket, run));
-        RunId(ticket)
+        self.under_way.push((id, run));
+        RunId(id)
     }
 
     /// The requests that are under way.
@@ -82,25 +82,23 @@
     }
 
     /// Notes that a run is over.
-    pub fn finish(&mut self, now: Instant, ticket: RunId, end: Completion) {
-        let found = self
-            .under_way
-            .binary_search_by_key(&ticket.0, |(ticket, _)| *ticket);
+    pub fn finish(&mut self, now: Instant, id: RunId, completion: Completion) {
+        let found = self.under_way.binary_search_by_key(&id.0, |(id, _)| *id);
         let Ok(index) = found else {
             return;
         };
         let (_, run) = self.under_way.remove(index);
-        match end {
-            Completion::Answered => self.remember(run.fingerprint),
+        match completion {
+            Completion::Answered => self.remember_answered(run.fingerprint),
             Completion::Resolved => {}
             // What is cut while the target leaves is not the cause.
-            Completion::Unresolved if self.leaving => {}
+            Completion::Unresolved if self.draining => {}
             Completion::Unresolved => {
-                self.forget_old(now);
-                if self.ended.len() == MAX_UNRESOLVED {
-                    self.ended.remove(0);
+                self.drop_expired(now);
+                if self.unresolved.len() == MAX_UNRESOLVED {
+                    self.unresolved.remove(0);
                 }
-                self.ended.push((now, run));
+                self.unresolved.push((now, run));
             }
         }
     }
@@ -108,8 +106,8 @@
     /// Runs that were over with an unknown fate in the last `time`.
     #[must_use]
     pub fn unresolved_within(&self, now: Instant, time: Duration) -> usize {
-        let ended = self.ended.iter();
-        ended
+        let unresolved = self.unresolved.iter();
+        unresolved
             .filter(|(over, _)| now.saturating_duration_since(*over) < time)
             .count()
     }
@@ -120,23 +118,23 @@
     /// themselves one after the other.
     #[must_use]
     pub fn crash_time(&self, now: Instant, age: Option<Duration>) -> Instant {
-        let broken = self.ended.iter().map(|(over, _)| *over).max();
-        let born = age.and_then(|age| now.checked_sub(age));
-        broken.into_iter().chain(born).min().unwrap_or(now)
+        let broken = self.unresolved.iter().map(|(over, _)| *over).max();
+        let started_at = age.and_then(|age| now.checked_sub(age));
+        broken.into_iter().chain(started_at).min().unwrap_or(now)
     }
 
     /// Notes that the target has said that it ends: what was cut before did not end it.
     pub fn mark_draining(&mut self) {
-        self.leaving = true;
-        self.ended.clear();
+        self.draining = true;
+        self.unresolved.clear();
     }
 
     /// Notes that the target takes requests; `another` when it is not the life that did so before.
-    pub fn mark_ready(&mut self, another: bool) {
-        self.leaving = false;
-        if another {
+    pub fn mark_ready(&mut self, restarted: bool) {
+        self.draining = false;
+        if restarted {
             self.answered.clear();
-            self.oldest_answered = 0;
+            self.next_answered = 0;
         }
     }
 
@@ -145,26 +143,26 @@
     ///
     /// Guards against a supervisor that starts a target again before its gate has looked: the end would pass for
     /// a connection that was cut.
-    pub fn succeed(&mut self, now: Instant, age: Option<Duration>) -> Vec<Run> {
-        self.forget_old(now);
-        if self.leaving {
+    pub fn restarted(&mut self, now: Instant, age: Option<Duration>) -> Vec<Run> {
+        self.drop_expired(now);
+        if self.draining {
             return Vec::new();
         }
-        let born = age.and_then(|age| now.checked_sub(age));
-        let ended = std::mem::take(&mut self.ended);
-        let last = ended.iter().map(|(_, run)| run.began).max();
-        let ended = ended.into_iter().map(|(_, run)| run);
-        let before = |run: &&Run| born.is_some_and(|born| run.began < born);
+        let started_at = age.and_then(|age| now.checked_sub(age));
+        let unresolved = std::mem::take(&mut self.unresolved);
+        let last = unresolved.iter().map(|(_, run)| run.began).max();
+        let unresolved = unresolved.into_iter().map(|(_, run)| run);
+        let before = |run: &&Run| started_at.is_some_and(|started_at| run.began < started_at);
         let under_way = self.under_way().filter(before).cloned();
-        let runs = self.suspects(ended.chain(under_way));
-        self.know_until(born.or(last));
+        let runs = self.implicated(unresolved.chain(under_way));
+        self.mark_attributed(started_at.or(last));
         runs
     }
 
     /// Whether to find out if the target is still there; no second time until [`Running::inspected`].
-    pub const fn inspect(&mut self) -> bool {
-        let begins = !self.inspected;
-        self.inspected = true;
+    pub const fn begin_check(&mut self) -> bool {
+        let begins = !self.check_in_progress;
+        self.check_in_progress = true;
         begins
     }
 
@@ -173,27 +171,32 @@
     ///
     /// What this life has answered before did not end it now: a request that many callers send is under
     /// way whenever a target ends.
-    pub fn inspected(&mut self, now: Instant, gone_since: Option<Instant>) -> Vec<Run> {
-        self.inspected = false;
-        self.forget_old(now);
-        let Some(gone_since) = gone_since.filter(|_| !self.leaving) else {
+    pub fn finish_check(&mut self, now: Instant, refused_since: Option<Instant>) -> Vec<Run> {
+        self.check_in_progress = false;
+        self.drop_expired(now);
+        let Some(refused_since) = refused_since.filter(|_| !self.draining) else {
             return Vec::new();
         };
-        let at_the_end = |run: &Run| run.began <= gone_since;
-        let ended = std::mem::take(&mut self.ended);
-        let (ended, later) = ended.into_iter().partition(|(_, run)| at_the_end(run));
-        self.ended = later;
-        let lingers = |over: Instant| now.saturating_duration_since(over) < ABANDONED_WINDOW;
-        let ended = ended.into_iter().filter(|(over, _)| lingers(*over));
-        let under_way = self.under_way().filter(|run| at_the_end(run)).cloned();
-        let runs = self.suspects(ended.map(|(_, run)| run).chain(under_way));
-        self.know_until(Some(gone_since));
+        let began_before_crash = |run: &Run| run.began <= refused_since;
+        let unresolved = std::mem::take(&mut self.unresolved);
+        let (unresolved, later) = unresolved
+            .into_iter()
+            .partition(|(_, run)| began_before_crash(run));
+        self.unresolved = later;
+        let is_recent = |over: Instant| now.saturating_duration_since(over) < ABANDONED_WINDOW;
+        let unresolved = unresolved.into_iter().filter(|(over, _)| is_recent(*over));
+        let under_way = self
+            .under_way()
+            .filter(|run| began_before_crash(run))
+            .cloned();
+        let runs = self.implicated(unresolved.map(|(_, run)| run).chain(under_way));
+        self.mark_attributed(Some(refused_since));
         runs
     }
 
     /// Those of some runs that may have ended this life: not answered by it, nor told at an earlier end.
-    fn suspects(&self, runs: impl Iterator<Item = Run>) -> Vec<Run> {
-        runs.filter(|run| self.known_until.is_none_or(|until| run.began > until))
+    fn implicated(&self, runs: impl Iterator<Item = Run>) -> Vec<Run> {
+        runs.filter(|run| self.attributed_until.is_none_or(|until| run.began > until))
             .filter(|run| !self.answered.contains(&run.fingerprint))
             .collect()
     }
@@ -202,21 +205,21 @@
     ///
     /// Guards against one end that is told twice, and against a look that comes back when the next life is there:
     /// the end of that one would pass for known.
-    fn know_until(&mut self, until: Option<Instant>) {
-        self.known_until = self.known_until.max(until);
+    fn mark_attributed(&mut self, until: Option<Instant>) {
+        self.attributed_until = self.attributed_until.max(until);
     }
 
-    fn remember(&mut self, fingerprint: Fingerprint) {
+    fn remember_answered(&mut self, fingerprint: Fingerprint) {
         if self.answered.len() < MAX_ANSWERED {
             self.answered.push(fingerprint);
             return;
         }
-        self.answered[self.oldest_answered] = fingerprint;
-        self.oldest_answered = (self.oldest_answered + 1) % MAX_ANSWERED;
+        self.answered[self.next_answered] = fingerprint;
+        self.next_answered = (self.next_answered + 1) % MAX_ANSWERED;
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        self.ended
+    fn drop_expired(&mut self, now: Instant) {
+        self.unresolved
             .retain(|(over, _)| now.saturating_duration_since(*over) < RESTART_WINDOW);
     }
 }
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -22,7 +22,7 @@
 pub struct Quarantine {
     /// Held for as long as it takes to judge, and never by a request that nothing is held against.
     state: Mutex<State>,
-    verdicts: ArcSwap<Assessments>,
+    assessments: ArcSwap<Assessments>,
     changes: watch::Sender<u64>,
 }
 
@@ -30,65 +30,71 @@
 struct State {
     evidence: CrashSet,
     /// Ends of this daemon's own target; those that are forgotten go with the next one.
-    seen: Vec<CrashId>,
+    local_crashes: Vec<CrashId>,
     /// Requests that were answered here after the one end at which they ran; the first one first.
     answered: VecDeque<(Fingerprint, CrashId)>,
     /// Ends with something that has not been passed on yet.
-    news: Vec<CrashId>,
+    updates: Vec<CrashId>,
     hash: u64,
 }
 
 impl Quarantine {
     /// Nothing is known yet; what comes is remembered for `memory`.
     #[must_use]
-    pub fn new(memory: Duration) -> Self {
+    pub fn new(retention: Duration) -> Self {
         let state = State {
-            evidence: CrashSet::new(memory),
-            seen: Vec::new(),
+            evidence: CrashSet::new(retention),
+            local_crashes: Vec::new(),
             answered: VecDeque::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             hash: 0,
         };
         Self {
             state: Mutex::new(state),
-            verdicts: ArcSwap::default(),
+            assessments: ArcSwap::default(),
             changes: watch::Sender::new(0),
         }
     }
 
     /// What is held against a request.
     #[must_use]
-    pub fn standing(&self, fingerprint: Fingerprint) -> Assessment {
-        self.verdicts.load().of(fingerprint)
+    pub fn assessment(&self, fingerprint: Fingerprint) -> Assessment {
+        self.assessments.load().of(fingerprint)
     }
 
     /// What is held against all requests.
     #[must_use]
-    pub fn verdicts(&self) -> Arc<Assessments> {
-        self.verdicts.load_full()
+    pub fn assessments(&self) -> Arc<Assessments> {
+        self.assessments.load_full()
     }
 
     /// Takes in an end of this daemon's own target.
-    pub fn see(&self, crash: &Crash) {
+    pub fn record_local_crash(&self, crash: &Crash) {
         let mut state = self.state();
-        let State { seen, evidence, .. } = &mut *state;
-        seen.retain(|id| evidence.contains(*id));
-        seen.push(crash.id);
+        let State {
+            local_crashes,
+            evidence,
+            ..
+        } = &mut *state;
+        local_crashes.retain(|id| evidence.contains(*id));
+        local_crashes.push(crash.id);
         drop(state);
         self.merge(std::slice::from_ref(crash));
     }
 
     /// Whether this daemon's own target ended under a request.
     #[must_use]
-    pub fn has_seen(&self, cause: Fingerprint) -> bool {
+    pub fn has_local_crash(&self, cause: Fingerprint) -> bool {
         let state = self.state();
-        let ends = state.evidence.crashes_of(cause, Instant::now());
-        ends.iter().any(|(id, _)| state.seen.contains(id))
+        let crashes = state.evidence.crashes_of(cause, Instant::now());
+        crashes
+            .iter()
+            .any(|(id, _)| state.local_crashes.contains(id))
     }
 
     /// The ends that accuse a request, with the time since each.
     #[must_use]
-    pub fn ends_of(&self, cause: Fingerprint) -> Vec<(CrashId, Millis)> {
+    pub fn crashes_of(&self, cause: Fingerprint) -> Vec<(CrashId, Millis)> {
         self.state().evidence.crashes_of(cause, Instant::now())
     }
 
@@ -96,22 +102,22 @@
     pub fn merge(&self, crashes: &[Crash]) {
         let now = Instant::now();
         let mut state = self.state();
-        let before = state.news.len();
+        let before = state.updates.len();
         for crash in crashes {
             if state.evidence.merge(now, crash) {
-                state.news.push(crash.id);
+                state.updates.push(crash.id);
             }
         }
-        if state.news.len() > before {
-            self.judge(&mut state);
+        if state.updates.len() > before {
+            self.reassess(&mut state);
             self.clear_answered(&mut state);
         }
     }
 
     /// Takes in notes as they are read at `now_ms`, in Unix milliseconds.
-    pub fn recall(&self, notes: &[(Fingerprint, Record)], now_ms: u64) {
-        for (cause, note) in notes {
-            self.merge(&note.told(*cause, now_ms));
+    pub fn restore(&self, records: &[(Fingerprint, Record)], now_ms: u64) {
+        for (cause, record) in records {
+            self.merge(&record.to_crashes(*cause, now_ms));
         }
     }
 
@@ -120,18 +126,18 @@
     /// Guards against a request that was under way at the ends of three targets by chance, as one that
     /// many callers send may be: it would be refused everywhere. While it ran at one end only, the answer is
     /// kept here until it matters: told at once, the answers after many ends would flood a fleet.
-    pub fn answered(&self, fingerprint: Fingerprint) {
-        let standing = self.standing(fingerprint);
-        if standing.ends == 0 {
+    pub fn record_answer(&self, fingerprint: Fingerprint) {
+        let assessment = self.assessment(fingerprint);
+        if assessment.crashes == 0 {
             return;
         }
         let mut state = self.state();
-        if standing.must_isolate() {
+        if assessment.must_isolate() {
             self.clear(&mut state, fingerprint, None);
             return;
         }
-        let ends = state.evidence.crashes_of(fingerprint, Instant::now());
-        for (id, _) in ends {
+        let crashes = state.evidence.crashes_of(fingerprint, Instant::now());
+        for (id, _) in crashes {
             if state.answered.len() == MAX_ANSWERED {
                 state.answered.pop_front();
             }
@@ -143,7 +149,7 @@
     pub fn expire(&self) {
         let mut state = self.state();
         if state.evidence.expire(Instant::now()) {
-            self.judge(&mut state);
+            self.reassess(&mut state);
         }
     }
 
@@ -155,16 +161,16 @@
 
     /// Everything that is known.
     #[must_use]
-    pub fn told(&self) -> Vec<Crash> {
+    pub fn snapshot(&self) -> Vec<Crash> {
         self.state().evidence.snapshot(Instant::now(), None)
     }
 
     /// What has not been passed on yet, which counts as passed on from now on.
     #[must_use]
-    pub fn take_news(&self) -> Vec<Crash> {
+    pub fn take_updates(&self) -> Vec<Crash> {
         let mut state = self.state();
-        let news = std::mem::take(&mut state.news);
-        state.evidence.snapshot(Instant::now(), Some(&news))
+        let updates = std::mem::take(&mut state.updates);
+        state.evidence.snapshot(Instant::now(), Some(&updates))
     }
 
     /// Follows changes.
@@ -175,14 +181,14 @@
 
     /// Takes in the answers that were kept here to requests that ran at another end since.
     fn clear_answered(&self, state: &mut State) {
-        let verdicts = self.verdicts();
-        let matters = |known: &(Fingerprint, CrashId)| verdicts.of(known.0).must_isolate();
-        let matter: Vec<_> = state.answered.iter().copied().filter(matters).collect();
-        if matter.is_empty() {
+        let assessments = self.assessments();
+        let is_relevant = |known: &(Fingerprint, CrashId)| assessments.of(known.0).must_isolate();
+        let relevant: Vec<_> = state.answered.iter().copied().filter(is_relevant).collect();
+        if relevant.is_empty() {
             return;
         }
-        state.answered.retain(|known| !matters(known));
-        for (fingerprint, id) in matter {
+        state.answered.retain(|known| !is_relevant(known));
+        for (fingerprint, id) in relevant {
             self.clear(state, fingerprint, Some(id));
         }
     }
@@ -191,14 +197,14 @@
     fn clear(&self, state: &mut State, fingerprint: Fingerprint, id: Option<CrashId>) {
         let cleared = state.evidence.clear(fingerprint, id);
         if !cleared.is_empty() {
-            state.news.extend(cleared);
-            self.judge(state);
+            state.updates.extend(cleared);
+            self.reassess(state);
         }
     }
 
-    fn judge(&self, state: &mut State) {
+    fn reassess(&self, state: &mut State) {
         state.hash = state.evidence.hash();
-        self.verdicts.store(Arc::new(state.evidence.assess()));
+        self.assessments.store(Arc::new(state.evidence.assess()));
         self.changes.send_modify(|count| *count += 1);
     }
 
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -169,7 +169,7 @@
     /// Requests that the target works on, by route and the time since it got them.
     fn under_way(&self, now: Instant) -> Vec<(RouteId, Counts)> {
         let mut ages = Tally::default();
-        let running = detector::lock(&self.board.running);
+        let running = detector::lock_running(&self.board.running);
         for run in running.under_way() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
@@ -178,7 +178,7 @@
     }
 
     fn busy(&self) -> u32 {
-        let running = detector::lock(&self.board.running);
+        let running = detector::lock_running(&self.board.running);
         u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
     }
 
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -50,7 +50,7 @@
     let ends: [&[u64]; 5] = [&[1, 2], &[1, 2], &[1, 2], &[1], &[1]];
     let evidence = evidence(&ends);
     assert_eq!(quarantined(&evidence), [1]);
-    assert_eq!(evidence.assess().of(Fingerprint(2)).ends, 0);
+    assert_eq!(evidence.assess().of(Fingerprint(2)).crashes, 0);
 }
 
 /// Two requests have run at the same three ends. One of them is a bystander, and three ends don't tell
@@ -110,7 +110,11 @@
 #[test]
 fn quarantine_ends_with_its_time() {
     let mut evidence = evidence(&[&[1], &[1], &[1]]);
-    let until = evidence.assess().of(FATAL).until.expect("it is refused");
+    let until = evidence
+        .assess()
+        .of(FATAL)
+        .quarantined_until
+        .expect("it is refused");
     assert!(!evidence.expire(Instant::now() + MEMORY / 2));
     assert!(evidence.expire(until));
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
@@ -145,11 +149,16 @@
     let note = Record::of(&known.crashes_of(FATAL, now), 1_000_000);
     let read: Record = note.to_string().parse().expect("it was written so");
     let mut started = CrashSet::new(MEMORY);
-    for crash in read.told(FATAL, 1_060_000) {
+    for crash in read.to_crashes(FATAL, 1_060_000) {
         started.merge(now, &crash);
     }
     assert_eq!(quarantined(&started), [1]);
-    let left = started.assess().of(FATAL).until.expect("it is refused") - now;
+    let left = started
+        .assess()
+        .of(FATAL)
+        .quarantined_until
+        .expect("it is refused")
+        - now;
     assert!(left + Duration::from_mins(1) <= MEMORY, "{left:?}");
     for text in ["", "x", "1@", "1@2,zz@3", "1@2,,3@4"] {
         assert!(text.parse::<Record>().is_err(), "{text}");
@@ -217,7 +226,7 @@
             let verdicts = evidence.assess();
             (0..5).map(|request| {
                 let standing = verdicts.of(Fingerprint(request));
-                (standing.ends, standing.until.is_some())
+                (standing.crashes, standing.quarantined_until.is_some())
             }).collect::<Vec<_>>()
         };
         prop_assert_eq!(standings(&forward), standings(&backward));
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -23,7 +23,7 @@
 }
 
 fn is_refused(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
-    let until = quarantine.standing(fingerprint).until;
+    let until = quarantine.assessment(fingerprint).quarantined_until;
     until.is_some_and(|until| Instant::now() < until)
 }
 
@@ -35,12 +35,12 @@
     let quarantine = quarantine();
     let running: Vec<Fingerprint> = (0..18).map(Fingerprint).collect();
     quarantine.merge(&[end(1, 0, &running)]);
-    assert_eq!(quarantine.take_news().len(), 1);
+    assert_eq!(quarantine.take_updates().len(), 1);
     let hash = quarantine.hash();
     for one in &running {
-        quarantine.answered(*one);
+        quarantine.record_answer(*one);
     }
-    assert!(quarantine.take_news().is_empty());
+    assert!(quarantine.take_updates().is_empty());
     assert_eq!(quarantine.hash(), hash);
 }
 
@@ -50,11 +50,11 @@
 fn answer_between_two_ends_counts() {
     let quarantine = quarantine();
     quarantine.merge(&[end(1, 9, &[BYSTANDER])]);
-    quarantine.answered(BYSTANDER);
+    quarantine.record_answer(BYSTANDER);
     quarantine.merge(&[end(2, 6, &[BYSTANDER])]);
     quarantine.merge(&[end(3, 3, &[BYSTANDER])]);
     assert!(!is_refused(&quarantine, BYSTANDER));
-    let told = quarantine.told();
+    let told = quarantine.snapshot();
     assert_eq!(told[0].cleared, [BYSTANDER], "the others hear of it now");
     quarantine.merge(&[end(4, 0, &[BYSTANDER])]);
     assert!(
@@ -67,10 +67,10 @@
 fn answer_after_two_ends_is_told() {
     let quarantine = quarantine();
     quarantine.merge(&[end(1, 9, &[BYSTANDER]), end(2, 6, &[BYSTANDER])]);
-    assert_eq!(quarantine.take_news().len(), 2);
-    quarantine.answered(BYSTANDER);
-    assert_eq!(quarantine.take_news().len(), 2);
-    assert_eq!(quarantine.standing(BYSTANDER).ends, 0);
+    assert_eq!(quarantine.take_updates().len(), 2);
+    quarantine.record_answer(BYSTANDER);
+    assert_eq!(quarantine.take_updates().len(), 2);
+    assert_eq!(quarantine.assessment(BYSTANDER).crashes, 0);
 }
 
 /// Guards against a request that leaves the quarantine by another spelling of its host.
--- a/tests/running.rs
+++ b/tests/running.rs
@@ -17,8 +17,8 @@
 
 /// Notes that the target ended at `now`; what may have ended it.
 fn end(running: &mut Running, now: Instant) -> Vec<Run> {
-    assert!(running.inspect());
-    running.inspected(now, Some(now))
+    assert!(running.begin_check());
+    running.finish_check(now, Some(now))
 }
 
 #[test]
@@ -41,10 +41,10 @@
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
     running.finish(now, broken, Completion::Unresolved);
-    assert!(running.inspect());
-    assert!(!running.inspect(), "once at a time");
-    assert!(running.inspected(now, None).is_empty());
-    assert!(running.inspect());
+    assert!(running.begin_check());
+    assert!(!running.begin_check(), "once at a time");
+    assert!(running.finish_check(now, None).is_empty());
+    assert!(running.begin_check());
 }
 
 /// A target says that it ends, and ends with a request under way that took too long. The request is not
@@ -98,9 +98,9 @@
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
     running.finish(now, broken, Completion::Unresolved);
-    assert!(running.inspect());
+    assert!(running.begin_check());
     assert!(
-        running.inspected(now, None).is_empty(),
+        running.finish_check(now, None).is_empty(),
         "the next life listens"
     );
     running.begin(run("/under-way", now));
@@ -108,7 +108,7 @@
     running.begin(run("/new", later));
     let age = Some(Duration::from_secs(1));
     assert_eq!(
-        running.succeed(later, age),
+        running.restarted(later, age),
         [run("/broken", now), run("/under-way", now)]
     );
 }
@@ -138,7 +138,7 @@
     let late = running.begin(run("/late", now));
     assert_eq!(end(&mut running, now), [run("/late", now)]);
     running.finish(now, late, Completion::Unresolved);
-    assert!(running.succeed(now, None).is_empty());
+    assert!(running.restarted(now, None).is_empty());
 }
 
 /// Guards against requests that are accused since their target was stopped and started as planned.
@@ -148,7 +148,7 @@
     let cut = running.begin(run("/cut", now));
     running.mark_draining();
     running.finish(now, cut, Completion::Unresolved);
-    assert!(running.succeed(now, None).is_empty());
+    assert!(running.restarted(now, None).is_empty());
 }
 
 /// Guards against a connection that was cut long before its target ended.
@@ -158,7 +158,7 @@
     let cut = running.begin(run("/cut", now));
     running.finish(now, cut, Completion::Unresolved);
     let later = now + Duration::from_secs(6);
-    assert!(running.succeed(later, None).is_empty());
+    assert!(running.restarted(later, None).is_empty());
 }
 
 /// Guards against the end of a life that passes for known, since the look after the one before it came back late.
@@ -172,14 +172,14 @@
         let looked = began + ms(345);
         let announced = looked + ms(5);
         running.finish(looked, broken, Completion::Unresolved);
-        assert!(running.inspect());
+        assert!(running.begin_check());
         assert_eq!(
-            running.succeed(announced, Some(ms(2))),
+            running.restarted(announced, Some(ms(2))),
             [run("/fatal", began)]
         );
         running.mark_ready(true);
         let late = announced + ms(5);
-        assert!(running.inspected(late, Some(looked)).is_empty(), "told");
+        assert!(running.finish_check(late, Some(looked)).is_empty(), "told");
     }
 }
 
@@ -189,11 +189,11 @@
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/fatal", now));
     running.finish(now, broken, Completion::Unresolved);
-    assert!(running.inspect());
+    assert!(running.begin_check());
     running.mark_ready(true);
     let next = running.begin(run("/next", now + Duration::from_millis(5)));
     let late = now + Duration::from_millis(10);
-    assert_eq!(running.inspected(late, Some(now)), [run("/fatal", now)]);
+    assert_eq!(running.finish_check(late, Some(now)), [run("/fatal", now)]);
     running.finish(late, next, Completion::Unresolved);
     assert_eq!(
         end(&mut running, late),
@@ -208,7 +208,7 @@
     let late = running.begin(run("/late", now));
     let later = now + Duration::from_millis(400);
     let age = Some(Duration::from_millis(100));
-    assert_eq!(running.succeed(later, age), [run("/late", now)]);
+    assert_eq!(running.restarted(later, age), [run("/late", now)]);
     running.mark_ready(true);
     running.finish(later, late, Completion::Unresolved);
     assert!(end(&mut running, later).is_empty());
