--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -23,7 +23,7 @@
 use crate::membership::member::Stage;
 use crate::quarantine::detector::Detector;
 use crate::quarantine::running::{Completion, Run};
-use crate::rollout::tally::Outcome;
+use crate::rollout::counters::Outcome;
 use crate::settings::Limits;
 use crate::units::{Millis, Service};
 
--- a/src/configuration/origin.rs
+++ b/src/configuration/origin.rs
@@ -15,7 +15,7 @@
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::record::Record;
-use crate::rollout::order::{Notice, Order, Status};
+use crate::rollout::order::{Change, Order, Status};
 use crate::units::{DataCentre, Era, Millis, Offset, Version};
 
 /// A version that the platform has accepted.
@@ -42,7 +42,7 @@
     /// Versions that were not read before, the highest one last.
     pub releases: Vec<Release>,
     /// Orders to roll out a revision that were not read before, the last one last.
-    pub orders: Vec<Notice>,
+    pub orders: Vec<Change>,
     /// Where to read on.
     pub next: Position,
     /// Whether nothing followed that when it was read.
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -22,7 +22,7 @@
 use crate::configuration::relay::{jitter, order};
 use crate::error::{Error, Result};
 use crate::membership::member::Stage;
-use crate::rollout::order::Notice;
+use crate::rollout::order::Change;
 use crate::settings::Delivery;
 use crate::units::{Millis, Offset, Version};
 
@@ -231,7 +231,7 @@
         }
     }
 
-    fn note_order(&self, notice: &Notice) {
+    fn note_order(&self, notice: &Change) {
         if !self.board.rollouts.notice(notice) {
             return;
         }
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -10,8 +10,8 @@
 use crate::configuration::freshness;
 use crate::membership::member::Member;
 use crate::quarantine::crash::Crash;
+use crate::rollout::counters::Report;
 use crate::rollout::progress::Progress;
-use crate::rollout::tally::Report;
 use crate::units::{Era, Revision, Service, Slots, Version};
 
 /// A membership datagram.
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -13,8 +13,8 @@
 use crate::membership::probe::{Membership, State};
 use crate::membership::view::Send;
 use crate::quarantine::crash::Crash;
+use crate::rollout::counters::Report;
 use crate::rollout::progress::Progress;
-use crate::rollout::tally::Report;
 use crate::wire;
 
 /// Members that hear of an end from each daemon. By reckoning all but two in a hundred hear of it this way, at
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -20,7 +20,7 @@
 use crate::membership::roster::{Departed, Home, Roster};
 use crate::membership::timing::Timing;
 use crate::membership::view::{Effects, Send, View};
-use crate::rollout::usual::Usual;
+use crate::rollout::stable::Revisions;
 use crate::settings::{Delivery, Settings};
 use crate::units::{Incarnation, Millis, Revision, Service};
 use crate::wire;
@@ -45,7 +45,7 @@
     /// When another daemon was told everything that is known of ends of targets.
     pub reconciled: Option<Instant>,
     /// Revisions that get requests without an order.
-    usual: Usual,
+    usual: Revisions,
 }
 
 impl Membership {
@@ -68,7 +68,7 @@
             view,
             rng,
             reconciled: None,
-            usual: Usual::default(),
+            usual: Revisions::default(),
         });
         let membership = Self {
             board,
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -14,7 +14,7 @@
 use crate::configuration::document::{Ejection, Group};
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
-use crate::rollout::usual::Usual;
+use crate::rollout::stable::Revisions;
 use crate::units::{Birth, DataCentre, Millis, Revision, Service};
 
 /// Bytes in a kilobyte.
@@ -35,7 +35,7 @@
     pub fleet: Vec<(Service, usize)>,
     pools: Vec<Pool>,
     /// Revisions that get requests without an order.
-    pub usual: Usual,
+    pub usual: Revisions,
 }
 
 /// A member that is thought to be gone.
@@ -97,7 +97,7 @@
         gone: Vec<Departed>,
         home: &Home,
         old: &Self,
-        mut usual: Usual,
+        mut usual: Revisions,
         now: Instant,
     ) -> Self {
         members.sort_by_key(|member| member.peer);
--- a/src/rollout/evidence.rs
+++ b/src/rollout/analysis.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::rollout::tally::{Counts, Report, RouteId, Tally};
-use crate::rollout::test::{Comparison, Leaning, Sample, Test};
+use crate::rollout::counters::{Counters, Report, RouteCounters, RouteId};
+use crate::rollout::significance::{Comparison, Conclusion, Sample, Test};
 use crate::units::Revision;
 
 /// Ticks that are remembered: a minute at four a second.
@@ -36,8 +36,8 @@
 /// What was counted between two ticks.
 #[derive(Debug, Clone, Default)]
 struct Tick {
-    old: Vec<(RouteId, Counts)>,
-    new: Vec<(SocketAddr, RouteId, Counts)>,
+    old: Vec<(RouteId, RouteCounters)>,
+    new: Vec<(SocketAddr, RouteId, RouteCounters)>,
 }
 
 /// How a revision compares with the old one.
@@ -71,7 +71,7 @@
 
 /// Reports of the gates of one service during one roll-out.
 #[derive(Debug, Clone)]
-pub struct Evidence {
+pub struct Analysis {
     /// Revision that is rolled out.
     revision: Revision,
     /// Sorted by address.
@@ -85,7 +85,7 @@
     answers: u64,
 }
 
-impl Evidence {
+impl Analysis {
     /// Nothing reported yet on `revision`.
     #[must_use]
     pub const fn new(revision: Revision) -> Self {
@@ -124,7 +124,7 @@
         }
     }
 
-    fn count(&mut self, peer: SocketAddr, report: &Report, before: &Tally) {
+    fn count(&mut self, peer: SocketAddr, report: &Report, before: &Counters) {
         let arrived = report.tally.arrived - before.arrived;
         let is_new = report.revision == self.revision;
         if is_new {
@@ -208,7 +208,7 @@
         let all = self.ticks.len();
         let leans = |span: usize| {
             let compared = self.compare_all(&routes, span);
-            test.compare(&compared, targets <= 1) >= Leaning::Doubtful
+            test.compare(&compared, targets <= 1) >= Conclusion::Doubtful
         };
         leans(all) || leans(all.min(LATELY))
     }
@@ -239,7 +239,7 @@
         spans.into_iter().find_map(|span| {
             let compared = self.compare_all(routes, span);
             let leaning = test.compare(&compared, targets <= 1);
-            (leaning == Leaning::Worse).then(|| Finding::new(routes, &compared, span))
+            (leaning == Conclusion::Worse).then(|| Finding::new(routes, &compared, span))
         })
     }
 
@@ -254,7 +254,7 @@
         let asked = self.answered(route, span).max(BASE);
         let lately = self.base(route, span, asked);
         let slow = lately.median().map_or(usize::MAX, |median| median + SLOWER);
-        let sample = |counts: &Counts| Sample {
+        let sample = |counts: &RouteCounters| Sample {
             bad: counts.bad(slow),
             total: counts.total(),
         };
@@ -280,8 +280,8 @@
     ///
     /// Guards against many answers that are held against few: while the new revision gets all requests, the
     /// last ones of the old stand for all that follow, and some good ones would be taken back for their luck.
-    fn base(&self, route: RouteId, span: usize, asked: u32) -> Counts {
-        let mut base = Counts::default();
+    fn base(&self, route: RouteId, span: usize, asked: u32) -> RouteCounters {
+        let mut base = RouteCounters::default();
         for (age, tick) in self.ticks.iter().rev().enumerate() {
             if age >= span && base.total() >= asked {
                 break;
@@ -335,7 +335,7 @@
     }
 }
 
-fn add(all: &mut Vec<(RouteId, Counts)>, route: RouteId, counts: &Counts) {
+fn add(all: &mut Vec<(RouteId, RouteCounters)>, route: RouteId, counts: &RouteCounters) {
     match all.binary_search_by_key(&route, |(known, _)| *known) {
         Ok(index) => all[index].1.merge(counts),
         Err(index) => all.insert(index, (route, *counts)),
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -18,14 +18,16 @@
 use crate::membership::member::{Health, Stage};
 use crate::membership::probe::Membership;
 use crate::quarantine::detector;
+use crate::rollout::counters::{Counters, Outcome, Report, RouteCounters, RouteId};
 use crate::rollout::decision::{Decision, decide};
-use crate::rollout::duty::{Duty, Gates, MOVE_TICK, SAMPLED, TICK, ranked};
-use crate::rollout::observed::Limits;
+use crate::rollout::observed::ExposureLimits;
 use crate::rollout::order::{Order, Status};
-use crate::rollout::plan::{ALL, MOST_CHOSEN, Plan, RENEWAL, Step};
-use crate::rollout::progress::Known;
-use crate::rollout::tally::{Counts, Outcome, Report, RouteId, Tally};
-use crate::rollout::test::Test;
+use crate::rollout::plan::{FULL_PERMILLE, MAX_CHOSEN, Plan, RENEWAL_INTERVAL, Step};
+use crate::rollout::progress::LocalProgress;
+use crate::rollout::significance::Test;
+use crate::rollout::tracker::{
+    MAX_OLD_REPORTERS, PROMOTION_TICK_INTERVAL, Sidecars, TICK_INTERVAL, Tracker, rendezvous_order,
+};
 use crate::units::Service;
 
 /// Time between two looks where all have a verdict.
@@ -35,7 +37,7 @@
 /// Time without a plan after which the next one decides: before plans lapse.
 const TAKE_OVER: Duration = Duration::from_secs(1);
 /// Gates of new targets that report: twice as many as a plan names, since some may not be warm.
-const TRIED: usize = 2 * MOST_CHOSEN;
+const TRIED: usize = 2 * MAX_CHOSEN;
 /// Gates that report in one tick that nothing runs at their old targets; where there are more, each does so
 /// less often.
 const DRAINS: usize = 48;
@@ -51,9 +53,9 @@
     board: Arc<Board>,
     membership: Arc<Membership>,
     origin: Option<Arc<dyn Origin>>,
-    limits: Limits,
+    limits: ExposureLimits,
     /// Sorted by service.
-    duties: Vec<Duty>,
+    duties: Vec<Tracker>,
     ticks: u64,
 }
 
@@ -130,10 +132,10 @@
         };
         let now = Instant::now();
         let step = rule.step(now).unwrap_or_default();
-        let gates = Gates::of(&board.roster(), &target.service, &rule.revision);
+        let gates = Sidecars::of(&board.roster(), &target.service, &rule.revision);
         let me = board.settings.identity();
         let is_among = |peers: &[SocketAddr], first| peers.iter().take(first).any(|p| *p == me);
-        let counts = is_among(&gates.new, TRIED) || is_among(&gates.old, SAMPLED);
+        let counts = is_among(&gates.new, TRIED) || is_among(&gates.old, MAX_OLD_REPORTERS);
         let every = gates.old.len().div_ceil(DRAINS).max(1) as u64;
         let drains = step == Step::All && revision != rule.revision;
         let drains = drains && self.ticks.is_multiple_of(every);
@@ -154,7 +156,7 @@
             tally: if counts {
                 board.rollouts.counted()
             } else {
-                Tally::default()
+                Counters::default()
             },
         };
         for peer in self.deciders(&target.service).into_iter().take(DECIDERS) {
@@ -167,8 +169,8 @@
     }
 
     /// Requests that the target works on, by route and the time since it got them.
-    fn under_way(&self, now: Instant) -> Vec<(RouteId, Counts)> {
-        let mut ages = Tally::default();
+    fn under_way(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
+        let mut ages = Counters::default();
         let running = detector::lock_running(&self.board.running);
         for run in running.under_way() {
             let age = now.saturating_duration_since(run.began);
@@ -189,11 +191,11 @@
             .members
             .iter()
             .filter(|member| member.stage == Stage::Serving && member.health == Health::Alive);
-        ranked(service, serving)
+        rendezvous_order(service, serving)
     }
 
-    fn gates(&self, order: &Order) -> Gates {
-        Gates::of(&self.board.roster(), &order.service, &order.revision)
+    fn gates(&self, order: &Order) -> Sidecars {
+        Sidecars::of(&self.board.roster(), &order.service, &order.revision)
     }
 
     fn take_reports(&mut self) {
@@ -215,7 +217,7 @@
     }
 
     /// Looks after one roll-out, where that is this daemon's part.
-    fn attend(&mut self, known: &Known) {
+    fn attend(&mut self, known: &LocalProgress) {
         let order = known.progress().order.clone();
         let me = self.board.settings.identity();
         let deciders = self.deciders(&order.service);
@@ -229,11 +231,11 @@
         let index = match self.find(&order.service) {
             Ok(index) if self.duties[index].order == order => index,
             Ok(index) => {
-                self.duties[index] = Duty::new(order, known);
+                self.duties[index] = Tracker::new(order, known);
                 index
             }
             Err(index) => {
-                self.duties.insert(index, Duty::new(order, known));
+                self.duties.insert(index, Tracker::new(order, known));
                 index
             }
         };
@@ -250,7 +252,7 @@
     }
 
     /// Decides what comes next.
-    fn steer(&mut self, index: usize, known: &Known, gates: &Gates) {
+    fn steer(&mut self, index: usize, known: &LocalProgress, gates: &Sidecars) {
         let now = Instant::now();
         let era = self.board.era();
         let progress = known.progress();
@@ -270,7 +272,7 @@
             (plan.step, plan.permille, &plan.chosen) == (decision.step, decision.permille, &chosen);
         let quiet = now.saturating_duration_since(known.renewed());
         let order = duty.order.clone();
-        if !same || quiet >= RENEWAL.duration() {
+        if !same || quiet >= RENEWAL_INTERVAL.duration() {
             let next = Plan {
                 number: plan.number + 1,
                 step: decision.step,
@@ -280,7 +282,7 @@
             self.board.rollouts.follow(&order, &next);
             let service = order.service.to_string();
             metrics::gauge!("jackdaw_rollout_share", "service" => service)
-                .set(f64::from(decision.permille) / f64::from(ALL));
+                .set(f64::from(decision.permille) / f64::from(FULL_PERMILLE));
         }
         if plan.step != decision.step || decision.complete {
             info!(self.board.logger, "roll-out decided"; "service" => %order.service,
@@ -297,7 +299,7 @@
     }
 
     /// Looks now and then whether the platform still says how a roll-out stands, and whether it knows better.
-    fn check(&mut self, index: usize, known: &Known, status: Status) {
+    fn check(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
         let duty = &self.duties[index];
         let era = self.board.era();
@@ -337,12 +339,19 @@
 }
 
 /// Time until the next look at what is known.
-fn pause(known: &[Known]) -> Duration {
+fn pause(known: &[LocalProgress]) -> Duration {
     let open = known
         .iter()
         .filter(|known| known.progress().verdict.is_none());
-    let moves = |known: &Known| matches!(known.progress().plan.step, Step::Ramp | Step::All);
-    let each = open.map(|known| if moves(known) { MOVE_TICK } else { TICK });
+    let moves =
+        |known: &LocalProgress| matches!(known.progress().plan.step, Step::Ramp | Step::All);
+    let each = open.map(|known| {
+        if moves(known) {
+            PROMOTION_TICK_INTERVAL
+        } else {
+            TICK_INTERVAL
+        }
+    });
     each.min().unwrap_or(REST)
 }
 
--- a/src/rollout/tally.rs
+++ b/src/rollout/counters.rs
@@ -47,14 +47,14 @@
 
 /// Answers on one route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct RouteCounters {
     /// Requests that the target failed.
     pub failed: u32,
     /// Requests that it answered, by the time that they took.
     pub times: [u32; BUCKETS],
 }
 
-impl Default for Counts {
+impl Default for RouteCounters {
     fn default() -> Self {
         Self {
             failed: 0,
@@ -63,7 +63,7 @@
     }
 }
 
-impl Counts {
+impl RouteCounters {
     /// Counts one outcome.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
@@ -137,16 +137,16 @@
 
 /// What one gate has counted since the order that it counts for.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct Counters {
     /// Names this life of the counts.
     pub life: u64,
     /// Requests that were sent to the target.
     pub arrived: u64,
     /// Counts by route, sorted.
-    pub routes: Vec<(RouteId, Counts)>,
+    pub routes: Vec<(RouteId, RouteCounters)>,
 }
 
-impl Tally {
+impl Counters {
     /// No counts yet.
     #[must_use]
     pub const fn new(life: u64) -> Self {
@@ -167,7 +167,7 @@
             route
         };
         let index = self.find(route).unwrap_or_else(|index| {
-            self.routes.insert(index, (route, Counts::default()));
+            self.routes.insert(index, (route, RouteCounters::default()));
             index
         });
         self.routes[index].1.add(outcome);
@@ -175,9 +175,9 @@
 
     /// Counts on one route.
     #[must_use]
-    pub fn of(&self, route: RouteId) -> Counts {
+    pub fn of(&self, route: RouteId) -> RouteCounters {
         let found = self.find(route);
-        found.map_or_else(|_| Counts::default(), |index| self.routes[index].1)
+        found.map_or_else(|_| RouteCounters::default(), |index| self.routes[index].1)
     }
 
     fn find(&self, route: RouteId) -> Result<usize, usize> {
@@ -200,7 +200,7 @@
     /// Whether the target is past the slow time after its start.
     pub warm: bool,
     /// Requests that the target works on, by the time since it got them.
-    pub under_way: Vec<(RouteId, Counts)>,
+    pub under_way: Vec<(RouteId, RouteCounters)>,
     /// What it has counted.
-    pub tally: Tally,
+    pub tally: Counters,
 }
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -34,8 +34,8 @@
 use serde::Serialize;
 use strum::{Display, EnumString, VariantNames};
 
-use crate::rollout::observed::{Limits, Observed};
-use crate::rollout::plan::{ALL, Step};
+use crate::rollout::observed::{ExposureLimits, Observed};
+use crate::rollout::plan::{FULL_PERMILLE, Step};
 use crate::rollout::share::{ALL_TIME, LAG, RAMP_TIME, canary, count, may_get, move_time, ramp};
 
 /// Time in which gates have reported what they saw of a step.
@@ -101,7 +101,7 @@
 
 /// What comes next in a roll-out.
 #[must_use]
-pub fn decide(limits: &Limits, seen: &Observed) -> Decision {
+pub fn decide(limits: &ExposureLimits, seen: &Observed) -> Decision {
     let left = seen.duration.saturating_sub(seen.age);
     let back = |cause| Decision {
         step: Step::Back,
@@ -137,12 +137,12 @@
     next
 }
 
-fn stay(limits: &Limits, seen: &Observed, cause: Cause) -> Decision {
+fn stay(limits: &ExposureLimits, seen: &Observed, cause: Cause) -> Decision {
     let (permille, targets) = match seen.step {
         Step::Waiting | Step::Back => (0, 0),
         Step::Canary => canary(limits, seen),
         Step::Ramp => ramp(seen),
-        Step::All => (ALL, 0),
+        Step::All => (FULL_PERMILLE, 0),
     };
     Decision {
         step: seen.step,
@@ -154,7 +154,7 @@
 }
 
 /// The small share, and the time at which it has been tried for long enough.
-fn first(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
+fn first(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
     if seen.warm == 0 || seen.per_second.is_none() && seen.step == Step::Waiting {
         return Decision {
             step: seen.step,
@@ -208,10 +208,10 @@
 fn expected_answers(permille: u16, seen: &Observed) -> f64 {
     let time = seen.duration.saturating_sub(move_time(seen.duration));
     let per_second = seen.per_second.unwrap_or_default();
-    per_second * time.as_secs_f64() * f64::from(permille) / f64::from(ALL)
+    per_second * time.as_secs_f64() * f64::from(permille) / f64::from(FULL_PERMILLE)
 }
 
-fn after_ramp(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
+fn after_ramp(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
     let (permille, targets) = ramp(seen);
     let trying = Decision {
         step: Step::Ramp,
@@ -232,21 +232,21 @@
     }
     Decision {
         step: Step::All,
-        permille: ALL,
+        permille: FULL_PERMILLE,
         targets: 0,
         cause: Cause::WentWell,
         ..trying
     }
 }
 
-fn after_all(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
+fn after_all(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
     let is_last_call = left < LAST_CALL;
     // Guards against a move that began late, since the daemon that decided was lost: a good revision that has
     // all requests would be taken back for the rest of the step's time.
     let least = if is_last_call { REPORTED } else { ALL_TIME };
     let hold = |cause| Decision {
         step: Step::All,
-        permille: ALL,
+        permille: FULL_PERMILLE,
         targets: 0,
         complete: false,
         cause,
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -12,18 +12,18 @@
 //! roll-out is its [`progress`](progress::Progress), merged alike everywhere; the path of a request reads
 //! [`rules`](rules::Rules) made from it.
 
+pub mod analysis;
 pub mod controller;
+pub mod counters;
 pub mod decision;
-pub mod duty;
-pub mod evidence;
 pub mod observed;
 pub mod order;
 pub mod plan;
 pub mod progress;
 pub mod rules;
 pub mod shared;
-pub mod tally;
-pub mod test;
-pub mod usual;
+pub mod significance;
+pub mod stable;
+pub mod tracker;
 
 mod share;
--- a/src/rollout/observed.rs
+++ b/src/rollout/observed.rs
@@ -6,7 +6,7 @@
 
 /// What a bad revision may get.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
+pub struct ExposureLimits {
     /// Share of all requests of its service during the order.
     pub share: f64,
     /// Requests beside that.
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -24,7 +24,7 @@
 
 /// An order as it was found on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Notice {
+pub struct Change {
     /// Where it stands.
     pub at: Position,
     /// Service that it is about.
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -9,9 +9,9 @@
 use crate::units::Millis;
 
 /// Targets that a plan names at most, so that it fits into a datagram.
-pub const MOST_CHOSEN: usize = 16;
+pub const MAX_CHOSEN: usize = 16;
 /// All requests, in permille.
-pub const ALL: u16 = 1_000;
+pub const FULL_PERMILLE: u16 = 1_000;
 /// Where a roll-out is.
 #[derive(
     Debug,
@@ -70,6 +70,6 @@
 ///
 /// Guards against a bad revision that nobody watches: its gates close by themselves. Several renewals may be
 /// lost before a plan that holds looks like one that does not.
-pub const LAPSE: Duration = Duration::from_secs(2);
+pub const TTL: Duration = Duration::from_secs(2);
 /// Time between two renewals.
-pub const RENEWAL: Millis = Millis(600);
+pub const RENEWAL_INTERVAL: Millis = Millis(600);
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::configuration::origin::Position;
-use crate::rollout::order::{Notice, Order, Verdict};
+use crate::rollout::order::{Change, Order, Verdict};
 use crate::rollout::plan::{Plan, Step};
 use crate::units::{Millis, Offset, Revision};
 
@@ -18,7 +18,7 @@
 
 /// An order that another one has replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastOrder {
     /// What was ordered.
     pub order: Order,
     /// Where it stood.
@@ -45,12 +45,12 @@
     /// Revisions that were rolled back, sorted: they get no request, whatever is ordered.
     pub refused: Vec<Revision>,
     /// Orders that were replaced, the last one last.
-    pub past: Vec<Past>,
+    pub past: Vec<PastOrder>,
 }
 
 /// Progress as one daemon holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct LocalProgress {
     progress: Progress,
     /// When the order was given.
     given: Instant,
@@ -101,7 +101,7 @@
     }
 }
 
-impl Known {
+impl LocalProgress {
     /// What was told at `now`.
     #[must_use]
     pub fn new(now: Instant, progress: Progress) -> Self {
@@ -156,7 +156,7 @@
     }
 
     /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&mut self, now: Instant, notice: &Notice) -> bool {
+    pub fn notice(&mut self, now: Instant, notice: &Change) -> bool {
         if notice.at <= self.progress.at {
             return false;
         }
@@ -244,7 +244,7 @@
     /// Another order takes the place of this one.
     fn replace(&mut self, mut next: Self) {
         let mut past = std::mem::take(&mut self.progress.past);
-        past.push(Past {
+        past.push(PastOrder {
             order: self.progress.order.clone(),
             offset: self.progress.at.offset,
             completed: self.progress.verdict == Some(Verdict::Completed),
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use crate::rollout::order::Verdict;
-use crate::rollout::plan::{ALL, LAPSE, Step};
-use crate::rollout::progress::Known;
+use crate::rollout::plan::{FULL_PERMILLE, Step, TTL};
+use crate::rollout::progress::LocalProgress;
 use crate::units::{Revision, Service};
 
 /// Upstreams that a request tries before it goes to a new target without being drawn for it.
@@ -43,7 +43,7 @@
 impl Rule {
     /// What follows from what is known of a roll-out.
     #[must_use]
-    pub fn of(known: &Known) -> Self {
+    pub fn of(known: &LocalProgress) -> Self {
         let progress = known.progress();
         Self {
             service: progress.order.service.clone(),
@@ -53,7 +53,7 @@
             step: progress.plan.step,
             permille: progress.plan.permille,
             chosen: progress.plan.chosen.clone(),
-            until: known.renewed() + LAPSE,
+            until: known.renewed() + TTL,
         }
     }
 
@@ -109,7 +109,7 @@
             },
             Some(Step::All) => Side::New,
             Some(Step::Canary | Step::Ramp) => {
-                let drawn = number * f64::from(ALL) < f64::from(self.permille);
+                let drawn = number * f64::from(FULL_PERMILLE) < f64::from(self.permille);
                 if tried > TRIED || tried == 0 && drawn {
                     Side::New
                 } else {
@@ -137,7 +137,7 @@
 impl Rules {
     /// Rules that follow from what is known, which is sorted by service.
     #[must_use]
-    pub fn of(known: &[Known]) -> Self {
+    pub fn of(known: &[LocalProgress]) -> Self {
         Self {
             all: known.iter().map(Rule::of).collect(),
         }
--- a/src/rollout/share.rs
+++ b/src/rollout/share.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use crate::rollout::observed::{Limits, Observed};
-use crate::rollout::plan::{ALL, MOST_CHOSEN, Step};
+use crate::rollout::observed::{ExposureLimits, Observed};
+use crate::rollout::plan::{FULL_PERMILLE, MAX_CHOSEN, Step};
 
 /// Largest part of the requests that a bad revision may get which is spent on finding out at a small share.
 const CANARY_PART: f64 = 0.3;
@@ -53,7 +53,7 @@
     clippy::cast_sign_loss,
     reason = "clamped to a share"
 )]
-pub(super) fn canary(limits: &Limits, seen: &Observed) -> (u16, usize) {
+pub(super) fn canary(limits: &ExposureLimits, seen: &Observed) -> (u16, usize) {
     // A share of an unknown number may be any number.
     let Some(per_second) = seen.per_second else {
         return (0, targets(0, seen));
@@ -68,7 +68,7 @@
     let permille = if spent {
         0.0
     } else {
-        (part / through * f64::from(ALL)).min(MOST_CANARY)
+        (part / through * f64::from(FULL_PERMILLE)).min(MOST_CANARY)
     };
     let permille = permille as u16;
     (permille, targets(permille, seen))
@@ -77,16 +77,16 @@
 /// Share in permille and targets of the second step.
 pub(super) fn ramp(seen: &Observed) -> (u16, usize) {
     let all = seen.targets.max(seen.warm).max(1);
-    let two = (FEWEST_TARGETS * usize::from(ALL)).div_ceil(all);
+    let two = (FEWEST_TARGETS * usize::from(FULL_PERMILLE)).div_ceil(all);
     let permille = two.clamp(LEAST_RAMP, MOST_RAMP);
-    let permille = u16::try_from(permille).unwrap_or(ALL);
+    let permille = u16::try_from(permille).unwrap_or(FULL_PERMILLE);
     (permille, targets(permille, seen))
 }
 
 /// Requests that the move takes until its verdict.
 fn move_requests(per_second: f64, seen: &Observed) -> f64 {
     let (permille, _) = ramp(seen);
-    let part = f64::from(permille) / f64::from(ALL);
+    let part = f64::from(permille) / f64::from(FULL_PERMILLE);
     let ramp = (RAMP_TIME + LAG).as_secs_f64() * part;
     let all = (ALL_TIME + LAG).as_secs_f64();
     per_second * (ramp + all)
@@ -96,16 +96,16 @@
 /// many to be named.
 fn targets(permille: u16, seen: &Observed) -> usize {
     let all = seen.targets.max(seen.warm);
-    let share = (all * usize::from(permille)).div_ceil(usize::from(ALL));
+    let share = (all * usize::from(permille)).div_ceil(usize::from(FULL_PERMILLE));
     let few = share.max(FEWEST_TARGETS).min(seen.warm);
-    if few > MOST_CHOSEN && seen.step != Step::Waiting && usize::from(permille) >= LEAST_RAMP {
+    if few > MAX_CHOSEN && seen.step != Step::Waiting && usize::from(permille) >= LEAST_RAMP {
         return 0;
     }
-    few.min(MOST_CHOSEN)
+    few.min(MAX_CHOSEN)
 }
 
 /// Whether a bad revision may get all requests for so long, beside what it got.
-pub(super) fn may_get(limits: &Limits, seen: &Observed, time: Duration) -> bool {
+pub(super) fn may_get(limits: &ExposureLimits, seen: &Observed, time: Duration) -> bool {
     seen.per_second.is_some_and(|per_second| {
         let next = per_second * time.as_secs_f64();
         count(seen.exposed) + next <= allowed(limits, per_second, seen)
@@ -113,7 +113,7 @@
 }
 
 /// Requests that a bad revision may get.
-fn allowed(limits: &Limits, per_second: f64, seen: &Observed) -> f64 {
+fn allowed(limits: &ExposureLimits, per_second: f64, seen: &Observed) -> f64 {
     limits.share * per_second * seen.duration.as_secs_f64() + count(limits.slack)
 }
 
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -9,11 +9,11 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::rollout::order::{Notice, Order, Verdict};
+use crate::rollout::counters::{Counters, Outcome, Report, RouteId};
+use crate::rollout::order::{Change, Order, Verdict};
 use crate::rollout::plan::Plan;
-use crate::rollout::progress::{Known, Progress};
+use crate::rollout::progress::{LocalProgress, Progress};
 use crate::rollout::rules::Rules;
-use crate::rollout::tally::{Outcome, Report, RouteId, Tally};
 use crate::units::Service;
 
 /// Services with a roll-out that are remembered; an order for a further one waits for the daemon's restart.
@@ -31,14 +31,14 @@
     /// Whether the co-located target's service has a roll-out that is not decided.
     counting: AtomicBool,
     /// Held for a few instructions.
-    tally: Mutex<Tally>,
+    tally: Mutex<Counters>,
     reports: Mutex<Vec<(SocketAddr, Report)>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     /// Sorted by service.
-    known: Vec<Known>,
+    known: Vec<LocalProgress>,
     /// Services with something that has not been passed on yet.
     news: Vec<Service>,
     hash: u64,
@@ -51,7 +51,7 @@
             rules: ArcSwap::default(),
             changes: watch::Sender::new(0),
             counting: AtomicBool::new(false),
-            tally: Mutex::new(Tally::new(rand::random())),
+            tally: Mutex::new(Counters::new(rand::random())),
             reports: Mutex::default(),
         }
     }
@@ -66,26 +66,26 @@
 
     /// What is known of each service.
     #[must_use]
-    pub fn known(&self) -> Vec<Known> {
+    pub fn known(&self) -> Vec<LocalProgress> {
         self.state().known.clone()
     }
 
     /// What is known of one service.
     #[must_use]
-    pub fn get(&self, service: &Service) -> Option<Known> {
+    pub fn get(&self, service: &Service) -> Option<LocalProgress> {
         let state = self.state();
         let index = find(&state.known, service).ok()?;
         Some(state.known[index].clone())
     }
 
     /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&self, notice: &Notice) -> bool {
+    pub fn notice(&self, notice: &Change) -> bool {
         let now = Instant::now();
         self.change(&notice.service, |known| match (known, &notice.order) {
             (Some(known), _) => known.notice(now, notice).then_some(None),
             (None, Some(order)) => {
                 let progress = Progress::new(order.clone(), notice.at);
-                Some(Some(Known::new(now, progress)))
+                Some(Some(LocalProgress::new(now, progress)))
             }
             // Nothing is known of it that could be taken away.
             (None, None) => None,
@@ -98,7 +98,7 @@
         for progress in told {
             self.change(&progress.order.service, |known| match known {
                 Some(known) => known.merge(now, progress).then_some(None),
-                None => Some(Some(Known::new(now, progress.clone()))),
+                None => Some(Some(LocalProgress::new(now, progress.clone()))),
             });
         }
     }
@@ -154,7 +154,7 @@
     pub fn count(&self, counting: bool) {
         let before = self.counting.swap(counting, Ordering::AcqRel);
         if counting && !before {
-            *self.tally() = Tally::new(rand::random());
+            *self.tally() = Counters::new(rand::random());
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// What has been counted.
     #[must_use]
-    pub fn counted(&self) -> Tally {
+    pub fn counted(&self) -> Counters {
         self.tally().clone()
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Changes what is known of an order, if it is the current one.
-    fn revise(&self, order: &Order, revise: impl FnOnce(&mut Known) -> bool) -> bool {
+    fn revise(&self, order: &Order, revise: impl FnOnce(&mut LocalProgress) -> bool) -> bool {
         self.change(&order.service, |known| {
             let known = known.filter(|known| known.progress().order == *order)?;
             revise(known).then_some(None)
@@ -207,7 +207,7 @@
     fn change(
         &self,
         service: &Service,
-        change: impl FnOnce(Option<&mut Known>) -> Option<Option<Known>>,
+        change: impl FnOnce(Option<&mut LocalProgress>) -> Option<Option<LocalProgress>>,
     ) -> bool {
         let mut state = self.state();
         let found = find(&state.known, service);
@@ -233,7 +233,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tally(&self) -> MutexGuard<'_, Tally> {
+    fn tally(&self) -> MutexGuard<'_, Counters> {
         self.tally.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -242,12 +242,12 @@
     }
 }
 
-fn find(known: &[Known], service: &Service) -> Result<usize, usize> {
+fn find(known: &[LocalProgress], service: &Service) -> Result<usize, usize> {
     known.binary_search_by(|known| known.progress().order.service.cmp(service))
 }
 
 /// The same for equal knowledge; 0 for none.
-fn hash(known: &[Known]) -> u64 {
+fn hash(known: &[LocalProgress]) -> u64 {
     if known.is_empty() {
         return 0;
     }
--- a/src/rollout/test.rs
+++ b/src/rollout/significance.rs
@@ -101,10 +101,10 @@
 
 /// What a comparison says of the new revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Leaning {
+pub enum Conclusion {
     /// No worse than the old one, as far as it shows.
     #[default]
-    Level,
+    NotWorse,
     /// More likely worse than not, and not beyond chance.
     Doubtful,
     /// Worse beyond chance.
@@ -115,23 +115,23 @@
     /// Whether the new revision is worse than the old one, by the answers on some routes together; `alone` where
     /// it has only one target.
     #[must_use]
-    pub fn compare(self, routes: &[Comparison], alone: bool) -> Leaning {
+    pub fn compare(self, routes: &[Comparison], alone: bool) -> Conclusion {
         match self {
-            Self::Sequential => Leaning::of(odds(routes, alone)),
-            Self::Threshold if exceeds(routes, alone) => Leaning::Worse,
-            Self::Threshold => Leaning::Level,
+            Self::Sequential => Conclusion::of(odds(routes, alone)),
+            Self::Threshold if exceeds(routes, alone) => Conclusion::Worse,
+            Self::Threshold => Conclusion::NotWorse,
         }
     }
 }
 
-impl Leaning {
+impl Conclusion {
     fn of(odds: f64) -> Self {
         if odds >= ENOUGH {
             Self::Worse
         } else if odds >= DOUBTFUL {
             Self::Doubtful
         } else {
-            Self::Level
+            Self::NotWorse
         }
     }
 }
--- a/src/rollout/usual.rs
+++ b/src/rollout/stable.rs
@@ -30,22 +30,22 @@
 
 /// The usual revisions of all services.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Usual {
+pub struct Revisions {
     /// Sorted by service.
-    all: Vec<Kept>,
+    all: Vec<StableRevision>,
     /// Whether another daemon has told what it knows.
     told: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Kept {
+struct StableRevision {
     service: Service,
     revision: Revision,
     /// Since when no target of it is seen.
     absent: Option<Instant>,
 }
 
-impl Usual {
+impl Revisions {
     /// Notes the revisions of a service's targets, as they are seen at `now`.
     pub fn note(&mut self, now: Instant, service: &Service, seen: &[&Revision]) {
         let most = most(seen).cloned();
@@ -64,7 +64,7 @@
                 }
             }
             Err(index) => {
-                let kept = most.map(|revision| Kept {
+                let kept = most.map(|revision| StableRevision {
                     service: service.clone(),
                     revision,
                     absent: None,
@@ -90,7 +90,7 @@
     pub fn adopt(&mut self, told: &[(Service, Revision)]) {
         let first = !std::mem::replace(&mut self.told, true);
         for (service, revision) in told {
-            let kept = Kept {
+            let kept = StableRevision {
                 service: service.clone(),
                 revision: revision.clone(),
                 absent: None,
--- a/src/rollout/duty.rs
+++ b/src/rollout/tracker.rs
@@ -9,21 +9,21 @@
 use crate::idempotency::keys;
 use crate::membership::member::{Health, Member};
 use crate::membership::roster::Roster;
-use crate::rollout::evidence::Evidence;
+use crate::rollout::analysis::Analysis;
+use crate::rollout::counters::Report;
 use crate::rollout::observed::Observed;
 use crate::rollout::order::Order;
 use crate::rollout::plan::Step;
-use crate::rollout::progress::Known;
-use crate::rollout::tally::Report;
-use crate::rollout::test::Test;
+use crate::rollout::progress::LocalProgress;
+use crate::rollout::significance::Test;
 use crate::units::{CallKey, Era, Revision, Service};
 
 /// Time between two looks at a roll-out that is under way.
-pub const TICK: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two of them while requests move: each look less is requests that a bad revision gets.
-pub const MOVE_TICK: Duration = Duration::from_millis(100);
+pub const PROMOTION_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Gates of old targets that report, so that their number does not grow with the fleet.
-pub const SAMPLED: usize = 16;
+pub const MAX_OLD_REPORTERS: usize = 16;
 /// Weight of the last tick in the rate of a service's requests.
 const LATEST: f64 = 0.3;
 /// Ticks with requests after which that rate is known.
@@ -31,13 +31,13 @@
 
 /// What this daemon knows of a roll-out on which it decides, or may have to.
 #[derive(Debug)]
-pub struct Duty {
+pub struct Tracker {
     /// What is ordered.
     pub order: Order,
     /// What gates have reported.
-    pub evidence: Evidence,
+    pub evidence: Analysis,
     /// What is going on with the platform about it.
-    pub asked: Arc<Asked>,
+    pub asked: Arc<PlatformSync>,
     /// When the platform was asked last, and in which era.
     pub checked: Option<(Instant, Era)>,
     step: Step,
@@ -50,7 +50,7 @@
 
 /// What is going on with the platform about one order.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct PlatformSync {
     /// Whether it is being asked.
     pub under_way: AtomicBool,
     /// Whether the platform has said that there is no verdict.
@@ -59,7 +59,7 @@
 
 /// Gates of one service, as the view has them.
 #[derive(Debug)]
-pub struct Gates {
+pub struct Sidecars {
     /// Of the revision that is rolled out, by rank.
     pub new: Vec<SocketAddr>,
     /// Of others, by rank.
@@ -68,7 +68,7 @@
     pub lost: Vec<SocketAddr>,
 }
 
-impl Gates {
+impl Sidecars {
     /// The gates of a service whose targets are of `revision`, and those of others.
     #[must_use]
     pub fn of(roster: &Roster, service: &Service, revision: &Revision) -> Self {
@@ -82,20 +82,20 @@
         let lost = roster.gone.iter().map(|departed| &departed.member);
         let lost = lost.filter(|member| member.health == Health::Gone);
         Self {
-            new: ranked(service, seen.clone().filter(|m| is_new(m) == Some(true))),
-            old: ranked(service, seen.filter(|m| is_new(m) == Some(false))),
-            lost: ranked(service, lost.filter(|m| is_new(m) == Some(false))),
+            new: rendezvous_order(service, seen.clone().filter(|m| is_new(m) == Some(true))),
+            old: rendezvous_order(service, seen.filter(|m| is_new(m) == Some(false))),
+            lost: rendezvous_order(service, lost.filter(|m| is_new(m) == Some(false))),
         }
     }
 }
 
-impl Duty {
+impl Tracker {
     /// The duty to decide on an order of which so much is known.
     #[must_use]
-    pub fn new(order: Order, known: &Known) -> Self {
+    pub fn new(order: Order, known: &LocalProgress) -> Self {
         let now = Instant::now();
         Self {
-            evidence: Evidence::new(order.revision.clone()),
+            evidence: Analysis::new(order.revision.clone()),
             order,
             step: known.progress().plan.step,
             since: now,
@@ -116,7 +116,7 @@
 
     /// New targets that are past the slow time after their start, by rank.
     #[must_use]
-    pub fn warm(&self, now: Instant, gates: &Gates) -> Vec<SocketAddr> {
+    pub fn warm(&self, now: Instant, gates: &Sidecars) -> Vec<SocketAddr> {
         let warm = |peer: &&SocketAddr| {
             let mut heard = self.evidence.heard(now);
             heard.any(|(known, report)| known == **peer && report.warm)
@@ -126,13 +126,19 @@
 
     /// What is to be decided on.
     #[must_use]
-    pub fn observe(&self, now: Instant, known: &Known, gates: &Gates, bad: bool) -> Observed {
+    pub fn observe(
+        &self,
+        now: Instant,
+        known: &LocalProgress,
+        gates: &Sidecars,
+        bad: bool,
+    ) -> Observed {
         let heard: Vec<(SocketAddr, &Report)> = self.evidence.heard(now).collect();
         let old_heard = heard
             .iter()
             .filter(|(peer, _)| gates.old.contains(peer))
             .count();
-        let expected = gates.old.len().min(SAMPLED);
+        let expected = gates.old.len().min(MAX_OLD_REPORTERS);
         let is_drained = |peer: &SocketAddr| {
             let report = heard.iter().find(|(known, _)| known == peer);
             report.is_some_and(|(_, report)| report.step == Step::All && report.busy == 0)
@@ -161,19 +167,19 @@
     ///
     /// Guards against a rate that seems to fall since reports are lost: what the revision may get beside its
     /// share would be a large part of it then. The rate stays while most of the gates are not heard.
-    pub fn measure(&mut self, gates: &Gates) {
+    pub fn measure(&mut self, gates: &Sidecars) {
         let now = Instant::now();
         let heard = self.evidence.heard(now);
         let heard = heard.filter(|(peer, _)| gates.old.contains(peer)).count();
         let requests = (self.evidence.exposed(), self.evidence.others());
         let (then, (exposed, others)) = std::mem::replace(&mut self.seen, (now, requests));
-        if heard == 0 || heard * 2 < gates.old.len().min(SAMPLED) {
+        if heard == 0 || heard * 2 < gates.old.len().min(MAX_OLD_REPORTERS) {
             return;
         }
         let part = float(gates.old.len() as u64) / float(heard as u64);
         let came = float(requests.0 - exposed) + float(requests.1 - others) * part.max(1.0);
         let seconds = now.saturating_duration_since(then).as_secs_f64();
-        let rate = came / seconds.max(TICK.as_secs_f64() / 2.0);
+        let rate = came / seconds.max(TICK_INTERVAL.as_secs_f64() / 2.0);
         let (known, ticks) = self.rate;
         let mean = if ticks < MEASURED {
             (known * f64::from(ticks) + rate) / f64::from(ticks + 1)
@@ -186,7 +192,10 @@
 
 /// Daemons in rendezvous order for a service.
 #[must_use]
-pub fn ranked<'a>(service: &Service, members: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
+pub fn rendezvous_order<'a>(
+    service: &Service,
+    members: impl Iterator<Item = &'a Member>,
+) -> Vec<SocketAddr> {
     let key = CallKey(service.to_string());
     let mut peers: Vec<SocketAddr> = members.map(|member| member.peer).collect();
     peers.sort_by_cached_key(|peer| Reverse(keys::rank(&key, *peer)));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -218,8 +218,8 @@
 
     /// What a bad revision may get while it is rolled out.
     #[must_use]
-    pub fn exposure(&self) -> observed::Limits {
-        observed::Limits {
+    pub fn exposure(&self) -> observed::ExposureLimits {
+        observed::ExposureLimits {
             share: self.exposure_share.unwrap_or(EXPOSURE_SHARE),
             slack: self.exposure_slack,
         }
--- a/tests/canary.rs
+++ b/tests/canary.rs
@@ -12,19 +12,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use jackdawpulley::rollout::analysis::Analysis;
+use jackdawpulley::rollout::counters::{Counters, Outcome, Report, RouteId};
 use jackdawpulley::rollout::decision::decide;
-use jackdawpulley::rollout::evidence::Evidence;
-use jackdawpulley::rollout::observed::{Limits, Observed};
+use jackdawpulley::rollout::observed::{ExposureLimits, Observed};
 use jackdawpulley::rollout::plan::Step;
-use jackdawpulley::rollout::tally::{Outcome, Report, RouteId, Tally};
-use jackdawpulley::rollout::test::Test;
+use jackdawpulley::rollout::significance::Test;
 use jackdawpulley::units::{Revision, Service};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 /// Time between two looks, and between two of them while requests move.
 const TICKS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(100)];
-const LIMITS: Limits = Limits {
+const LIMITS: ExposureLimits = ExposureLimits {
     share: 0.1,
     slack: 50,
 };
@@ -77,7 +77,7 @@
 struct Fleet {
     rng: SmallRng,
     case: Case,
-    tallies: Vec<(SocketAddr, bool, Tally)>,
+    tallies: Vec<(SocketAddr, bool, Counters)>,
 }
 
 fn peer(number: usize) -> SocketAddr {
@@ -91,7 +91,7 @@
         let new = (0..case.targets).map(|number| (peer(10_000 + number), true));
         let gates = old.chain(new);
         let tallies = gates
-            .map(|(peer, new)| (peer, new, Tally::new(1)))
+            .map(|(peer, new)| (peer, new, Counters::new(1)))
             .collect();
         Self {
             rng: SmallRng::seed_from_u64(seed),
@@ -166,7 +166,7 @@
 /// Plays an order to its verdict.
 fn play(case: Case, test: Test, seed: u64) -> Result {
     let mut fleet = Fleet::new(case, seed);
-    let mut evidence = Evidence::new(Revision::from("v2"));
+    let mut evidence = Analysis::new(Revision::from("v2"));
     let start = Instant::now();
     let rate = RATE * case.targets as f64;
     let olds = case.targets.min(SAMPLED);
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -9,23 +9,23 @@
 use jackdawpulley::configuration::origin::Position;
 use jackdawpulley::membership::member::{Health, Member, Offer, Stage};
 use jackdawpulley::membership::roster::{Departed, Roster};
+use jackdawpulley::rollout::analysis::Analysis;
+use jackdawpulley::rollout::counters::{Counters, Outcome, Report, RouteId};
 use jackdawpulley::rollout::decision::{Cause, decide};
-use jackdawpulley::rollout::duty::{Duty, Gates};
-use jackdawpulley::rollout::evidence::Evidence;
-use jackdawpulley::rollout::observed::{Limits, Observed};
-use jackdawpulley::rollout::order::{Fault, Notice, Order, Verdict};
-use jackdawpulley::rollout::plan::{LAPSE, Plan, Step};
-use jackdawpulley::rollout::progress::{Known, Progress};
+use jackdawpulley::rollout::observed::{ExposureLimits, Observed};
+use jackdawpulley::rollout::order::{Change, Fault, Order, Verdict};
+use jackdawpulley::rollout::plan::{Plan, Step, TTL};
+use jackdawpulley::rollout::progress::{LocalProgress, Progress};
 use jackdawpulley::rollout::rules::{Rule, Side};
-use jackdawpulley::rollout::tally::{Outcome, Report, RouteId, Tally};
-use jackdawpulley::rollout::test::Test;
-use jackdawpulley::rollout::usual::Usual;
+use jackdawpulley::rollout::significance::Test;
+use jackdawpulley::rollout::stable::Revisions;
+use jackdawpulley::rollout::tracker::{Sidecars, Tracker};
 use jackdawpulley::units::{
     DataCentre, Era, Incarnation, Millis, Offset, Revision, Service, Slots,
 };
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits {
+const LIMITS: ExposureLimits = ExposureLimits {
     share: 0.1,
     slack: 50,
 };
@@ -46,16 +46,16 @@
     }
 }
 
-fn notice(revision: &str, at: Position) -> Notice {
-    Notice {
+fn notice(revision: &str, at: Position) -> Change {
+    Change {
         at,
         service: Service::from("shelf"),
         order: Some(order(revision)),
     }
 }
 
-fn known(revision: &str) -> Known {
-    Known::new(Instant::now(), Progress::new(order(revision), at(1, 5)))
+fn known(revision: &str) -> LocalProgress {
+    LocalProgress::new(Instant::now(), Progress::new(order(revision), at(1, 5)))
 }
 
 fn peer(host: u8) -> SocketAddr {
@@ -323,8 +323,8 @@
     assert_eq!(rule.side(Some(&new), peer(2), now), None, "not chosen");
     assert_eq!(rule.draw(0.05, 0, now), Side::New);
     assert_eq!(rule.draw(0.05, 1, now), Side::Old, "once more");
-    assert_eq!(rule.side(Some(&new), peer(1), now + LAPSE), None);
-    assert_eq!(rule.draw(0.05, 0, now + LAPSE), Side::Old);
+    assert_eq!(rule.side(Some(&new), peer(1), now + TTL), None);
+    assert_eq!(rule.draw(0.05, 0, now + TTL), Side::Old);
     assert_eq!(
         rule.side(None, peer(3), now),
         None,
@@ -349,7 +349,7 @@
     assert_eq!(rule.draw(0.9, 0, now), Side::Old);
     assert_eq!(rule.draw(0.9, 1, now), Side::Old);
     assert_eq!(rule.draw(0.9, 2, now), Side::New);
-    assert_eq!(rule.draw(0.9, 2, now + LAPSE), Side::Old);
+    assert_eq!(rule.draw(0.9, 2, now + TTL), Side::Old);
 }
 
 /// With all requests at the new revision the old targets end what they have. A gate that hears nobody any more
@@ -368,12 +368,9 @@
     let rule = Rule::of(&known);
     let old = Revision::from("v1");
     assert_eq!(rule.side(Some(&old), peer(3), now), None);
-    assert_eq!(rule.side(Some(&old), peer(3), now + LAPSE), Some(Side::Old));
+    assert_eq!(rule.side(Some(&old), peer(3), now + TTL), Some(Side::Old));
     known.conclude(Verdict::Completed);
-    assert_eq!(
-        Rule::of(&known).side(Some(&old), peer(3), now + LAPSE),
-        None
-    );
+    assert_eq!(Rule::of(&known).side(Some(&old), peer(3), now + TTL), None);
 }
 
 /// A daemon that decided went back, and another one that had not heard of it renewed its own plan.
@@ -444,7 +441,7 @@
 fn order_taken_away_goes_back() {
     let mut known = known("v2");
     let now = Instant::now();
-    let away = Notice {
+    let away = Change {
         order: None,
         ..notice("v2", at(1, 6))
     };
@@ -516,7 +513,7 @@
         words.dedup_by_key(|word| word.plan.number);
         let now = Instant::now();
         let fold = |words: Vec<&Progress>| {
-            let mut known = Known::new(now, words[0].clone());
+            let mut known = LocalProgress::new(now, words[0].clone());
             for word in words {
                 known.merge(now, word);
             }
@@ -531,15 +528,15 @@
 
 /// Counts what targets answer in rounds of four a second.
 struct Rounds {
-    evidence: Evidence,
-    tallies: Vec<(u8, Tally)>,
+    evidence: Analysis,
+    tallies: Vec<(u8, Counters)>,
     now: Instant,
 }
 
 impl Rounds {
     fn new() -> Self {
         Self {
-            evidence: Evidence::new(Revision::from("v2")),
+            evidence: Analysis::new(Revision::from("v2")),
             tallies: Vec::new(),
             now: Instant::now(),
         }
@@ -550,7 +547,7 @@
         for (host, count, outcome) in answers {
             let index = self.tallies.iter().position(|(known, _)| known == host);
             let index = index.unwrap_or_else(|| {
-                self.tallies.push((*host, Tally::new(u64::from(*host))));
+                self.tallies.push((*host, Counters::new(u64::from(*host))));
                 self.tallies.len() - 1
             });
             let tally = &mut self.tallies[index].1;
@@ -702,7 +699,7 @@
 fn restarted_gate_counts_on() {
     let mut rounds = Rounds::new();
     rounds.play("a", &[(100, 10, FINE)]);
-    rounds.tallies[0].1 = Tally::new(77);
+    rounds.tallies[0].1 = Counters::new(77);
     rounds.play("a", &[(100, 4, FINE)]);
     assert_eq!(rounds.evidence.exposed(), 14);
     // A datagram that comes again, or late, adds nothing.
@@ -748,7 +745,7 @@
 fn lost_sight_changes_nothing() {
     let (service, now) = (Service::from("shelf"), Instant::now());
     let (old, new) = (Revision::from("v1"), Revision::from("v2"));
-    let mut usual = Usual::default();
+    let mut usual = Revisions::default();
     usual.note(now, &service, &[&old, &old]);
     let later = now + Duration::from_secs(5);
     usual.note(later, &service, &[&new, &new]);
@@ -770,7 +767,7 @@
 fn joiner_takes_the_others_word() {
     let (service, now) = (Service::from("shelf"), Instant::now());
     let (old, new) = (Revision::from("v1"), Revision::from("v2"));
-    let mut usual = Usual::default();
+    let mut usual = Revisions::default();
     usual.note(now, &service, &[&new]);
     usual.adopt(&[(service.clone(), old.clone())]);
     assert_eq!(usual.get(&service, now), Some(&old));
@@ -788,7 +785,7 @@
         rounds.play("a", &[(1, 60, FINE), (100, 4, FINE), (101, 4, FINE)]);
     }
     assert!(!rounds.is_bad());
-    let mut ages = Tally::default();
+    let mut ages = Counters::default();
     for _ in 0..3 {
         ages.add(RouteId::of("a"), Outcome::Answered(USUAL * 4));
     }
@@ -843,10 +840,10 @@
             member(2, "v2", Health::Alive),
         ];
         roster.gone = gone.into_iter().collect();
-        let mut duty = Duty::new(order("v2"), &known);
+        let mut duty = Tracker::new(order("v2"), &known);
         duty.evidence.hear(now, peer(1), idle("v1"));
         let service = Service::from("shelf");
-        let gates = Gates::of(&roster, &service, &Revision::from("v2"));
+        let gates = Sidecars::of(&roster, &service, &Revision::from("v2"));
         duty.observe(now, &known, &gates, false).drained
     };
     assert!(drained(None));
@@ -863,6 +860,6 @@
         busy: 0,
         warm: true,
         under_way: Vec::new(),
-        tally: Tally::default(),
+        tally: Counters::default(),
     }
 }
