--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -93,7 +93,7 @@
             Some((upstream, side))
         });
         let sides: Vec<(&Arc<Upstream>, Side)> = sides.collect();
-        let draw = rule.draw(draw(call), call.tried.len(), now);
+        let draw = rule.choose_side(draw(call), call.tried.len(), now);
         let drawn = sides.iter().filter(|(_, side)| *side == draw);
         let drawn: Vec<&Arc<Upstream>> = drawn.map(|(upstream, _)| *upstream).collect();
         if !drawn.is_empty() || draw == Side::Old {
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -241,7 +241,7 @@
         };
         info!(self.board.logger, "order to roll out"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
-            "era" => notice.at.era.0, "offset" => notice.at.offset.0);
+            "era" => notice.position.era.0, "offset" => notice.position.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -143,7 +143,7 @@
             usual.note(now, &pool.service, &told);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
-        usual.miss(now, &services);
+        usual.mark_absent(now, &services);
         Self {
             fleet: fleet(&members),
             members,
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -100,16 +100,17 @@
     }
 
     /// Takes in a gate's report.
-    pub fn hear(&mut self, now: Instant, peer: SocketAddr, report: Report) {
+    pub fn record(&mut self, now: Instant, peer: SocketAddr, report: Report) {
         let found = self.gates.binary_search_by_key(&peer, |gate| gate.peer);
         let known = found.ok().map(|index| self.gates[index].report.clone());
         // Counts of another life, or of another target there, begin anew.
         let same = known.filter(|known| {
-            known.tally.life == report.tally.life && known.revision == report.revision
+            known.counters.series_id == report.counters.series_id
+                && known.revision == report.revision
         });
-        let before = same.map(|known| known.tally).unwrap_or_default();
+        let before = same.map(|known| known.counters).unwrap_or_default();
         // Datagrams may overtake each other.
-        if report.tally.arrived < before.arrived {
+        if report.counters.requests < before.requests {
             return;
         }
         self.count(peer, &report, &before);
@@ -125,7 +126,7 @@
     }
 
     fn count(&mut self, peer: SocketAddr, report: &Report, before: &Counters) {
-        let arrived = report.tally.arrived - before.arrived;
+        let arrived = report.counters.requests - before.requests;
         let is_new = report.revision == self.revision;
         if is_new {
             self.exposed += arrived;
@@ -138,7 +139,7 @@
         let Some(tick) = self.ticks.back_mut() else {
             return;
         };
-        for (route, counts) in &report.tally.routes {
+        for (route, counts) in &report.counters.routes {
             let counts = counts.since(&before.of(*route));
             if counts.total() == 0 {
                 continue;
@@ -153,7 +154,7 @@
     }
 
     /// Begins the next tick.
-    pub fn tick(&mut self) {
+    pub fn start_tick(&mut self) {
         if self.ticks.len() == MOST_TICKS {
             self.ticks.pop_front();
         }
@@ -168,7 +169,7 @@
 
     /// Requests that reported gates of the old revision were sent.
     #[must_use]
-    pub const fn others(&self) -> u64 {
+    pub const fn old_requests(&self) -> u64 {
         self.others
     }
 
@@ -179,7 +180,7 @@
     }
 
     /// Gates that have reported a moment ago, with what they said.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Report)> {
+    pub fn recent_reports(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Report)> {
         let heard = self
             .gates
             .iter()
@@ -192,7 +193,7 @@
     /// Each route is judged by itself, and all of them together: a fault on one of them is not outweighed by the
     /// others, and one that shows on all needs fewer answers of each.
     #[must_use]
-    pub fn judge(&self, test: Test, targets: usize) -> Option<Finding> {
+    pub fn find_regression(&self, test: Test, targets: usize) -> Option<Finding> {
         let routes = self.routes();
         let apart = routes.chunks(1);
         let mut groups = apart.chain((routes.len() > 1).then_some(routes.as_slice()));
@@ -314,7 +315,7 @@
         // Guards against a slow revision whose answers come when it has got all requests: what it works on
         // for longer than an answer may take is as bad as one that took so long.
         for gate in self.gates.iter().filter(|gate| self.is_new(gate)) {
-            let here = gate.report.under_way.iter();
+            let here = gate.report.in_flight_ages.iter();
             let here = here.filter(|(known, _)| *known == route);
             let overdue: u32 = here.map(|(_, ages)| ages.bad(slow)).sum();
             let late = Sample {
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -122,7 +122,7 @@
         let rule = target
             .as_ref()
             .and_then(|target| rules.get(&target.service));
-        let rule = rule.filter(|rule| rule.is_open());
+        let rule = rule.filter(|rule| rule.is_undecided());
         board.rollouts.count(rule.is_some());
         let (Some(rule), Some(target)) = (rule, target) else {
             return;
@@ -146,14 +146,14 @@
             service: target.service.clone(),
             revision,
             step,
-            busy: self.busy(),
+            in_flight: self.busy(),
             warm: now >= target.cold_until,
-            under_way: if counts {
+            in_flight_ages: if counts {
                 self.under_way(now)
             } else {
                 Vec::new()
             },
-            tally: if counts {
+            counters: if counts {
                 board.rollouts.counted()
             } else {
                 Counters::default()
@@ -203,11 +203,11 @@
         for (peer, report) in self.board.rollouts.take_reports() {
             let found = self.find(&report.service);
             if let Ok(index) = found {
-                self.duties[index].evidence.hear(now, peer, report);
+                self.duties[index].evidence.record(now, peer, report);
             }
         }
         for duty in &mut self.duties {
-            duty.evidence.tick();
+            duty.evidence.start_tick();
         }
     }
 
@@ -240,12 +240,12 @@
             }
         };
         let now = Instant::now();
-        let quiet = now.saturating_duration_since(known.renewed());
+        let quiet = now.saturating_duration_since(known.plan_renewed_at());
         // Plans are renewed until there is a verdict; then one daemon looks after it.
         let is_open = known.progress().verdict.is_none();
         let is_turn = rank == 0 || is_open && quiet >= TAKE_OVER;
         let gates = self.gates(&self.duties[index].order);
-        self.duties[index].measure(&gates);
+        self.duties[index].update_request_rate(&gates);
         if is_turn {
             self.steer(index, known, &gates);
         }
@@ -262,7 +262,9 @@
         }
         let duty = &mut self.duties[index];
         duty.follow(now, progress.plan.step);
-        let finding = duty.evidence.judge(Test::default(), gates.new.len());
+        let finding = duty
+            .evidence
+            .find_regression(Test::default(), gates.new.len());
         let observed = duty.observe(now, known, gates, finding.is_some());
         let decision = decide(&self.limits, &observed);
         let warm = duty.warm(now, gates);
@@ -270,7 +272,7 @@
         let plan = &progress.plan;
         let same =
             (plan.step, plan.permille, &plan.chosen) == (decision.step, decision.permille, &chosen);
-        let quiet = now.saturating_duration_since(known.renewed());
+        let quiet = now.saturating_duration_since(known.plan_renewed_at());
         let order = duty.order.clone();
         if !same || quiet >= RENEWAL_INTERVAL.duration() {
             let next = Plan {
@@ -303,12 +305,12 @@
         let now = Instant::now();
         let duty = &self.duties[index];
         let era = self.board.era();
-        let due = duty.checked.is_none_or(|(checked, then)| {
+        let due = duty.last_checked.is_none_or(|(checked, then)| {
             let late = known.age(now) > duty.order.duration.duration() + AFTERMATH;
             let waited = now.saturating_duration_since(checked) >= RECHECK;
             then != era || waited && !late
         });
-        if due || !duty.asked.confirmed.load(Ordering::Acquire) {
+        if due || !duty.sync.confirmed.load(Ordering::Acquire) {
             self.ask(index, status);
         }
     }
@@ -320,11 +322,11 @@
         };
         let era = self.board.era();
         let duty = &mut self.duties[index];
-        if duty.asked.under_way.swap(true, Ordering::AcqRel) {
+        if duty.sync.under_way.swap(true, Ordering::AcqRel) {
             return;
         }
-        duty.checked = Some((Instant::now(), era));
-        let (order, asked) = (duty.order.clone(), Arc::clone(&duty.asked));
+        duty.last_checked = Some((Instant::now(), era));
+        let (order, asked) = (duty.order.clone(), Arc::clone(&duty.sync));
         let board = Arc::clone(&self.board);
         tokio::spawn(async move {
             let outcome = tell(&board, origin.as_ref(), &order, status).await;
--- a/src/rollout/counters.rs
+++ b/src/rollout/counters.rs
@@ -139,9 +139,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Names this life of the counts.
-    pub life: u64,
+    pub series_id: u64,
     /// Requests that were sent to the target.
-    pub arrived: u64,
+    pub requests: u64,
     /// Counts by route, sorted.
     pub routes: Vec<(RouteId, RouteCounters)>,
 }
@@ -151,8 +151,8 @@
     #[must_use]
     pub const fn new(life: u64) -> Self {
         Self {
-            life,
-            arrived: 0,
+            series_id: life,
+            requests: 0,
             routes: Vec::new(),
         }
     }
@@ -196,11 +196,11 @@
     /// The step that it acts by.
     pub step: Step,
     /// Requests at its target or in line for it.
-    pub busy: u32,
+    pub in_flight: u32,
     /// Whether the target is past the slow time after its start.
     pub warm: bool,
     /// Requests that the target works on, by the time since it got them.
-    pub under_way: Vec<(RouteId, RouteCounters)>,
+    pub in_flight_ages: Vec<(RouteId, RouteCounters)>,
     /// What it has counted.
-    pub tally: Counters,
+    pub counters: Counters,
 }
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// Where it stands.
-    pub at: Position,
+    pub position: Position,
     /// Service that it is about.
     pub service: Service,
     /// What is ordered; nothing when the order was taken away.
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -70,6 +70,6 @@
 ///
 /// Guards against a bad revision that nobody watches: its gates close by themselves. Several renewals may be
 /// lost before a plan that holds looks like one that does not.
-pub const TTL: Duration = Duration::from_secs(2);
+pub const PLAN_TTL: Duration = Duration::from_secs(2);
 /// Time between two renewals.
 pub const RENEWAL_INTERVAL: Millis = Millis(600);
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -33,7 +33,8 @@
     /// What is ordered.
     pub order: Order,
     /// Where the order stands on the platform.
-    pub at: Position,
+    #[serde(rename = "at")]
+    pub position: Position,
     /// Time since it was given, when this was told.
     pub age: Millis,
     /// What daemons go by.
@@ -64,7 +65,7 @@
     pub fn new(order: Order, at: Position) -> Self {
         Self {
             order,
-            at,
+            position: at,
             age: Millis(0),
             plan: Plan::default(),
             plan_age: Millis(0),
@@ -83,7 +84,7 @@
     /// Revisions beside the order's that get no request, sorted: those that were rolled back, and those
     /// that were being tried when another order took their place.
     #[must_use]
-    pub fn barred(&self) -> Vec<Revision> {
+    pub fn excluded_revisions(&self) -> Vec<Revision> {
         let mut barred = self.refused.clone();
         for past in &self.past {
             let revision = &past.order.revision;
@@ -121,7 +122,7 @@
 
     /// When the plan was renewed.
     #[must_use]
-    pub const fn renewed(&self) -> Instant {
+    pub const fn plan_renewed_at(&self) -> Instant {
         self.renewed
     }
 
@@ -133,7 +134,7 @@
 
     /// What others are told at `now`.
     #[must_use]
-    pub fn told(&self, now: Instant) -> Progress {
+    pub fn snapshot(&self, now: Instant) -> Progress {
         Progress {
             age: self.age(now).into(),
             plan_age: now.saturating_duration_since(self.renewed).into(),
@@ -148,7 +149,7 @@
         if self.progress.order == other.progress.order {
             return self.unite(&other) || refused;
         }
-        if other.progress.at <= self.progress.at {
+        if other.progress.position <= self.progress.position {
             return refused;
         }
         self.replace(other);
@@ -156,35 +157,38 @@
     }
 
     /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&mut self, now: Instant, notice: &Change) -> bool {
-        if notice.at <= self.progress.at {
+    pub fn apply_change(&mut self, now: Instant, notice: &Change) -> bool {
+        if notice.position <= self.progress.position {
             return false;
         }
         let Some(order) = &notice.order else {
-            return self.withdraw(notice.at);
+            return self.withdraw(notice.position);
         };
         if *order == self.progress.order {
-            self.progress.at = notice.at;
+            self.progress.position = notice.position;
             return true;
         }
         // Guards against a platform that comes back from an older copy: an order that was replaced
         // stands there again until the operator has written the newer one once more. What it names would
         // be tried anew. In a copy it stands where it stood.
-        let is_copy = self.progress.at.era < notice.at.era
+        let is_copy = self.progress.position.era < notice.position.era
             && self
                 .progress
                 .past
                 .iter()
-                .any(|past| past.order == *order && past.offset == notice.at.offset);
+                .any(|past| past.order == *order && past.offset == notice.position.offset);
         if is_copy {
             return false;
         }
-        self.replace(Self::new(now, Progress::new(order.clone(), notice.at)));
+        self.replace(Self::new(
+            now,
+            Progress::new(order.clone(), notice.position),
+        ));
         true
     }
 
     /// Goes by a plan that supersedes the one before; whether it does.
-    pub fn follow(&mut self, renewed: Instant, plan: &Plan) -> bool {
+    pub fn apply_plan(&mut self, renewed: Instant, plan: &Plan) -> bool {
         let later = plan.supersedes(&self.progress.plan);
         if later {
             self.progress.plan = plan.clone();
@@ -197,7 +201,7 @@
     }
 
     /// Notes the verdict; whether it was news.
-    pub fn conclude(&mut self, verdict: Verdict) -> bool {
+    pub fn set_verdict(&mut self, verdict: Verdict) -> bool {
         if self.progress.verdict.is_some() {
             return false;
         }
@@ -209,16 +213,16 @@
     }
 
     /// Notes that the order is older than it seemed; whether that was news.
-    pub fn date_back(&mut self, given: Instant) -> bool {
+    pub fn backdate(&mut self, given: Instant) -> bool {
         let earlier = given < self.given;
         self.given = self.given.min(given);
         earlier
     }
 
     /// Adds what decides what a daemon does to a hash; ages and renewals don't.
-    pub fn add_to(&self, hasher: &mut Xxh3) {
+    pub fn hash_into(&self, hasher: &mut Xxh3) {
         let progress = &self.progress;
-        let (order, at) = (&progress.order, progress.at);
+        let (order, at) = (&progress.order, progress.position);
         hasher.update(order.service.as_str().as_bytes());
         hasher.update(order.revision.as_str().as_bytes());
         hasher.update(&order.duration.0.to_le_bytes());
@@ -233,11 +237,13 @@
 
     fn unite(&mut self, other: &Self) -> bool {
         let theirs = &other.progress;
-        let placed = theirs.at > self.progress.at;
-        self.progress.at = self.progress.at.max(theirs.at);
-        self.date_back(other.given);
-        let followed = self.follow(other.renewed, &theirs.plan);
-        let concluded = theirs.verdict.is_some_and(|verdict| self.conclude(verdict));
+        let placed = theirs.position > self.progress.position;
+        self.progress.position = self.progress.position.max(theirs.position);
+        self.backdate(other.given);
+        let followed = self.apply_plan(other.renewed, &theirs.plan);
+        let concluded = theirs
+            .verdict
+            .is_some_and(|verdict| self.set_verdict(verdict));
         placed || followed || concluded
     }
 
@@ -246,7 +252,7 @@
         let mut past = std::mem::take(&mut self.progress.past);
         past.push(PastOrder {
             order: self.progress.order.clone(),
-            offset: self.progress.at.offset,
+            offset: self.progress.position.offset,
             completed: self.progress.verdict == Some(Verdict::Completed),
         });
         past.extend(std::mem::take(&mut next.progress.past));
@@ -265,7 +271,7 @@
 
     /// The order was taken away: what it names gets no more requests, unless it has got all of them.
     fn withdraw(&mut self, at: Position) -> bool {
-        self.progress.at = at;
+        self.progress.position = at;
         if self.progress.verdict.is_none() {
             let number = self.progress.plan.number + 1;
             self.progress.plan = Plan {
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use crate::rollout::order::Verdict;
-use crate::rollout::plan::{FULL_PERMILLE, Step, TTL};
+use crate::rollout::plan::{FULL_PERMILLE, PLAN_TTL, Step};
 use crate::rollout::progress::LocalProgress;
 use crate::units::{Revision, Service};
 
@@ -48,12 +48,12 @@
         Self {
             service: progress.order.service.clone(),
             revision: progress.order.revision.clone(),
-            barred: progress.barred(),
+            barred: progress.excluded_revisions(),
             verdict: progress.verdict,
             step: progress.plan.step,
             permille: progress.plan.permille,
             chosen: progress.plan.chosen.clone(),
-            until: known.renewed() + TTL,
+            until: known.plan_renewed_at() + PLAN_TTL,
         }
     }
 
@@ -101,7 +101,7 @@
     /// Guards against a request that is refused by one old gate after the other: all of them may have closed
     /// by a plan that has not come here yet. After two it goes to a new one.
     #[must_use]
-    pub fn draw(&self, number: f64, tried: usize, now: Instant) -> Side {
+    pub fn choose_side(&self, number: f64, tried: usize, now: Instant) -> Side {
         match self.step(now) {
             None => match self.verdict {
                 Some(Verdict::Completed) => Side::New,
@@ -122,7 +122,7 @@
 
     /// Whether gates count how their targets answer.
     #[must_use]
-    pub const fn is_open(&self) -> bool {
+    pub const fn is_undecided(&self) -> bool {
         self.verdict.is_none()
     }
 }
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -82,9 +82,9 @@
     pub fn notice(&self, notice: &Change) -> bool {
         let now = Instant::now();
         self.change(&notice.service, |known| match (known, &notice.order) {
-            (Some(known), _) => known.notice(now, notice).then_some(None),
+            (Some(known), _) => known.apply_change(now, notice).then_some(None),
             (None, Some(order)) => {
-                let progress = Progress::new(order.clone(), notice.at);
+                let progress = Progress::new(order.clone(), notice.position);
                 Some(Some(LocalProgress::new(now, progress)))
             }
             // Nothing is known of it that could be taken away.
@@ -106,17 +106,17 @@
     /// Goes by a plan for an order; whether it supersedes the one before.
     pub fn follow(&self, order: &Order, plan: &Plan) -> bool {
         let now = Instant::now();
-        self.revise(order, |known| known.follow(now, plan))
+        self.revise(order, |known| known.apply_plan(now, plan))
     }
 
     /// Notes the verdict on an order; whether it was news.
     pub fn conclude(&self, order: &Order, verdict: Verdict) -> bool {
-        self.revise(order, |known| known.conclude(verdict))
+        self.revise(order, |known| known.set_verdict(verdict))
     }
 
     /// Notes when an order was given; whether that is earlier than it seemed.
     pub fn date_back(&self, order: &Order, given: Instant) -> bool {
-        self.revise(order, |known| known.date_back(given))
+        self.revise(order, |known| known.backdate(given))
     }
 
     /// The same for daemons that know the same; 0 for nothing.
@@ -130,7 +130,11 @@
     pub fn told(&self) -> Vec<Progress> {
         let now = Instant::now();
         let state = self.state();
-        state.known.iter().map(|known| known.told(now)).collect()
+        state
+            .known
+            .iter()
+            .map(|known| known.snapshot(now))
+            .collect()
     }
 
     /// What has not been passed on yet, which counts as passed on from now on.
@@ -141,7 +145,7 @@
         let news = std::mem::take(&mut state.news);
         let known = state.known.iter();
         let new = known.filter(|known| news.contains(&known.progress().order.service));
-        new.map(|known| known.told(now)).collect()
+        new.map(|known| known.snapshot(now)).collect()
     }
 
     /// Follows changes.
@@ -161,7 +165,7 @@
     /// Counts a request that is sent to the co-located target, where that is wanted.
     pub fn arrive(&self) {
         if self.counting.load(Ordering::Acquire) {
-            self.tally().arrived += 1;
+            self.tally().requests += 1;
         }
     }
 
@@ -253,7 +257,7 @@
     }
     let mut hasher = Xxh3::new();
     for known in known {
-        known.add_to(&mut hasher);
+        known.hash_into(&mut hasher);
     }
     hasher.digest()
 }
--- a/src/rollout/stable.rs
+++ b/src/rollout/stable.rs
@@ -75,7 +75,7 @@
     }
 
     /// Notes that nothing is seen of services other than those.
-    pub fn miss(&mut self, now: Instant, seen: &[&Service]) {
+    pub fn mark_absent(&mut self, now: Instant, seen: &[&Service]) {
         let missed = self
             .all
             .iter_mut()
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -37,9 +37,9 @@
     /// What gates have reported.
     pub evidence: Analysis,
     /// What is going on with the platform about it.
-    pub asked: Arc<PlatformSync>,
+    pub sync: Arc<PlatformSync>,
     /// When the platform was asked last, and in which era.
-    pub checked: Option<(Instant, Era)>,
+    pub last_checked: Option<(Instant, Era)>,
     step: Step,
     since: Instant,
     /// When requests were counted last: those of new targets and of old ones that had been reported.
@@ -65,7 +65,7 @@
     /// Of others, by rank.
     pub old: Vec<SocketAddr>,
     /// Of others, by rank, that are out of sight and have not left as planned.
-    pub lost: Vec<SocketAddr>,
+    pub unreachable: Vec<SocketAddr>,
 }
 
 impl Sidecars {
@@ -84,7 +84,7 @@
         Self {
             new: rendezvous_order(service, seen.clone().filter(|m| is_new(m) == Some(true))),
             old: rendezvous_order(service, seen.filter(|m| is_new(m) == Some(false))),
-            lost: rendezvous_order(service, lost.filter(|m| is_new(m) == Some(false))),
+            unreachable: rendezvous_order(service, lost.filter(|m| is_new(m) == Some(false))),
         }
     }
 }
@@ -101,8 +101,8 @@
             since: now,
             seen: (now, (0, 0)),
             rate: (0.0, 0),
-            asked: Arc::default(),
-            checked: None,
+            sync: Arc::default(),
+            last_checked: None,
         }
     }
 
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn warm(&self, now: Instant, gates: &Sidecars) -> Vec<SocketAddr> {
         let warm = |peer: &&SocketAddr| {
-            let mut heard = self.evidence.heard(now);
+            let mut heard = self.evidence.recent_reports(now);
             heard.any(|(known, report)| known == **peer && report.warm)
         };
         gates.new.iter().filter(warm).copied().collect()
@@ -133,7 +133,7 @@
         gates: &Sidecars,
         bad: bool,
     ) -> Observed {
-        let heard: Vec<(SocketAddr, &Report)> = self.evidence.heard(now).collect();
+        let heard: Vec<(SocketAddr, &Report)> = self.evidence.recent_reports(now).collect();
         let old_heard = heard
             .iter()
             .filter(|(peer, _)| gates.old.contains(peer))
@@ -141,7 +141,7 @@
         let expected = gates.old.len().min(MAX_OLD_REPORTERS);
         let is_drained = |peer: &SocketAddr| {
             let report = heard.iter().find(|(known, _)| known == peer);
-            report.is_some_and(|(_, report)| report.step == Step::All && report.busy == 0)
+            report.is_some_and(|(_, report)| report.step == Step::All && report.in_flight == 0)
         };
         let (rate, ticks) = self.rate;
         Observed {
@@ -149,7 +149,7 @@
             age: known.age(now),
             step: self.step,
             in_step: now.saturating_duration_since(self.since),
-            confirmed: self.asked.confirmed.load(Ordering::Acquire),
+            confirmed: self.sync.confirmed.load(Ordering::Acquire),
             warm: self.warm(now, gates).len(),
             targets: gates.new.len(),
             in_touch: old_heard * 2 >= expected,
@@ -159,7 +159,7 @@
             bad,
             doubtful: self.evidence.is_doubtful(Test::default(), gates.new.len()),
             // Whoever is out of sight may be beyond a cut, with callers of its own.
-            drained: gates.lost.is_empty() && gates.old.iter().all(is_drained),
+            drained: gates.unreachable.is_empty() && gates.old.iter().all(is_drained),
         }
     }
 
@@ -167,11 +167,11 @@
     ///
     /// Guards against a rate that seems to fall since reports are lost: what the revision may get beside its
     /// share would be a large part of it then. The rate stays while most of the gates are not heard.
-    pub fn measure(&mut self, gates: &Sidecars) {
+    pub fn update_request_rate(&mut self, gates: &Sidecars) {
         let now = Instant::now();
-        let heard = self.evidence.heard(now);
+        let heard = self.evidence.recent_reports(now);
         let heard = heard.filter(|(peer, _)| gates.old.contains(peer)).count();
-        let requests = (self.evidence.exposed(), self.evidence.others());
+        let requests = (self.evidence.exposed(), self.evidence.old_requests());
         let (then, (exposed, others)) = std::mem::replace(&mut self.seen, (now, requests));
         if heard == 0 || heard * 2 < gates.old.len().min(MAX_OLD_REPORTERS) {
             return;
--- a/tests/canary.rs
+++ b/tests/canary.rs
@@ -143,7 +143,7 @@
             bad_ones += usize::from(bad);
             let outcome = self.outcome(bad);
             let tally = &mut self.tallies[gate].2;
-            tally.arrived += 1;
+            tally.requests += 1;
             tally.add(RouteId::of(if first { "a" } else { "b" }), outcome);
         }
         (count, bad_ones)
@@ -155,10 +155,10 @@
             service: Service::from("shelf"),
             revision: Revision::from(if *new { "v2" } else { "v1" }),
             step,
-            busy: 0,
+            in_flight: 0,
             warm: age >= WARM,
-            under_way: Vec::new(),
-            tally: tally.clone(),
+            in_flight_ages: Vec::new(),
+            counters: tally.clone(),
         }
     }
 }
@@ -201,9 +201,9 @@
                 }
             }
             let report = fleet.report(gate, step, age);
-            evidence.hear(start + age, fleet.tallies[gate].0, report);
+            evidence.record(start + age, fleet.tallies[gate].0, report);
         }
-        evidence.tick();
+        evidence.start_tick();
         if bad_answers >= BAD_ANSWERS && fiftieth.is_none() {
             fiftieth = Some(age);
         }
@@ -220,7 +220,7 @@
             per_second: (age >= Duration::from_secs(1)).then_some(rate),
             exposed: evidence.exposed(),
             answers: evidence.answers(),
-            bad: evidence.judge(test, case.targets).is_some(),
+            bad: evidence.find_regression(test, case.targets).is_some(),
             doubtful: evidence.is_doubtful(test, case.targets),
             // Requests under way end within a second.
             drained: step == Step::All && age.saturating_sub(since) >= Duration::from_secs(1),
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -14,7 +14,7 @@
 use jackdawpulley::rollout::decision::{Cause, decide};
 use jackdawpulley::rollout::observed::{ExposureLimits, Observed};
 use jackdawpulley::rollout::order::{Change, Fault, Order, Verdict};
-use jackdawpulley::rollout::plan::{Plan, Step, TTL};
+use jackdawpulley::rollout::plan::{PLAN_TTL, Plan, Step};
 use jackdawpulley::rollout::progress::{LocalProgress, Progress};
 use jackdawpulley::rollout::rules::{Rule, Side};
 use jackdawpulley::rollout::significance::Test;
@@ -48,7 +48,7 @@
 
 fn notice(revision: &str, at: Position) -> Change {
     Change {
-        at,
+        position: at,
         service: Service::from("shelf"),
         order: Some(order(revision)),
     }
@@ -316,15 +316,15 @@
         chosen: vec![peer(1)],
     };
     let now = Instant::now();
-    known.follow(now, &plan);
+    known.apply_plan(now, &plan);
     let rule = Rule::of(&known);
     let new = Revision::from("v2");
     assert_eq!(rule.side(Some(&new), peer(1), now), Some(Side::New));
     assert_eq!(rule.side(Some(&new), peer(2), now), None, "not chosen");
-    assert_eq!(rule.draw(0.05, 0, now), Side::New);
-    assert_eq!(rule.draw(0.05, 1, now), Side::Old, "once more");
-    assert_eq!(rule.side(Some(&new), peer(1), now + TTL), None);
-    assert_eq!(rule.draw(0.05, 0, now + TTL), Side::Old);
+    assert_eq!(rule.choose_side(0.05, 0, now), Side::New);
+    assert_eq!(rule.choose_side(0.05, 1, now), Side::Old, "once more");
+    assert_eq!(rule.side(Some(&new), peer(1), now + PLAN_TTL), None);
+    assert_eq!(rule.choose_side(0.05, 0, now + PLAN_TTL), Side::Old);
     assert_eq!(
         rule.side(None, peer(3), now),
         None,
@@ -344,12 +344,12 @@
         chosen: Vec::new(),
     };
     let now = Instant::now();
-    known.follow(now, &plan);
+    known.apply_plan(now, &plan);
     let rule = Rule::of(&known);
-    assert_eq!(rule.draw(0.9, 0, now), Side::Old);
-    assert_eq!(rule.draw(0.9, 1, now), Side::Old);
-    assert_eq!(rule.draw(0.9, 2, now), Side::New);
-    assert_eq!(rule.draw(0.9, 2, now + TTL), Side::Old);
+    assert_eq!(rule.choose_side(0.9, 0, now), Side::Old);
+    assert_eq!(rule.choose_side(0.9, 1, now), Side::Old);
+    assert_eq!(rule.choose_side(0.9, 2, now), Side::New);
+    assert_eq!(rule.choose_side(0.9, 2, now + PLAN_TTL), Side::Old);
 }
 
 /// With all requests at the new revision the old targets end what they have. A gate that hears nobody any more
@@ -364,13 +364,19 @@
         chosen: Vec::new(),
     };
     let now = Instant::now();
-    known.follow(now, &plan);
+    known.apply_plan(now, &plan);
     let rule = Rule::of(&known);
     let old = Revision::from("v1");
     assert_eq!(rule.side(Some(&old), peer(3), now), None);
-    assert_eq!(rule.side(Some(&old), peer(3), now + TTL), Some(Side::Old));
-    known.conclude(Verdict::Completed);
-    assert_eq!(Rule::of(&known).side(Some(&old), peer(3), now + TTL), None);
+    assert_eq!(
+        rule.side(Some(&old), peer(3), now + PLAN_TTL),
+        Some(Side::Old)
+    );
+    known.set_verdict(Verdict::Completed);
+    assert_eq!(
+        Rule::of(&known).side(Some(&old), peer(3), now + PLAN_TTL),
+        None
+    );
 }
 
 /// A daemon that decided went back, and another one that had not heard of it renewed its own plan.
@@ -383,14 +389,14 @@
         step: Step::Back,
         ..Plan::default()
     };
-    assert!(known.follow(now, &back));
+    assert!(known.apply_plan(now, &back));
     let later = Plan {
         number: 8,
         step: Step::All,
         permille: 1_000,
         chosen: Vec::new(),
     };
-    assert!(!known.follow(now, &later));
+    assert!(!known.apply_plan(now, &later));
     assert_eq!(known.progress().plan.step, Step::Back);
 }
 
@@ -400,10 +406,10 @@
 fn refused_revision_stays_refused() {
     let mut known = known("v2");
     let now = Instant::now();
-    known.conclude(Verdict::RolledBack);
-    assert!(known.notice(now, &notice("v3", at(1, 6))));
+    known.set_verdict(Verdict::RolledBack);
+    assert!(known.apply_change(now, &notice("v3", at(1, 6))));
     assert_eq!(known.progress().plan.step, Step::Waiting);
-    assert!(known.notice(now, &notice("v2", at(1, 7))));
+    assert!(known.apply_change(now, &notice("v2", at(1, 7))));
     assert_eq!(known.progress().plan.step, Step::Back);
     assert!(
         known.progress().verdict.is_none(),
@@ -416,7 +422,7 @@
 fn replaced_revision_is_barred() {
     let mut known = known("v2");
     let now = Instant::now();
-    assert!(known.notice(now, &notice("v3", at(1, 6))));
+    assert!(known.apply_change(now, &notice("v3", at(1, 6))));
     let rule = Rule::of(&known);
     assert_eq!(rule.side(Some(&Revision::from("v2")), peer(1), now), None);
     assert_eq!(
@@ -424,11 +430,11 @@
         Some(Side::Old)
     );
     // Ordered once more it is tried like any other.
-    assert!(known.notice(now, &notice("v2", at(1, 7))));
+    assert!(known.apply_change(now, &notice("v2", at(1, 7))));
     assert_eq!(known.progress().plan.step, Step::Waiting);
     // What has got all requests is an old revision for the next order.
-    known.conclude(Verdict::Completed);
-    assert!(known.notice(now, &notice("v4", at(1, 8))));
+    known.set_verdict(Verdict::Completed);
+    assert!(known.apply_change(now, &notice("v4", at(1, 8))));
     let rule = Rule::of(&known);
     assert_eq!(
         rule.side(Some(&Revision::from("v2")), peer(1), now),
@@ -445,11 +451,11 @@
         order: None,
         ..notice("v2", at(1, 6))
     };
-    assert!(known.notice(now, &away));
+    assert!(known.apply_change(now, &away));
     assert_eq!(known.progress().plan.step, Step::Back);
     let mut completed = self::known("v2");
-    completed.conclude(Verdict::Completed);
-    assert!(completed.notice(now, &away));
+    completed.set_verdict(Verdict::Completed);
+    assert!(completed.apply_change(now, &away));
     assert_eq!(completed.progress().verdict, Some(Verdict::Completed));
 }
 
@@ -459,19 +465,19 @@
 fn older_copy_brings_no_order_back() {
     let mut known = known("v2");
     let now = Instant::now();
-    known.conclude(Verdict::Completed);
-    assert!(known.notice(now, &notice("v3", at(1, 9))));
+    known.set_verdict(Verdict::Completed);
+    assert!(known.apply_change(now, &notice("v3", at(1, 9))));
     assert!(
-        !known.notice(now, &notice("v2", at(2, 5))),
+        !known.apply_change(now, &notice("v2", at(2, 5))),
         "it stands where it stood"
     );
     assert_eq!(known.progress().order.revision, Revision::from("v3"));
     // The operator writes the newer one again, at an offset that was given out before.
-    assert!(known.notice(now, &notice("v3", at(2, 6))));
-    assert_eq!(known.progress().at, at(2, 6));
+    assert!(known.apply_change(now, &notice("v3", at(2, 6))));
+    assert_eq!(known.progress().position, at(2, 6));
     assert_eq!(known.progress().plan.step, Step::Waiting);
     // Written anew, the older one is an order like any other.
-    assert!(known.notice(now, &notice("v2", at(2, 7))));
+    assert!(known.apply_change(now, &notice("v2", at(2, 7))));
     assert_eq!(known.progress().order.revision, Revision::from("v2"));
 }
 
@@ -518,7 +524,7 @@
                 known.merge(now, word);
             }
             let progress = known.progress();
-            (progress.at, progress.plan.step, progress.verdict, progress.refused.clone())
+            (progress.position, progress.plan.step, progress.verdict, progress.refused.clone())
         };
         let forth = fold(words.iter().collect());
         let back = fold(words.iter().rev().chain(&words).collect());
@@ -552,25 +558,27 @@
             });
             let tally = &mut self.tallies[index].1;
             for _ in 0..*count {
-                tally.arrived += 1;
+                tally.requests += 1;
                 tally.add(RouteId::of(route), *outcome);
             }
             let report = Report {
                 service: Service::from("shelf"),
                 revision: Revision::from(if *host >= 100 { "v2" } else { "v1" }),
                 step: Step::Canary,
-                busy: 0,
+                in_flight: 0,
                 warm: true,
-                under_way: Vec::new(),
-                tally: tally.clone(),
+                in_flight_ages: Vec::new(),
+                counters: tally.clone(),
             };
-            self.evidence.hear(self.now, peer(*host), report);
+            self.evidence.record(self.now, peer(*host), report);
         }
-        self.evidence.tick();
+        self.evidence.start_tick();
     }
 
     fn is_bad(&self) -> bool {
-        self.evidence.judge(Test::default(), TARGETS).is_some()
+        self.evidence
+            .find_regression(Test::default(), TARGETS)
+            .is_some()
     }
 }
 
@@ -650,7 +658,7 @@
         rounds.play("a", &[(1, 100, FINE), (100, 20, FINE), (101, 20, FINE)]);
         rounds.play("b", &[(1, 20, FINE), (100, 2, slow), (101, 2, slow)]);
     }
-    let finding = rounds.evidence.judge(Test::default(), TARGETS);
+    let finding = rounds.evidence.find_regression(Test::default(), TARGETS);
     assert_eq!(finding.map(|finding| finding.route), Some(RouteId::of("b")));
 }
 
@@ -707,13 +715,13 @@
         service: Service::from("shelf"),
         revision: Revision::from("v2"),
         step: Step::Canary,
-        busy: 0,
+        in_flight: 0,
         warm: true,
-        under_way: Vec::new(),
-        tally: rounds.tallies[0].1.clone(),
+        in_flight_ages: Vec::new(),
+        counters: rounds.tallies[0].1.clone(),
     };
     let now = rounds.now;
-    rounds.evidence.hear(now, peer(100), report);
+    rounds.evidence.record(now, peer(100), report);
     assert_eq!(rounds.evidence.exposed(), 14);
 }
 
@@ -750,7 +758,7 @@
     let later = now + Duration::from_secs(5);
     usual.note(later, &service, &[&new, &new]);
     assert_eq!(usual.get(&service, later), Some(&old));
-    usual.miss(later, &[]);
+    usual.mark_absent(later, &[]);
     usual.note(later, &service, &[&old, &new]);
     assert_eq!(usual.get(&service, later), Some(&old));
     // Gone for good it is not the usual one any more.
@@ -795,12 +803,12 @@
             service: Service::from("shelf"),
             revision: Revision::from("v2"),
             step: Step::All,
-            busy: 3,
+            in_flight: 3,
             warm: true,
-            under_way: ages.routes.clone(),
-            tally: tally.map(|(_, tally)| tally.clone()).unwrap_or_default(),
+            in_flight_ages: ages.routes.clone(),
+            counters: tally.map(|(_, tally)| tally.clone()).unwrap_or_default(),
         };
-        rounds.evidence.hear(rounds.now, peer(host), report);
+        rounds.evidence.record(rounds.now, peer(host), report);
     }
     assert!(rounds.is_bad());
 }
@@ -841,7 +849,7 @@
         ];
         roster.gone = gone.into_iter().collect();
         let mut duty = Tracker::new(order("v2"), &known);
-        duty.evidence.hear(now, peer(1), idle("v1"));
+        duty.evidence.record(now, peer(1), idle("v1"));
         let service = Service::from("shelf");
         let gates = Sidecars::of(&roster, &service, &Revision::from("v2"));
         duty.observe(now, &known, &gates, false).drained
@@ -857,9 +865,9 @@
         service: Service::from("shelf"),
         revision: Revision::from(revision),
         step: Step::All,
-        busy: 0,
+        in_flight: 0,
         warm: true,
-        under_way: Vec::new(),
-        tally: Counters::default(),
+        in_flight_ages: Vec::new(),
+        counters: Counters::default(),
     }
 }
