--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -372,7 +372,7 @@
 
 impl<'a> Counted<'a> {
     fn begin(board: &'a Board, route: &'a str, deadline: Instant) -> Self {
-        board.rollouts.arrive();
+        board.rollouts.count_request();
         Self {
             board,
             route,
@@ -392,7 +392,7 @@
             // It has not run.
             Err(_) => return,
         };
-        self.board.rollouts.answer(self.route, outcome);
+        self.board.rollouts.count_answer(self.route, outcome);
     }
 }
 
@@ -401,7 +401,9 @@
         // Guards against a target that is silent until its callers have gone: its runs are dropped here
         // and would count as nothing. A caller that leaves early says nothing of the target.
         if !self.is_over && Instant::now() + AT_THE_END >= self.deadline {
-            self.board.rollouts.answer(self.route, Outcome::Failed);
+            self.board
+                .rollouts
+                .count_answer(self.route, Outcome::Failed);
         }
     }
 }
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -232,7 +232,7 @@
     }
 
     fn note_order(&self, notice: &Change) {
-        if !self.board.rollouts.notice(notice) {
+        if !self.board.rollouts.apply_change(notice) {
             return;
         }
         let Some(order) = &notice.order else {
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -73,7 +73,7 @@
     pub(super) fn reconcile(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
         let crashes = self.board().quarantine.snapshot();
-        let rollouts = self.board().rollouts.told();
+        let rollouts = self.board().rollouts.snapshot();
         let mut guard = self.state();
         let told = guard.reconciled;
         let soon = told.is_some_and(|told| now.saturating_duration_since(told) < PAUSE);
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -175,9 +175,9 @@
             ran,
             slots,
             crashes: self.board.quarantine.snapshot(),
-            rollouts: self.board.rollouts.told(),
+            rollouts: self.board.rollouts.snapshot(),
             era: self.board.era(),
-            usual: guard.usual.told(),
+            usual: guard.usual.snapshot(),
         }
     }
 
@@ -239,7 +239,9 @@
             Probe::Crashes(crashes) => self.board.quarantine.merge(crashes),
             Probe::Rollouts(told) => self.board.rollouts.merge(told),
             Probe::Report(report) => {
-                self.board.rollouts.hear(datagram.from.peer, report.clone());
+                self.board
+                    .rollouts
+                    .add_report(datagram.from.peer, report.clone());
             }
             _ => {}
         }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -140,7 +140,7 @@
         }
         for pool in &pools {
             let told: Vec<&Revision> = pool.revisions.iter().flatten().collect();
-            usual.note(now, &pool.service, &told);
+            usual.observe(now, &pool.service, &told);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
         usual.mark_absent(now, &services);
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -154,7 +154,7 @@
     }
 
     fn rollouts(&self) -> Answer {
-        let told: Vec<Progress> = self.board.rollouts.told();
+        let told: Vec<Progress> = self.board.rollouts.snapshot();
         json(StatusCode::OK, &told)
     }
 
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -167,7 +167,7 @@
             running,
             waiting,
             keys: keys.len(),
-            rollouts: board.rollouts.told(),
+            rollouts: board.rollouts.snapshot(),
             era: board.era(),
             quarantined: quarantined(&board.quarantine.assessments(), now),
             control: board.meter.read(),
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -13,24 +13,24 @@
 use crate::units::Revision;
 
 /// Ticks that are remembered: a minute at four a second.
-const MOST_TICKS: usize = 240;
+const MAX_TICKS: usize = 240;
 /// Buckets above the old revision's median from which an answer counts as slow: about three times its time.
-const SLOWER: usize = 3;
+const SLOW_BUCKET_OFFSET: usize = 3;
 /// Answers of the old revision that a comparison asks for at least, where it has them.
-const BASE: u32 = 300;
+const MIN_BASE_ANSWERS: u32 = 300;
 /// Answers of it that are looked at as well, so that luck with the last ones does not count.
-const LONG_BASE: u32 = 2_000;
+const LONG_BASE_ANSWERS: u32 = 2_000;
 /// Last ticks that are looked at for a doubt beside all of them: those of a move.
-const LATELY: usize = 8;
+const RECENT_TICKS: usize = 8;
 /// Time after which a gate that has not reported counts as not heard.
-const SILENT: Duration = Duration::from_millis(1_500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// One gate with its last report.
 #[derive(Debug, Clone)]
-struct Gate {
+struct Sidecar {
     peer: SocketAddr,
     report: Report,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// What was counted between two ticks.
@@ -75,7 +75,7 @@
     /// Revision that is rolled out.
     revision: Revision,
     /// Sorted by address.
-    gates: Vec<Gate>,
+    sidecars: Vec<Sidecar>,
     ticks: VecDeque<Tick>,
     /// Requests that the new revision was sent, as far as reported.
     exposed: u64,
@@ -91,7 +91,7 @@
     pub const fn new(revision: Revision) -> Self {
         Self {
             revision,
-            gates: Vec::new(),
+            sidecars: Vec::new(),
             ticks: VecDeque::new(),
             exposed: 0,
             others: 0,
@@ -101,8 +101,10 @@
 
     /// Takes in a gate's report.
     pub fn record(&mut self, now: Instant, peer: SocketAddr, report: Report) {
-        let found = self.gates.binary_search_by_key(&peer, |gate| gate.peer);
-        let known = found.ok().map(|index| self.gates[index].report.clone());
+        let found = self
+            .sidecars
+            .binary_search_by_key(&peer, |sidecar| sidecar.peer);
+        let known = found.ok().map(|index| self.sidecars[index].report.clone());
         // Counts of another life, or of another target there, begin anew.
         let same = known.filter(|known| {
             known.counters.series_id == report.counters.series_id
@@ -113,19 +115,19 @@
         if report.counters.requests < before.requests {
             return;
         }
-        self.count(peer, &report, &before);
-        let gate = Gate {
+        self.add_report(peer, &report, &before);
+        let sidecar = Sidecar {
             peer,
             report,
-            heard: now,
+            received_at: now,
         };
         match found {
-            Ok(index) => self.gates[index] = gate,
-            Err(index) => self.gates.insert(index, gate),
+            Ok(index) => self.sidecars[index] = sidecar,
+            Err(index) => self.sidecars.insert(index, sidecar),
         }
     }
 
-    fn count(&mut self, peer: SocketAddr, report: &Report, before: &Counters) {
+    fn add_report(&mut self, peer: SocketAddr, report: &Report, before: &Counters) {
         let arrived = report.counters.requests - before.requests;
         let is_new = report.revision == self.revision;
         if is_new {
@@ -148,14 +150,14 @@
                 self.answers += u64::from(counts.total());
                 tick.new.push((peer, *route, counts));
             } else {
-                add(&mut tick.old, *route, &counts);
+                add_counters(&mut tick.old, *route, &counts);
             }
         }
     }
 
     /// Begins the next tick.
     pub fn start_tick(&mut self) {
-        if self.ticks.len() == MOST_TICKS {
+        if self.ticks.len() == MAX_TICKS {
             self.ticks.pop_front();
         }
         self.ticks.push_back(Tick::default());
@@ -181,11 +183,10 @@
 
     /// Gates that have reported a moment ago, with what they said.
     pub fn recent_reports(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Report)> {
-        let heard = self
-            .gates
-            .iter()
-            .filter(move |gate| now.saturating_duration_since(gate.heard) < SILENT);
-        heard.map(|gate| (gate.peer, &gate.report))
+        let recent = self.sidecars.iter().filter(move |sidecar| {
+            now.saturating_duration_since(sidecar.received_at) < REPORT_TIMEOUT
+        });
+        recent.map(|sidecar| (sidecar.peer, &sidecar.report))
     }
 
     /// What speaks against the new revision, which has so many targets, if anything does beyond chance.
@@ -195,9 +196,9 @@
     #[must_use]
     pub fn find_regression(&self, test: Test, targets: usize) -> Option<Finding> {
         let routes = self.routes();
-        let apart = routes.chunks(1);
-        let mut groups = apart.chain((routes.len() > 1).then_some(routes.as_slice()));
-        groups.find_map(|group| self.judge_routes(group, test, targets))
+        let separate = routes.chunks(1);
+        let mut groups = separate.chain((routes.len() > 1).then_some(routes.as_slice()));
+        groups.find_map(|group| self.find_regression_on(group, test, targets))
     }
 
     /// Whether more speaks against the new revision than for it, over all ticks or the last ones.
@@ -207,11 +208,11 @@
     pub fn is_doubtful(&self, test: Test, targets: usize) -> bool {
         let routes = self.routes();
         let all = self.ticks.len();
-        let leans = |span: usize| {
+        let is_doubtful_over = |span: usize| {
             let compared = self.compare_all(&routes, span);
             test.compare(&compared, targets <= 1) >= Conclusion::Doubtful
         };
-        leans(all) || leans(all.min(LATELY))
+        is_doubtful_over(all) || is_doubtful_over(all.min(RECENT_TICKS))
     }
 
     /// Both revisions beside each other, by route, over all ticks.
@@ -233,14 +234,19 @@
     }
 
     /// Judges some routes together over the last tick, the last two, four and so on.
-    fn judge_routes(&self, routes: &[RouteId], test: Test, targets: usize) -> Option<Finding> {
+    fn find_regression_on(
+        &self,
+        routes: &[RouteId],
+        test: Test,
+        targets: usize,
+    ) -> Option<Finding> {
         let spans = std::iter::successors(Some(1), |span| Some(span * 2));
         let mut spans: Vec<usize> = spans.take_while(|span| *span < self.ticks.len()).collect();
         spans.push(self.ticks.len());
         spans.into_iter().find_map(|span| {
             let compared = self.compare_all(routes, span);
-            let leaning = test.compare(&compared, targets <= 1);
-            (leaning == Conclusion::Worse).then(|| Finding::new(routes, &compared, span))
+            let conclusion = test.compare(&compared, targets <= 1);
+            (conclusion == Conclusion::Worse).then(|| Finding::new(routes, &compared, span))
         })
     }
 
@@ -252,24 +258,26 @@
 
     /// Answers of both revisions on one route over the last ticks.
     fn compare(&self, route: RouteId, span: usize) -> Comparison {
-        let asked = self.answered(route, span).max(BASE);
-        let lately = self.base(route, span, asked);
-        let slow = lately.median().map_or(usize::MAX, |median| median + SLOWER);
+        let min_answers = self.count_new_answers(route, span).max(MIN_BASE_ANSWERS);
+        let recent = self.old_counters(route, span, min_answers);
+        let slow_bucket = recent
+            .median()
+            .map_or(usize::MAX, |median| median + SLOW_BUCKET_OFFSET);
         let sample = |counts: &RouteCounters| Sample {
-            bad: counts.bad(slow),
+            bad: counts.bad(slow_bucket),
             total: counts.total(),
         };
         // Guards against luck on either side: a service beneath that has just begun to fail shows in
         // the last answers, a few that happened to be good ones don't show in many.
-        let for_long = self.base(route, span, LONG_BASE);
+        let long_term = self.old_counters(route, span, LONG_BASE_ANSWERS);
         Comparison {
-            old: sample(&lately).worse(sample(&for_long)),
-            new: self.samples(route, span, slow),
+            old: sample(&recent).with_higher_bad_rate(sample(&long_term)),
+            new: self.new_samples(route, span, slow_bucket),
         }
     }
 
     /// Answers of the new revision over the last ticks.
-    fn answered(&self, route: RouteId, span: usize) -> u32 {
+    fn count_new_answers(&self, route: RouteId, span: usize) -> u32 {
         let ticks = self.ticks.iter().rev().take(span);
         let new = ticks.flat_map(|tick| &tick.new);
         let here = new.filter(|(_, known, _)| *known == route);
@@ -281,10 +289,10 @@
     ///
     /// Guards against many answers that are held against few: while the new revision gets all requests, the
     /// last ones of the old stand for all that follow, and some good ones would be taken back for their luck.
-    fn base(&self, route: RouteId, span: usize, asked: u32) -> RouteCounters {
+    fn old_counters(&self, route: RouteId, span: usize, min_answers: u32) -> RouteCounters {
         let mut base = RouteCounters::default();
         for (age, tick) in self.ticks.iter().rev().enumerate() {
-            if age >= span && base.total() >= asked {
+            if age >= span && base.total() >= min_answers {
                 break;
             }
             let found = tick.old.binary_search_by_key(&route, |(known, _)| *known);
@@ -295,18 +303,23 @@
         base
     }
 
-    fn is_new(&self, gate: &Gate) -> bool {
-        gate.report.revision == self.revision
+    fn is_new(&self, sidecar: &Sidecar) -> bool {
+        sidecar.report.revision == self.revision
     }
 
     /// Answers of each target of the new revision over the last ticks, sorted by its daemon.
-    fn samples(&self, route: RouteId, span: usize, slow: usize) -> Vec<(SocketAddr, Sample)> {
+    fn new_samples(
+        &self,
+        route: RouteId,
+        span: usize,
+        slow_bucket: usize,
+    ) -> Vec<(SocketAddr, Sample)> {
         let mut samples: Vec<(SocketAddr, Sample)> = Vec::new();
         for tick in self.ticks.iter().rev().take(span) {
             let here = tick.new.iter().filter(|(_, known, _)| *known == route);
             for (peer, _, counts) in here {
                 let counted = Sample {
-                    bad: counts.bad(slow),
+                    bad: counts.bad(slow_bucket),
                     total: counts.total(),
                 };
                 add_sample(&mut samples, *peer, counted);
@@ -314,15 +327,15 @@
         }
         // Guards against a slow revision whose answers come when it has got all requests: what it works on
         // for longer than an answer may take is as bad as one that took so long.
-        for gate in self.gates.iter().filter(|gate| self.is_new(gate)) {
-            let here = gate.report.in_flight_ages.iter();
+        for sidecar in self.sidecars.iter().filter(|sidecar| self.is_new(sidecar)) {
+            let here = sidecar.report.in_flight_ages.iter();
             let here = here.filter(|(known, _)| *known == route);
-            let overdue: u32 = here.map(|(_, ages)| ages.bad(slow)).sum();
-            let late = Sample {
+            let overdue: u32 = here.map(|(_, ages)| ages.bad(slow_bucket)).sum();
+            let overdue_sample = Sample {
                 bad: overdue,
                 total: overdue,
             };
-            add_sample(&mut samples, gate.peer, late);
+            add_sample(&mut samples, sidecar.peer, overdue_sample);
         }
         samples
     }
@@ -336,7 +349,7 @@
     }
 }
 
-fn add(all: &mut Vec<(RouteId, RouteCounters)>, route: RouteId, counts: &RouteCounters) {
+fn add_counters(all: &mut Vec<(RouteId, RouteCounters)>, route: RouteId, counts: &RouteCounters) {
     match all.binary_search_by_key(&route, |(known, _)| *known) {
         Ok(index) => all[index].1.merge(counts),
         Err(index) => all.insert(index, (route, *counts)),
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -31,22 +31,22 @@
 use crate::units::Service;
 
 /// Time between two looks where all have a verdict.
-const REST: Duration = Duration::from_secs(2);
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
 /// Daemons that get the counts of a service: the one that decides, and the next one.
-const DECIDERS: usize = 2;
+const COORDINATORS: usize = 2;
 /// Time without a plan after which the next one decides: before plans lapse.
-const TAKE_OVER: Duration = Duration::from_secs(1);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Gates of new targets that report: twice as many as a plan names, since some may not be warm.
-const TRIED: usize = 2 * MAX_CHOSEN;
+const MAX_NEW_REPORTERS: usize = 2 * MAX_CHOSEN;
 /// Gates that report in one tick that nothing runs at their old targets; where there are more, each does so
 /// less often.
-const DRAINS: usize = 48;
+const DRAIN_REPORTS_PER_TICK: usize = 48;
 /// Time between two looks at what the platform says of a roll-out: it may have forgotten.
-const RECHECK: Duration = Duration::from_secs(10);
+const STATUS_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Time for which it is looked at after the end of an order.
-const AFTERMATH: Duration = Duration::from_mins(1);
+const CHECK_TIME_AFTER_ORDER: Duration = Duration::from_mins(1);
 /// Pauses after calls to the platform that failed.
-const PAUSES: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
 
 /// Carries out what is ordered, as far as it is this daemon's part.
 pub struct Controller {
@@ -55,7 +55,7 @@
     origin: Option<Arc<dyn Origin>>,
     limits: ExposureLimits,
     /// Sorted by service.
-    duties: Vec<Tracker>,
+    trackers: Vec<Tracker>,
     ticks: u64,
 }
 
@@ -72,7 +72,7 @@
             board: Arc::clone(board),
             membership: Arc::clone(membership),
             origin,
-            duties: Vec::new(),
+            trackers: Vec::new(),
             ticks: 0,
         }
     }
@@ -82,7 +82,7 @@
         let mut changes = self.board.rollouts.changes();
         let mut next = Instant::now();
         loop {
-            let known = self.board.rollouts.known();
+            let known = self.board.rollouts.list();
             if known.is_empty() {
                 let _ = changes.changed().await;
                 next = Instant::now();
@@ -91,31 +91,31 @@
                 _ = changes.changed() => {}
                 () = tokio::time::sleep_until(next.into()) => {}
             }
-            self.pass_on().await;
+            self.propagate_updates().await;
             if Instant::now() < next {
                 continue;
             }
-            let known = self.board.rollouts.known();
-            next = Instant::now() + pause(&known);
+            let known = self.board.rollouts.list();
+            next = Instant::now() + tick_interval(&known);
             self.ticks += 1;
-            self.report().await;
-            self.take_reports();
+            self.send_report().await;
+            self.record_reports();
             for known in &known {
-                self.attend(known);
+                self.coordinate(known);
             }
-            self.pass_on().await;
+            self.propagate_updates().await;
         }
     }
 
-    async fn pass_on(&self) {
-        let news = self.board.rollouts.take_news();
-        if !news.is_empty() {
-            self.membership.pass_on_rollouts(news).await;
+    async fn propagate_updates(&self) {
+        let updates = self.board.rollouts.take_updates();
+        if !updates.is_empty() {
+            self.membership.pass_on_rollouts(updates).await;
         }
     }
 
     /// Tells those who decide how the co-located target answers.
-    async fn report(&self) {
+    async fn send_report(&self) {
         let board = &self.board;
         let target = board.target();
         let rules = board.rollouts.rules();
@@ -123,7 +123,7 @@
             .as_ref()
             .and_then(|target| rules.get(&target.service));
         let rule = rule.filter(|rule| rule.is_undecided());
-        board.rollouts.count(rule.is_some());
+        board.rollouts.set_counting(rule.is_some());
         let (Some(rule), Some(target)) = (rule, target) else {
             return;
         };
@@ -132,11 +132,12 @@
         };
         let now = Instant::now();
         let step = rule.step(now).unwrap_or_default();
-        let gates = Sidecars::of(&board.roster(), &target.service, &rule.revision);
+        let sidecars = Sidecars::of(&board.roster(), &target.service, &rule.revision);
         let me = board.settings.identity();
         let is_among = |peers: &[SocketAddr], first| peers.iter().take(first).any(|p| *p == me);
-        let counts = is_among(&gates.new, TRIED) || is_among(&gates.old, MAX_OLD_REPORTERS);
-        let every = gates.old.len().div_ceil(DRAINS).max(1) as u64;
+        let counts = is_among(&sidecars.new, MAX_NEW_REPORTERS)
+            || is_among(&sidecars.old, MAX_OLD_REPORTERS);
+        let every = sidecars.old.len().div_ceil(DRAIN_REPORTS_PER_TICK).max(1) as u64;
         let drains = step == Step::All && revision != rule.revision;
         let drains = drains && self.ticks.is_multiple_of(every);
         if !counts && !drains {
@@ -146,22 +147,26 @@
             service: target.service.clone(),
             revision,
             step,
-            in_flight: self.busy(),
+            in_flight: self.in_flight(),
             warm: now >= target.cold_until,
             in_flight_ages: if counts {
-                self.under_way(now)
+                self.in_flight_ages(now)
             } else {
                 Vec::new()
             },
             counters: if counts {
-                board.rollouts.counted()
+                board.rollouts.counters()
             } else {
                 Counters::default()
             },
         };
-        for peer in self.deciders(&target.service).into_iter().take(DECIDERS) {
+        for peer in self
+            .coordinators(&target.service)
+            .into_iter()
+            .take(COORDINATORS)
+        {
             if peer == me {
-                board.rollouts.hear(me, report.clone());
+                board.rollouts.add_report(me, report.clone());
             } else {
                 self.membership.report(peer, report.clone()).await;
             }
@@ -169,7 +174,7 @@
     }
 
     /// Requests that the target works on, by route and the time since it got them.
-    fn under_way(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
+    fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
         let mut ages = Counters::default();
         let running = detector::lock_running(&self.board.running);
         for run in running.under_way() {
@@ -179,13 +184,13 @@
         ages.routes
     }
 
-    fn busy(&self) -> u32 {
+    fn in_flight(&self) -> u32 {
         let running = detector::lock_running(&self.board.running);
         u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
     }
 
     /// Serving daemons in the order in which they decide on a service.
-    fn deciders(&self, service: &Service) -> Vec<SocketAddr> {
+    fn coordinators(&self, service: &Service) -> Vec<SocketAddr> {
         let roster = self.board.roster();
         let serving = roster
             .members
@@ -194,94 +199,94 @@
         rendezvous_order(service, serving)
     }
 
-    fn gates(&self, order: &Order) -> Sidecars {
+    fn sidecars(&self, order: &Order) -> Sidecars {
         Sidecars::of(&self.board.roster(), &order.service, &order.revision)
     }
 
-    fn take_reports(&mut self) {
+    fn record_reports(&mut self) {
         let now = Instant::now();
         for (peer, report) in self.board.rollouts.take_reports() {
-            let found = self.find(&report.service);
+            let found = self.find_tracker(&report.service);
             if let Ok(index) = found {
-                self.duties[index].evidence.record(now, peer, report);
+                self.trackers[index].analysis.record(now, peer, report);
             }
         }
-        for duty in &mut self.duties {
-            duty.evidence.start_tick();
+        for tracker in &mut self.trackers {
+            tracker.analysis.start_tick();
         }
     }
 
-    fn find(&self, service: &Service) -> Result<usize, usize> {
-        let duties = &self.duties;
-        duties.binary_search_by(|duty| duty.order.service.cmp(service))
+    fn find_tracker(&self, service: &Service) -> Result<usize, usize> {
+        let trackers = &self.trackers;
+        trackers.binary_search_by(|tracker| tracker.order.service.cmp(service))
     }
 
     /// Looks after one roll-out, where that is this daemon's part.
-    fn attend(&mut self, known: &LocalProgress) {
+    fn coordinate(&mut self, known: &LocalProgress) {
         let order = known.progress().order.clone();
         let me = self.board.settings.identity();
-        let deciders = self.deciders(&order.service);
-        let rank = deciders.iter().position(|peer| *peer == me);
-        let Some(rank) = rank.filter(|rank| *rank < DECIDERS) else {
-            if let Ok(index) = self.find(&order.service) {
-                self.duties.remove(index);
+        let coordinators = self.coordinators(&order.service);
+        let rank = coordinators.iter().position(|peer| *peer == me);
+        let Some(rank) = rank.filter(|rank| *rank < COORDINATORS) else {
+            if let Ok(index) = self.find_tracker(&order.service) {
+                self.trackers.remove(index);
             }
             return;
         };
-        let index = match self.find(&order.service) {
-            Ok(index) if self.duties[index].order == order => index,
+        let index = match self.find_tracker(&order.service) {
+            Ok(index) if self.trackers[index].order == order => index,
             Ok(index) => {
-                self.duties[index] = Tracker::new(order, known);
+                self.trackers[index] = Tracker::new(order, known);
                 index
             }
             Err(index) => {
-                self.duties.insert(index, Tracker::new(order, known));
+                self.trackers.insert(index, Tracker::new(order, known));
                 index
             }
         };
         let now = Instant::now();
-        let quiet = now.saturating_duration_since(known.plan_renewed_at());
+        let since_renewal = now.saturating_duration_since(known.plan_renewed_at());
         // Plans are renewed until there is a verdict; then one daemon looks after it.
         let is_open = known.progress().verdict.is_none();
-        let is_turn = rank == 0 || is_open && quiet >= TAKE_OVER;
-        let gates = self.gates(&self.duties[index].order);
-        self.duties[index].update_request_rate(&gates);
-        if is_turn {
-            self.steer(index, known, &gates);
+        let is_active = rank == 0 || is_open && since_renewal >= TAKEOVER_TIMEOUT;
+        let sidecars = self.sidecars(&self.trackers[index].order);
+        self.trackers[index].update_request_rate(&sidecars);
+        if is_active {
+            self.advance(index, known, &sidecars);
         }
     }
 
     /// Decides what comes next.
-    fn steer(&mut self, index: usize, known: &LocalProgress, gates: &Sidecars) {
+    fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
         let era = self.board.era();
         let progress = known.progress();
         if progress.verdict.is_some() {
-            self.check(index, known, Status::from(progress.verdict));
+            self.check_status(index, known, Status::from(progress.verdict));
             return;
         }
-        let duty = &mut self.duties[index];
-        duty.follow(now, progress.plan.step);
-        let finding = duty
-            .evidence
-            .find_regression(Test::default(), gates.new.len());
-        let observed = duty.observe(now, known, gates, finding.is_some());
+        let tracker = &mut self.trackers[index];
+        tracker.set_step(now, progress.plan.step);
+        let finding = tracker
+            .analysis
+            .find_regression(Test::default(), sidecars.new.len());
+        let observed = tracker.observe(now, known, sidecars, finding.is_some());
         let decision = decide(&self.limits, &observed);
-        let warm = duty.warm(now, gates);
-        let chosen = chosen(&warm, decision.targets);
+        let warm = tracker.warm(now, sidecars);
+        let chosen = choose_targets(&warm, decision.targets);
         let plan = &progress.plan;
         let same =
             (plan.step, plan.permille, &plan.chosen) == (decision.step, decision.permille, &chosen);
-        let quiet = now.saturating_duration_since(known.plan_renewed_at());
-        let order = duty.order.clone();
-        if !same || quiet >= RENEWAL_INTERVAL.duration() {
+        let since_renewal = now.saturating_duration_since(known.plan_renewed_at());
+        let order = tracker.order.clone();
+        if !same || since_renewal >= RENEWAL_INTERVAL.duration() {
             let next = Plan {
                 number: plan.number + 1,
                 step: decision.step,
                 permille: decision.permille,
                 chosen,
             };
-            self.board.rollouts.follow(&order, &next);
+            self.board.rollouts.apply_plan(&order, &next);
             let service = order.service.to_string();
             metrics::gauge!("jackdaw_rollout_share", "service" => service)
                 .set(f64::from(decision.permille) / f64::from(FULL_PERMILLE));
@@ -292,56 +297,56 @@
                 "complete" => decision.complete, "cause" => %decision.cause,
                 "permille" => decision.permille, "targets" => decision.targets,
                 "observed" => ?observed, "finding" => ?finding,
-                "compared" => ?duty.evidence.compared(), "era" => era.0);
+                "compared" => ?tracker.analysis.compared(), "era" => era.0);
         }
-        match wanted(&decision) {
-            Some(status) => self.ask(index, status),
-            None => self.check(index, known, Status::Running),
+        match final_status(&decision) {
+            Some(status) => self.sync_status(index, status),
+            None => self.check_status(index, known, Status::Running),
         }
     }
 
     /// Looks now and then whether the platform still says how a roll-out stands, and whether it knows better.
-    fn check(&mut self, index: usize, known: &LocalProgress, status: Status) {
+    fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
-        let duty = &self.duties[index];
+        let tracker = &self.trackers[index];
         let era = self.board.era();
-        let due = duty.last_checked.is_none_or(|(checked, then)| {
-            let late = known.age(now) > duty.order.duration.duration() + AFTERMATH;
-            let waited = now.saturating_duration_since(checked) >= RECHECK;
+        let due = tracker.last_checked.is_none_or(|(checked, then)| {
+            let late = known.age(now) > tracker.order.duration.duration() + CHECK_TIME_AFTER_ORDER;
+            let waited = now.saturating_duration_since(checked) >= STATUS_CHECK_INTERVAL;
             then != era || waited && !late
         });
-        if due || !duty.sync.confirmed.load(Ordering::Acquire) {
-            self.ask(index, status);
+        if due || !tracker.sync.confirmed.load(Ordering::Acquire) {
+            self.sync_status(index, status);
         }
     }
 
     /// Tells the platform how a roll-out stands and takes what stands there, unless that is under way.
-    fn ask(&mut self, index: usize, status: Status) {
+    fn sync_status(&mut self, index: usize, status: Status) {
         let Some(origin) = self.origin.clone() else {
             return;
         };
         let era = self.board.era();
-        let duty = &mut self.duties[index];
-        if duty.sync.under_way.swap(true, Ordering::AcqRel) {
+        let tracker = &mut self.trackers[index];
+        if tracker.sync.in_progress.swap(true, Ordering::AcqRel) {
             return;
         }
-        duty.last_checked = Some((Instant::now(), era));
-        let (order, asked) = (duty.order.clone(), Arc::clone(&duty.sync));
+        tracker.last_checked = Some((Instant::now(), era));
+        let (order, sync) = (tracker.order.clone(), Arc::clone(&tracker.sync));
         let board = Arc::clone(&self.board);
         tokio::spawn(async move {
-            let outcome = tell(&board, origin.as_ref(), &order, status).await;
+            let outcome = sync_with_platform(&board, origin.as_ref(), &order, status).await;
             if outcome.is_err() {
-                let mut pauses = PAUSES;
-                tokio::time::sleep(pauses.random_pause()).await;
+                let mut backoff = RETRY_BACKOFF;
+                tokio::time::sleep(backoff.random_pause()).await;
             }
-            asked.confirmed.fetch_or(outcome.is_ok(), Ordering::AcqRel);
-            asked.under_way.store(false, Ordering::Release);
+            sync.confirmed.fetch_or(outcome.is_ok(), Ordering::AcqRel);
+            sync.in_progress.store(false, Ordering::Release);
         });
     }
 }
 
 /// Time until the next look at what is known.
-fn pause(known: &[LocalProgress]) -> Duration {
+fn tick_interval(known: &[LocalProgress]) -> Duration {
     let open = known
         .iter()
         .filter(|known| known.progress().verdict.is_none());
@@ -354,19 +359,19 @@
             TICK_INTERVAL
         }
     });
-    each.min().unwrap_or(REST)
+    each.min().unwrap_or(IDLE_INTERVAL)
 }
 
 /// Tells the platform how a roll-out stands, and takes what stands there.
-async fn tell(
+async fn sync_with_platform(
     board: &Board,
     origin: &dyn Origin,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
-    let stands = origin.tell(order, status).await?;
-    if let Some(verdict) = stands.verdict() {
-        if board.rollouts.conclude(order, verdict) {
+    let stored = origin.tell(order, status).await?;
+    if let Some(verdict) = stored.verdict() {
+        if board.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
                 .increment(1);
             warn!(board.logger, "roll-out ended"; "service" => %order.service,
@@ -385,15 +390,15 @@
     let begin = origin
         .note_begin(order, now_ms.saturating_sub(age_ms))
         .await?;
-    let before = Duration::from_millis(now_ms.saturating_sub(begin));
-    if let Some(given) = Instant::now().checked_sub(before) {
-        board.rollouts.date_back(order, given);
+    let age = Duration::from_millis(now_ms.saturating_sub(begin));
+    if let Some(ordered_at) = Instant::now().checked_sub(age) {
+        board.rollouts.backdate(order, ordered_at);
     }
     Ok(())
 }
 
 /// What the operator is to be told after a decision, if there is a verdict in it.
-fn wanted(decision: &Decision) -> Option<Status> {
+fn final_status(decision: &Decision) -> Option<Status> {
     if decision.step == Step::Back {
         return Some(Status::RolledBack);
     }
@@ -401,7 +406,7 @@
 }
 
 /// The first few of the daemons, sorted; none for all.
-fn chosen(ranked: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
+fn choose_targets(ranked: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut chosen: Vec<SocketAddr> = ranked.iter().take(count).copied().collect();
     chosen.sort_unstable();
     chosen
@@ -411,7 +416,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Controller")
             .field("limits", &self.limits)
-            .field("duties", &self.duties.len())
+            .field("duties", &self.trackers.len())
             .finish_non_exhaustive()
     }
 }
--- a/src/rollout/counters.rs
+++ b/src/rollout/counters.rs
@@ -16,9 +16,9 @@
 /// from 1 ms to 4 s and above.
 pub const BUCKETS: usize = 24;
 /// Buckets in which times double.
-const PER_DOUBLING: f64 = 2.0;
+const BUCKETS_PER_DOUBLING: f64 = 2.0;
 /// Routes that are told apart. Further ones are counted together, so that a report fits into a datagram.
-const MOST_ROUTES: usize = 10;
+const MAX_ROUTES: usize = 10;
 
 /// Names a route in few bytes; 0 for those that are counted together.
 #[derive(
@@ -131,8 +131,8 @@
 )]
 fn bucket(took: Duration) -> usize {
     let ms = took.as_secs_f64() * 1_000.0;
-    let place = (ms.max(1.0).log2() * PER_DOUBLING) as usize;
-    place.min(BUCKETS - 1)
+    let index = (ms.max(1.0).log2() * BUCKETS_PER_DOUBLING) as usize;
+    index.min(BUCKETS - 1)
 }
 
 /// What one gate has counted since the order that it counts for.
@@ -159,7 +159,7 @@
 
     /// Counts the end of a request on a route.
     pub fn add(&mut self, route: RouteId, outcome: Outcome) {
-        let full = self.routes.len() >= MOST_ROUTES;
+        let full = self.routes.len() >= MAX_ROUTES;
         let known = self.find(route).is_ok();
         let route = if full && !known {
             RouteId::default()
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -36,18 +36,20 @@
 
 use crate::rollout::observed::{ExposureLimits, Observed};
 use crate::rollout::plan::{FULL_PERMILLE, Step};
-use crate::rollout::share::{ALL_TIME, LAG, RAMP_TIME, canary, count, may_get, move_time, ramp};
+use crate::rollout::share::{
+    ALL_TIME, RAMP_TIME, REPORT_LAG, canary, is_within_exposure, promotion_time, ramp, to_f64,
+};
 
 /// Time in which gates have reported what they saw of a step.
-const REPORTED: Duration = Duration::from_millis(300);
+const REPORT_DELAY: Duration = Duration::from_millis(300);
 /// Time before the end of an order at which it completes although requests still run at old targets.
-const LAST_CALL: Duration = Duration::from_millis(400);
+const COMPLETION_MARGIN: Duration = Duration::from_millis(400);
 /// Answers of the new revision that the move asks for, where the requests are frequent enough.
 const ENOUGH_ANSWERS: f64 = 40.0;
 /// Part of the time for the move that is left when it begins with fewer answers.
-const LATE_PART: f64 = 0.65;
+const LATE_PROMOTION_PART: f64 = 0.65;
 /// Answers without which nothing is known of a revision.
-const FEWEST_ANSWERS: u64 = 4;
+const MIN_ANSWERS: u64 = 4;
 
 /// What comes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,8 +103,8 @@
 
 /// What comes next in a roll-out.
 #[must_use]
-pub fn decide(limits: &ExposureLimits, seen: &Observed) -> Decision {
-    let left = seen.duration.saturating_sub(seen.age);
+pub fn decide(limits: &ExposureLimits, observed: &Observed) -> Decision {
+    let remaining = observed.duration.saturating_sub(observed.age);
     let back = |cause| Decision {
         step: Step::Back,
         permille: 0,
@@ -110,42 +112,42 @@
         complete: false,
         cause,
     };
-    if seen.step == Step::Back {
+    if observed.step == Step::Back {
         return back(Cause::WentBack);
     }
-    if seen.bad {
+    if observed.bad {
         return back(Cause::Worse);
     }
-    if left.is_zero() {
+    if remaining.is_zero() {
         return back(Cause::TimeIsUp);
     }
-    let next = match seen.step {
-        Step::Waiting | Step::Canary => first(limits, seen, left),
-        Step::Ramp => after_ramp(limits, seen, left),
-        Step::All => after_all(limits, seen, left),
+    let next = match observed.step {
+        Step::Waiting | Step::Canary => decide_canary(limits, observed, remaining),
+        Step::Ramp => decide_ramp(limits, observed, remaining),
+        Step::All => decide_all(limits, observed, remaining),
         Step::Back => back(Cause::WentBack),
     };
-    let goes_on = next.step > seen.step || next.complete;
+    let advances = next.step > observed.step || next.complete;
     // A daemon that was cut off, or does not know yet whether there is a verdict, does not go on. It may
     // stay where the roll-out is, or go back.
-    if goes_on && next.step != Step::Back && !seen.confirmed {
-        return stay(limits, seen, Cause::NotConfirmed);
+    if advances && next.step != Step::Back && !observed.confirmed {
+        return stay(limits, observed, Cause::NotConfirmed);
     }
-    if goes_on && next.step != Step::Back && seen.step != Step::Waiting && !seen.in_touch {
-        return stay(limits, seen, Cause::OutOfTouch);
+    if advances && next.step != Step::Back && observed.step != Step::Waiting && !observed.in_touch {
+        return stay(limits, observed, Cause::OutOfTouch);
     }
     next
 }
 
-fn stay(limits: &ExposureLimits, seen: &Observed, cause: Cause) -> Decision {
-    let (permille, targets) = match seen.step {
+fn stay(limits: &ExposureLimits, observed: &Observed, cause: Cause) -> Decision {
+    let (permille, targets) = match observed.step {
         Step::Waiting | Step::Back => (0, 0),
-        Step::Canary => canary(limits, seen),
-        Step::Ramp => ramp(seen),
+        Step::Canary => canary(limits, observed),
+        Step::Ramp => ramp(observed),
         Step::All => (FULL_PERMILLE, 0),
     };
     Decision {
-        step: seen.step,
+        step: observed.step,
         permille,
         targets,
         complete: false,
@@ -154,17 +156,17 @@
 }
 
 /// The small share, and the time at which it has been tried for long enough.
-fn first(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
-    if seen.warm == 0 || seen.per_second.is_none() && seen.step == Step::Waiting {
+fn decide_canary(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    if observed.warm == 0 || observed.per_second.is_none() && observed.step == Step::Waiting {
         return Decision {
-            step: seen.step,
+            step: observed.step,
             permille: 0,
             targets: 0,
             complete: false,
             cause: Cause::NoTarget,
         };
     }
-    let (permille, targets) = canary(limits, seen);
+    let (permille, targets) = canary(limits, observed);
     let trying = Decision {
         step: Step::Canary,
         permille,
@@ -172,17 +174,17 @@
         complete: false,
         cause: Cause::Trying,
     };
-    let moves = move_time(seen.duration);
-    if seen.step == Step::Waiting || left > moves {
+    let promotion = promotion_time(observed.duration);
+    if observed.step == Step::Waiting || remaining > promotion {
         return trying;
     }
-    let expected = expected_answers(permille, seen);
+    let expected = expected_answers(permille, observed);
     let enough = ENOUGH_ANSWERS.min(expected / 2.0);
     // Guards against a good revision that goes back for want of answers, since nobody decided for a while: the move
     // looks at it as well.
-    let is_late = left < moves.mul_f64(LATE_PART);
-    if seen.answers >= FEWEST_ANSWERS && (is_late || count(seen.answers) >= enough) {
-        let (permille, targets) = ramp(seen);
+    let is_late = remaining < promotion.mul_f64(LATE_PROMOTION_PART);
+    if observed.answers >= MIN_ANSWERS && (is_late || to_f64(observed.answers) >= enough) {
+        let (permille, targets) = ramp(observed);
         return Decision {
             step: Step::Ramp,
             permille,
@@ -192,7 +194,7 @@
         };
     }
     // With half of the time for the move gone there is none left to complete in.
-    if left < moves / 2 {
+    if remaining < promotion / 2 {
         return Decision {
             step: Step::Back,
             permille: 0,
@@ -205,14 +207,16 @@
 }
 
 /// Answers to expect from the small share by the time to move.
-fn expected_answers(permille: u16, seen: &Observed) -> f64 {
-    let time = seen.duration.saturating_sub(move_time(seen.duration));
-    let per_second = seen.per_second.unwrap_or_default();
+fn expected_answers(permille: u16, observed: &Observed) -> f64 {
+    let time = observed
+        .duration
+        .saturating_sub(promotion_time(observed.duration));
+    let per_second = observed.per_second.unwrap_or_default();
     per_second * time.as_secs_f64() * f64::from(permille) / f64::from(FULL_PERMILLE)
 }
 
-fn after_ramp(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
-    let (permille, targets) = ramp(seen);
+fn decide_ramp(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    let (permille, targets) = ramp(observed);
     let trying = Decision {
         step: Step::Ramp,
         permille,
@@ -220,11 +224,11 @@
         complete: false,
         cause: Cause::Trying,
     };
-    if seen.in_step < RAMP_TIME {
+    if observed.in_step < RAMP_TIME {
         return trying;
     }
-    let rest = ALL_TIME + LAG;
-    if seen.doubtful && left > 2 * rest && may_get(limits, seen, rest) {
+    let rest = ALL_TIME + REPORT_LAG;
+    if observed.doubtful && remaining > 2 * rest && is_within_exposure(limits, observed, rest) {
         return Decision {
             cause: Cause::InDoubt,
             ..trying
@@ -239,11 +243,11 @@
     }
 }
 
-fn after_all(limits: &ExposureLimits, seen: &Observed, left: Duration) -> Decision {
-    let is_last_call = left < LAST_CALL;
+fn decide_all(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    let is_final = remaining < COMPLETION_MARGIN;
     // Guards against a move that began late, since the daemon that decided was lost: a good revision that has
     // all requests would be taken back for the rest of the step's time.
-    let least = if is_last_call { REPORTED } else { ALL_TIME };
+    let least = if is_final { REPORT_DELAY } else { ALL_TIME };
     let hold = |cause| Decision {
         step: Step::All,
         permille: FULL_PERMILLE,
@@ -251,11 +255,11 @@
         complete: false,
         cause,
     };
-    if seen.in_step < least {
+    if observed.in_step < least {
         return hold(Cause::Trying);
     }
-    if seen.doubtful {
-        if !is_last_call && may_get(limits, seen, LAG) {
+    if observed.doubtful {
+        if !is_final && is_within_exposure(limits, observed, REPORT_LAG) {
             return hold(Cause::InDoubt);
         }
         return Decision {
@@ -264,9 +268,9 @@
             ..hold(Cause::Doubtful)
         };
     }
-    let (complete, cause) = if seen.drained {
+    let (complete, cause) = if observed.drained {
         (true, Cause::Drained)
-    } else if is_last_call {
+    } else if is_final {
         (true, Cause::LastCall)
     } else {
         (false, Cause::StillRunning)
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -9,7 +9,7 @@
 use crate::units::{Millis, Revision, Service};
 
 /// Longest time that an order may give, a day: a longer one is taken for a slip of the unit.
-const LONGEST: Millis = Millis(86_400_000);
+const MAX_DURATION: Millis = Millis(86_400_000);
 
 /// An order to move a service's traffic to a revision of its targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -91,7 +91,7 @@
                 service: service.clone()
             }
         );
-        let timed = self.duration > Millis(0) && self.duration <= LONGEST;
+        let timed = self.duration > Millis(0) && self.duration <= MAX_DURATION;
         ensure!(timed, NoTimeSnafu { service });
         Ok(self)
     }
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -12,9 +12,9 @@
 
 /// Orders of one service that are remembered: several more than an operator gives within the time in which
 /// they matter.
-const MOST_PAST: usize = 8;
+const MAX_PAST_ORDERS: usize = 8;
 /// Revisions of one service that are remembered after they were rolled back.
-const MOST_REFUSED: usize = 32;
+const MAX_REFUSED_REVISIONS: usize = 32;
 
 /// An order that another one has replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 pub struct LocalProgress {
     progress: Progress,
     /// When the order was given.
-    given: Instant,
+    ordered_at: Instant,
     /// When the plan was renewed.
     renewed: Instant,
 }
@@ -85,20 +85,20 @@
     /// that were being tried when another order took their place.
     #[must_use]
     pub fn excluded_revisions(&self) -> Vec<Revision> {
-        let mut barred = self.refused.clone();
+        let mut excluded = self.refused.clone();
         for past in &self.past {
             let revision = &past.order.revision;
-            match barred.binary_search(revision) {
-                Err(index) if !past.completed => barred.insert(index, revision.clone()),
+            match excluded.binary_search(revision) {
+                Err(index) if !past.completed => excluded.insert(index, revision.clone()),
                 // It was tried once more, and got all requests.
                 Ok(index) if past.completed && !self.refused.contains(revision) => {
-                    barred.remove(index);
+                    excluded.remove(index);
                 }
                 _ => {}
             }
         }
-        barred.retain(|revision| *revision != self.order.revision);
-        barred
+        excluded.retain(|revision| *revision != self.order.revision);
+        excluded
     }
 }
 
@@ -108,7 +108,7 @@
     pub fn new(now: Instant, progress: Progress) -> Self {
         let before = |age: Millis| now.checked_sub(age.duration()).unwrap_or(now);
         Self {
-            given: before(progress.age),
+            ordered_at: before(progress.age),
             renewed: before(progress.plan_age),
             progress,
         }
@@ -129,7 +129,7 @@
     /// Time since the order was given.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.given)
+        now.saturating_duration_since(self.ordered_at)
     }
 
     /// What others are told at `now`.
@@ -147,7 +147,7 @@
         let other = Self::new(now, other.clone());
         let refused = self.refuse_all(&other.progress.refused);
         if self.progress.order == other.progress.order {
-            return self.unite(&other) || refused;
+            return self.merge_same_order(&other) || refused;
         }
         if other.progress.position <= self.progress.position {
             return refused;
@@ -157,32 +157,32 @@
     }
 
     /// Takes in what was found on the platform; whether it was news.
-    pub fn apply_change(&mut self, now: Instant, notice: &Change) -> bool {
-        if notice.position <= self.progress.position {
+    pub fn apply_change(&mut self, now: Instant, change: &Change) -> bool {
+        if change.position <= self.progress.position {
             return false;
         }
-        let Some(order) = &notice.order else {
-            return self.withdraw(notice.position);
+        let Some(order) = &change.order else {
+            return self.withdraw(change.position);
         };
         if *order == self.progress.order {
-            self.progress.position = notice.position;
+            self.progress.position = change.position;
             return true;
         }
         // Guards against a platform that comes back from an older copy: an order that was replaced
         // stands there again until the operator has written the newer one once more. What it names would
         // be tried anew. In a copy it stands where it stood.
-        let is_copy = self.progress.position.era < notice.position.era
+        let is_copy = self.progress.position.era < change.position.era
             && self
                 .progress
                 .past
                 .iter()
-                .any(|past| past.order == *order && past.offset == notice.position.offset);
+                .any(|past| past.order == *order && past.offset == change.position.offset);
         if is_copy {
             return false;
         }
         self.replace(Self::new(
             now,
-            Progress::new(order.clone(), notice.position),
+            Progress::new(order.clone(), change.position),
         ));
         true
     }
@@ -195,7 +195,7 @@
             self.renewed = renewed;
         }
         if plan.step == Step::Back {
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         later
     }
@@ -207,15 +207,15 @@
         }
         self.progress.verdict = Some(verdict);
         if verdict == Verdict::RolledBack {
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         true
     }
 
     /// Notes that the order is older than it seemed; whether that was news.
-    pub fn backdate(&mut self, given: Instant) -> bool {
-        let earlier = given < self.given;
-        self.given = self.given.min(given);
+    pub fn backdate(&mut self, ordered_at: Instant) -> bool {
+        let earlier = ordered_at < self.ordered_at;
+        self.ordered_at = self.ordered_at.min(ordered_at);
         earlier
     }
 
@@ -235,16 +235,16 @@
         }
     }
 
-    fn unite(&mut self, other: &Self) -> bool {
-        let theirs = &other.progress;
-        let placed = theirs.position > self.progress.position;
-        self.progress.position = self.progress.position.max(theirs.position);
-        self.backdate(other.given);
-        let followed = self.apply_plan(other.renewed, &theirs.plan);
-        let concluded = theirs
+    fn merge_same_order(&mut self, other: &Self) -> bool {
+        let received = &other.progress;
+        let is_moved = received.position > self.progress.position;
+        self.progress.position = self.progress.position.max(received.position);
+        self.backdate(other.ordered_at);
+        let is_plan_new = self.apply_plan(other.renewed, &received.plan);
+        let is_verdict_new = received
             .verdict
             .is_some_and(|verdict| self.set_verdict(verdict));
-        placed || followed || concluded
+        is_moved || is_plan_new || is_verdict_new
     }
 
     /// Another order takes the place of this one.
@@ -257,8 +257,8 @@
         });
         past.extend(std::mem::take(&mut next.progress.past));
         past.dedup();
-        let surplus = past.len().saturating_sub(MOST_PAST);
-        past.drain(..surplus);
+        let excess = past.len().saturating_sub(MAX_PAST_ORDERS);
+        past.drain(..excess);
         next.progress.past = past;
         let refused = std::mem::take(&mut self.progress.refused);
         *self = next;
@@ -279,12 +279,12 @@
                 step: Step::Back,
                 ..Plan::default()
             };
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         true
     }
 
-    fn refuse(&mut self) {
+    fn refuse_ordered_revision(&mut self) {
         let revision = self.progress.order.revision.clone();
         self.refuse_all(&[revision]);
     }
@@ -292,18 +292,18 @@
     /// Adds revisions to those that get no request; whether any was news.
     fn refuse_all(&mut self, revisions: &[Revision]) -> bool {
         let refused = &mut self.progress.refused;
-        let mut news = false;
+        let mut is_new = false;
         for revision in revisions {
             if let Err(index) = refused.binary_search(revision) {
                 refused.insert(index, revision.clone());
-                news = true;
+                is_new = true;
             }
         }
         let current = &self.progress.order.revision;
-        while refused.len() > MOST_REFUSED {
+        while refused.len() > MAX_REFUSED_REVISIONS {
             let other = refused.iter().position(|revision| revision != current);
             refused.remove(other.unwrap_or(0));
         }
-        news
+        is_new
     }
 }
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -12,7 +12,7 @@
 use crate::units::{Revision, Service};
 
 /// Upstreams that a request tries before it goes to a new target without being drawn for it.
-const TRIED: usize = 1;
+const MAX_OLD_ATTEMPTS: usize = 1;
 
 /// Part that a target has in a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,13 +31,13 @@
     /// Revision that is rolled out.
     pub revision: Revision,
     /// Other revisions that get no request, sorted.
-    barred: Vec<Revision>,
+    excluded: Vec<Revision>,
     verdict: Option<Verdict>,
     step: Step,
     permille: u16,
     chosen: Vec<SocketAddr>,
     /// Until when the plan is gone by.
-    until: Instant,
+    plan_expires_at: Instant,
 }
 
 impl Rule {
@@ -48,12 +48,12 @@
         Self {
             service: progress.order.service.clone(),
             revision: progress.order.revision.clone(),
-            barred: progress.excluded_revisions(),
+            excluded: progress.excluded_revisions(),
             verdict: progress.verdict,
             step: progress.plan.step,
             permille: progress.plan.permille,
             chosen: progress.plan.chosen.clone(),
-            until: known.plan_renewed_at() + PLAN_TTL,
+            plan_expires_at: known.plan_renewed_at() + PLAN_TTL,
         }
     }
 
@@ -65,8 +65,8 @@
         }
         // Guards against a daemon that hears nobody: it does not know whether the revision was taken
         // back meanwhile, and goes back by itself until it hears more.
-        let lapsed = now >= self.until && self.step != Step::Back;
-        Some(if lapsed { Step::Waiting } else { self.step })
+        let expired = now >= self.plan_expires_at && self.step != Step::Back;
+        Some(if expired { Step::Waiting } else { self.step })
     }
 
     /// The side of a target that may take requests at `now`; nothing for one that may not.
@@ -87,12 +87,12 @@
         let revision = revision?;
         let step = self.step(now).unwrap_or(Step::Back);
         if *revision != self.revision {
-            let barred = self.barred.binary_search(revision).is_ok();
-            return (!barred && step != Step::All).then_some(Side::Old);
+            let excluded = self.excluded.binary_search(revision).is_ok();
+            return (!excluded && step != Step::All).then_some(Side::Old);
         }
-        let takes = matches!(step, Step::Canary | Step::Ramp | Step::All);
+        let takes_requests = matches!(step, Step::Canary | Step::Ramp | Step::All);
         let chosen = self.chosen.is_empty() || self.chosen.binary_search(&peer).is_ok();
-        (takes && chosen).then_some(Side::New)
+        (takes_requests && chosen).then_some(Side::New)
     }
 
     /// The side that a request goes to, by a number drawn from 0 to 1, after so many upstreams were `tried`.
@@ -101,7 +101,7 @@
     /// Guards against a request that is refused by one old gate after the other: all of them may have closed
     /// by a plan that has not come here yet. After two it goes to a new one.
     #[must_use]
-    pub fn choose_side(&self, number: f64, tried: usize, now: Instant) -> Side {
+    pub fn choose_side(&self, random: f64, tried: usize, now: Instant) -> Side {
         match self.step(now) {
             None => match self.verdict {
                 Some(Verdict::Completed) => Side::New,
@@ -109,8 +109,8 @@
             },
             Some(Step::All) => Side::New,
             Some(Step::Canary | Step::Ramp) => {
-                let drawn = number * f64::from(FULL_PERMILLE) < f64::from(self.permille);
-                if tried > TRIED || tried == 0 && drawn {
+                let is_selected = random * f64::from(FULL_PERMILLE) < f64::from(self.permille);
+                if tried > MAX_OLD_ATTEMPTS || tried == 0 && is_selected {
                     Side::New
                 } else {
                     Side::Old
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -17,9 +17,9 @@
 use crate::units::Service;
 
 /// Services with a roll-out that are remembered; an order for a further one waits for the daemon's restart.
-const MOST: usize = 256;
+const MAX_SERVICES: usize = 256;
 /// Reports that wait to be read, so that memory is bounded: those of a few hundred gates.
-const MOST_REPORTS: usize = 1_024;
+const MAX_REPORTS: usize = 1_024;
 
 /// What is known of roll-outs.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Whether the co-located target's service has a roll-out that is not decided.
     counting: AtomicBool,
     /// Held for a few instructions.
-    tally: Mutex<Counters>,
+    counters: Mutex<Counters>,
     reports: Mutex<Vec<(SocketAddr, Report)>>,
 }
 
@@ -40,7 +40,7 @@
     /// Sorted by service.
     known: Vec<LocalProgress>,
     /// Services with something that has not been passed on yet.
-    news: Vec<Service>,
+    updates: Vec<Service>,
     hash: u64,
 }
 
@@ -51,7 +51,7 @@
             rules: ArcSwap::default(),
             changes: watch::Sender::new(0),
             counting: AtomicBool::new(false),
-            tally: Mutex::new(Counters::new(rand::random())),
+            counters: Mutex::new(Counters::new(rand::random())),
             reports: Mutex::default(),
         }
     }
@@ -66,7 +66,7 @@
 
     /// What is known of each service.
     #[must_use]
-    pub fn known(&self) -> Vec<LocalProgress> {
+    pub fn list(&self) -> Vec<LocalProgress> {
         self.state().known.clone()
     }
 
@@ -79,12 +79,12 @@
     }
 
     /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&self, notice: &Change) -> bool {
+    pub fn apply_change(&self, change: &Change) -> bool {
         let now = Instant::now();
-        self.change(&notice.service, |known| match (known, &notice.order) {
-            (Some(known), _) => known.apply_change(now, notice).then_some(None),
+        self.change(&change.service, |known| match (known, &change.order) {
+            (Some(known), _) => known.apply_change(now, change).then_some(None),
             (None, Some(order)) => {
-                let progress = Progress::new(order.clone(), notice.position);
+                let progress = Progress::new(order.clone(), change.position);
                 Some(Some(LocalProgress::new(now, progress)))
             }
             // Nothing is known of it that could be taken away.
@@ -93,9 +93,9 @@
     }
 
     /// Takes in what another daemon told.
-    pub fn merge(&self, told: &[Progress]) {
+    pub fn merge(&self, received: &[Progress]) {
         let now = Instant::now();
-        for progress in told {
+        for progress in received {
             self.change(&progress.order.service, |known| match known {
                 Some(known) => known.merge(now, progress).then_some(None),
                 None => Some(Some(LocalProgress::new(now, progress.clone()))),
@@ -104,19 +104,19 @@
     }
 
     /// Goes by a plan for an order; whether it supersedes the one before.
-    pub fn follow(&self, order: &Order, plan: &Plan) -> bool {
+    pub fn apply_plan(&self, order: &Order, plan: &Plan) -> bool {
         let now = Instant::now();
-        self.revise(order, |known| known.apply_plan(now, plan))
+        self.update_order(order, |known| known.apply_plan(now, plan))
     }
 
     /// Notes the verdict on an order; whether it was news.
-    pub fn conclude(&self, order: &Order, verdict: Verdict) -> bool {
-        self.revise(order, |known| known.set_verdict(verdict))
+    pub fn set_verdict(&self, order: &Order, verdict: Verdict) -> bool {
+        self.update_order(order, |known| known.set_verdict(verdict))
     }
 
     /// Notes when an order was given; whether that is earlier than it seemed.
-    pub fn date_back(&self, order: &Order, given: Instant) -> bool {
-        self.revise(order, |known| known.backdate(given))
+    pub fn backdate(&self, order: &Order, ordered_at: Instant) -> bool {
+        self.update_order(order, |known| known.backdate(ordered_at))
     }
 
     /// The same for daemons that know the same; 0 for nothing.
@@ -127,7 +127,7 @@
 
     /// Everything that is known.
     #[must_use]
-    pub fn told(&self) -> Vec<Progress> {
+    pub fn snapshot(&self) -> Vec<Progress> {
         let now = Instant::now();
         let state = self.state();
         state
@@ -139,12 +139,12 @@
 
     /// What has not been passed on yet, which counts as passed on from now on.
     #[must_use]
-    pub fn take_news(&self) -> Vec<Progress> {
+    pub fn take_updates(&self) -> Vec<Progress> {
         let now = Instant::now();
         let mut state = self.state();
-        let news = std::mem::take(&mut state.news);
+        let updates = std::mem::take(&mut state.updates);
         let known = state.known.iter();
-        let new = known.filter(|known| news.contains(&known.progress().order.service));
+        let new = known.filter(|known| updates.contains(&known.progress().order.service));
         new.map(|known| known.snapshot(now)).collect()
     }
 
@@ -155,39 +155,39 @@
     }
 
     /// Has what the co-located target answers counted from now on, or no more.
-    pub fn count(&self, counting: bool) {
+    pub fn set_counting(&self, counting: bool) {
         let before = self.counting.swap(counting, Ordering::AcqRel);
         if counting && !before {
-            *self.tally() = Counters::new(rand::random());
+            *self.lock_counters() = Counters::new(rand::random());
         }
     }
 
     /// Counts a request that is sent to the co-located target, where that is wanted.
-    pub fn arrive(&self) {
+    pub fn count_request(&self) {
         if self.counting.load(Ordering::Acquire) {
-            self.tally().requests += 1;
+            self.lock_counters().requests += 1;
         }
     }
 
     /// Counts how the co-located target is done with a request, where that is wanted.
-    pub fn answer(&self, route: &str, outcome: Outcome) {
+    pub fn count_answer(&self, route: &str, outcome: Outcome) {
         if self.counting.load(Ordering::Acquire) {
-            self.tally().add(RouteId::of(route), outcome);
+            self.lock_counters().add(RouteId::of(route), outcome);
         }
     }
 
     /// What has been counted.
     #[must_use]
-    pub fn counted(&self) -> Counters {
-        self.tally().clone()
+    pub fn counters(&self) -> Counters {
+        self.lock_counters().clone()
     }
 
     /// Keeps a gate's report until it is read.
-    pub fn hear(&self, peer: SocketAddr, report: Report) {
+    pub fn add_report(&self, peer: SocketAddr, report: Report) {
         let mut reports = self.reports();
         // Each counts everything that the ones before it did.
         reports.retain(|(known, _)| *known != peer);
-        if reports.len() < MOST_REPORTS {
+        if reports.len() < MAX_REPORTS {
             reports.push((peer, report));
         }
     }
@@ -199,10 +199,10 @@
     }
 
     /// Changes what is known of an order, if it is the current one.
-    fn revise(&self, order: &Order, revise: impl FnOnce(&mut LocalProgress) -> bool) -> bool {
+    fn update_order(&self, order: &Order, update: impl FnOnce(&mut LocalProgress) -> bool) -> bool {
         self.change(&order.service, |known| {
             let known = known.filter(|known| known.progress().order == *order)?;
-            revise(known).then_some(None)
+            update(known).then_some(None)
         })
     }
 
@@ -219,12 +219,12 @@
             return false;
         };
         if let (Err(index), Some(known)) = (found, added)
-            && state.known.len() < MOST
+            && state.known.len() < MAX_SERVICES
         {
             state.known.insert(index, known);
         }
-        if !state.news.contains(service) {
-            state.news.push(service.clone());
+        if !state.updates.contains(service) {
+            state.updates.push(service.clone());
         }
         state.hash = hash(&state.known);
         self.rules.store(Arc::new(Rules::of(&state.known)));
@@ -237,8 +237,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tally(&self) -> MutexGuard<'_, Counters> {
-        self.tally.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_counters(&self) -> MutexGuard<'_, Counters> {
+        self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn reports(&self) -> MutexGuard<'_, Vec<(SocketAddr, Report)>> {
--- a/src/rollout/significance.rs
+++ b/src/rollout/significance.rs
@@ -10,29 +10,29 @@
 
 /// Rises of the share of bad answers that make a revision a bad one. The small one finds what is bad now and
 /// then, where there are many answers; the large one finds what is often bad with few.
-const RISES: [f64; 2] = [0.05, 0.15];
+const EFFECT_SIZES: [f64; 2] = [0.05, 0.15];
 /// Weight of evidence, as a natural logarithm of odds, that decides: one in 10,000 by chance.
-const ENOUGH: f64 = 9.2;
+const DECISIVE_LOG_ODDS: f64 = 9.2;
 /// Weight of evidence with which a revision does not get on: one in 40 by chance.
-const DOUBTFUL: f64 = 3.7;
+const DOUBTFUL_LOG_ODDS: f64 = 3.7;
 /// Largest part of the weight that decides which one target of several can bring.
 ///
 /// Guards against a target that is bad alone, as one on a broken host is: the revision would be taken back
 /// for it. A bad revision shows at other targets too; where those do well, they speak against it.
-const MOST_OF_ONE: f64 = 0.6;
+const MAX_TARGET_PART: f64 = 0.6;
 /// Answers that the old revision is credited with beside its own.
-const PRIOR: f64 = 20.0;
+const PRIOR_ANSWERS: f64 = 20.0;
 /// Bad ones among them.
 ///
 /// Guards against a share that was measured on few answers: an old revision without a bad one among a hundred
 /// may have one in fifty, and the new one would be taken back for the same.
-const PRIOR_BAD: f64 = 1.0;
+const PRIOR_BAD_ANSWERS: f64 = 1.0;
 /// Largest share of bad answers that is reckoned with.
-const MOST: f64 = 0.98;
+const MAX_BAD_RATE: f64 = 0.98;
 /// Answers that the threshold waits for.
-const SAMPLE: u32 = 50;
+const THRESHOLD_MIN_ANSWERS: u32 = 50;
 /// Rise of the share at which the threshold decides.
-const THRESHOLD: f64 = 0.05;
+const THRESHOLD_RISE: f64 = 0.05;
 
 /// How the two revisions are compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, EnumString, VariantNames)]
@@ -57,8 +57,8 @@
 impl Sample {
     /// The one with the larger share of bad answers.
     #[must_use]
-    pub fn worse(self, other: Self) -> Self {
-        if other.usual() > self.usual() {
+    pub fn with_higher_bad_rate(self, other: Self) -> Self {
+        if other.expected_bad_rate() > self.expected_bad_rate() {
             other
         } else {
             self
@@ -66,9 +66,10 @@
     }
 
     /// Share of bad answers to expect, credited with a few for what luck has in it.
-    fn usual(self) -> f64 {
-        let share = (f64::from(self.bad) + PRIOR_BAD) / (f64::from(self.total) + PRIOR);
-        share.min(MOST)
+    fn expected_bad_rate(self) -> f64 {
+        let share =
+            (f64::from(self.bad) + PRIOR_BAD_ANSWERS) / (f64::from(self.total) + PRIOR_ANSWERS);
+        share.min(MAX_BAD_RATE)
     }
 
     /// Both together.
@@ -115,20 +116,20 @@
     /// Whether the new revision is worse than the old one, by the answers on some routes together; `alone` where
     /// it has only one target.
     #[must_use]
-    pub fn compare(self, routes: &[Comparison], alone: bool) -> Conclusion {
+    pub fn compare(self, routes: &[Comparison], single_target: bool) -> Conclusion {
         match self {
-            Self::Sequential => Conclusion::of(odds(routes, alone)),
-            Self::Threshold if exceeds(routes, alone) => Conclusion::Worse,
+            Self::Sequential => Conclusion::of(log_odds(routes, single_target)),
+            Self::Threshold if exceeds(routes, single_target) => Conclusion::Worse,
             Self::Threshold => Conclusion::NotWorse,
         }
     }
 }
 
 impl Conclusion {
-    fn of(odds: f64) -> Self {
-        if odds >= ENOUGH {
+    fn of(log_odds: f64) -> Self {
+        if log_odds >= DECISIVE_LOG_ODDS {
             Self::Worse
-        } else if odds >= DOUBTFUL {
+        } else if log_odds >= DOUBTFUL_LOG_ODDS {
             Self::Doubtful
         } else {
             Self::NotWorse
@@ -137,29 +138,38 @@
 }
 
 /// Logarithm of the odds that the new revision is worse, by the rise that explains the answers best.
-fn odds(routes: &[Comparison], alone: bool) -> f64 {
-    let most = if alone { f64::INFINITY } else { MOST_OF_ONE };
-    let odds = |rise: f64| {
+fn log_odds(routes: &[Comparison], single_target: bool) -> f64 {
+    let most = if single_target {
+        f64::INFINITY
+    } else {
+        MAX_TARGET_PART
+    };
+    let log_odds = |rise: f64| {
         let weights = weights(routes, rise).into_iter();
-        let capped = weights.map(|(_, weight)| weight.min(ENOUGH * most));
+        let capped = weights.map(|(_, weight)| weight.min(DECISIVE_LOG_ODDS * most));
         capped.sum::<f64>()
     };
-    RISES.into_iter().map(odds).fold(f64::MIN, f64::max)
+    EFFECT_SIZES
+        .into_iter()
+        .map(log_odds)
+        .fold(f64::MIN, f64::max)
 }
 
 /// Whether the new revision's share of bad answers is larger by the threshold.
-fn exceeds(routes: &[Comparison], alone: bool) -> bool {
+fn exceeds(routes: &[Comparison], single_target: bool) -> bool {
     let old = routes.iter().map(|route| route.old);
     let old = old.fold(Sample::default(), Sample::plus);
     let new: Vec<Sample> = by_target(routes);
     let all = new.iter().copied().fold(Sample::default(), Sample::plus);
     let worst = new.iter().max_by_key(|sample| sample.bad);
-    let rest = worst.filter(|_| !alone).map_or(all, |worst| Sample {
-        bad: all.bad - worst.bad,
-        total: all.total - worst.total,
-    });
+    let rest = worst
+        .filter(|_| !single_target)
+        .map_or(all, |worst| Sample {
+            bad: all.bad - worst.bad,
+            total: all.total - worst.total,
+        });
     let share = |s: Sample| f64::from(s.bad) / f64::from(s.total.max(1));
-    rest.total >= SAMPLE && share(rest) - share(old) >= THRESHOLD
+    rest.total >= THRESHOLD_MIN_ANSWERS && share(rest) - share(old) >= THRESHOLD_RISE
 }
 
 /// Weight of evidence of each target, over all of some routes. Each answer is weighed against the old ones of its
@@ -193,8 +203,9 @@
 /// Logarithm of the odds that the new revision has bad answers more often by a rise, rather than as often
 /// as the old one.
 fn weight(old: Sample, new: Sample, rise: f64) -> f64 {
-    let usual = old.usual();
-    let risen = (usual + rise).min(f64::midpoint(1.0, MOST));
+    let expected_bad_rate = old.expected_bad_rate();
+    let risen = (expected_bad_rate + rise).min(f64::midpoint(1.0, MAX_BAD_RATE));
     let good = f64::from(new.total.saturating_sub(new.bad));
-    f64::from(new.bad) * (risen / usual).ln() + good * ((1.0 - risen) / (1.0 - usual)).ln()
+    f64::from(new.bad) * (risen / expected_bad_rate).ln()
+        + good * ((1.0 - risen) / (1.0 - expected_bad_rate)).ln()
 }
--- a/src/rollout/stable.rs
+++ b/src/rollout/stable.rs
@@ -26,7 +26,7 @@
 /// Guards against a daemon that loses sight of the others for a moment, as one that is short of processor time
 /// does: whatever it saw then would get its full share from there on. It is several times what a member
 /// takes to be suspected, dropped and met again.
-const ABSENCE: Duration = Duration::from_secs(30);
+const ABSENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The usual revisions of all services.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Sorted by service.
     all: Vec<StableRevision>,
     /// Whether another daemon has told what it knows.
-    told: bool,
+    received: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -42,63 +42,63 @@
     service: Service,
     revision: Revision,
     /// Since when no target of it is seen.
-    absent: Option<Instant>,
+    absent_since: Option<Instant>,
 }
 
 impl Revisions {
     /// Notes the revisions of a service's targets, as they are seen at `now`.
-    pub fn note(&mut self, now: Instant, service: &Service, seen: &[&Revision]) {
-        let most = most(seen).cloned();
+    pub fn observe(&mut self, now: Instant, service: &Service, seen: &[&Revision]) {
+        let most = most_frequent(seen).cloned();
         match self.find(service) {
             Ok(index) => {
-                let kept = &mut self.all[index];
-                if seen.contains(&&kept.revision) {
-                    kept.absent = None;
+                let stable = &mut self.all[index];
+                if seen.contains(&&stable.revision) {
+                    stable.absent_since = None;
                     return;
                 }
-                let since = *kept.absent.get_or_insert(now);
-                let is_over = now.saturating_duration_since(since) >= ABSENCE;
+                let since = *stable.absent_since.get_or_insert(now);
+                let is_over = now.saturating_duration_since(since) >= ABSENCE_TIMEOUT;
                 if let Some(revision) = most.filter(|_| is_over) {
-                    kept.revision = revision;
-                    kept.absent = None;
+                    stable.revision = revision;
+                    stable.absent_since = None;
                 }
             }
             Err(index) => {
-                let kept = most.map(|revision| StableRevision {
+                let stable = most.map(|revision| StableRevision {
                     service: service.clone(),
                     revision,
-                    absent: None,
+                    absent_since: None,
                 });
-                self.all.splice(index..index, kept);
+                self.all.splice(index..index, stable);
             }
         }
     }
 
     /// Notes that nothing is seen of services other than those.
     pub fn mark_absent(&mut self, now: Instant, seen: &[&Service]) {
-        let missed = self
+        let absent = self
             .all
             .iter_mut()
-            .filter(|kept| !seen.contains(&&kept.service));
-        missed.for_each(|kept| {
-            kept.absent.get_or_insert(now);
+            .filter(|stable| !seen.contains(&&stable.service));
+        absent.for_each(|stable| {
+            stable.absent_since.get_or_insert(now);
         });
     }
 
     /// Takes over what another daemon told: the first one's word goes before what is known here, since a
     /// joiner sees a few members before it is welcomed.
-    pub fn adopt(&mut self, told: &[(Service, Revision)]) {
-        let first = !std::mem::replace(&mut self.told, true);
-        for (service, revision) in told {
-            let kept = StableRevision {
+    pub fn adopt(&mut self, received: &[(Service, Revision)]) {
+        let first = !std::mem::replace(&mut self.received, true);
+        for (service, revision) in received {
+            let stable = StableRevision {
                 service: service.clone(),
                 revision: revision.clone(),
-                absent: None,
+                absent_since: None,
             };
             match self.find(service) {
-                Ok(index) if first => self.all[index] = kept,
+                Ok(index) if first => self.all[index] = stable,
                 Ok(_) => {}
-                Err(index) => self.all.insert(index, kept),
+                Err(index) => self.all.insert(index, stable),
             }
         }
     }
@@ -106,26 +106,27 @@
     /// The usual revision of a service, unless it has been gone for long.
     #[must_use]
     pub fn get(&self, service: &Service, now: Instant) -> Option<&Revision> {
-        let kept = &self.all[self.find(service).ok()?];
-        let is_over = |since| now.saturating_duration_since(since) >= ABSENCE;
-        (!kept.absent.is_some_and(is_over)).then_some(&kept.revision)
+        let stable = &self.all[self.find(service).ok()?];
+        let is_over = |since| now.saturating_duration_since(since) >= ABSENCE_TIMEOUT;
+        (!stable.absent_since.is_some_and(is_over)).then_some(&stable.revision)
     }
 
     /// What others are told.
     #[must_use]
-    pub fn told(&self) -> Vec<(Service, Revision)> {
+    pub fn snapshot(&self) -> Vec<(Service, Revision)> {
         let all = self.all.iter();
-        all.map(|kept| (kept.service.clone(), kept.revision.clone()))
+        all.map(|stable| (stable.service.clone(), stable.revision.clone()))
             .collect()
     }
 
     fn find(&self, service: &Service) -> Result<usize, usize> {
-        self.all.binary_search_by(|kept| kept.service.cmp(service))
+        self.all
+            .binary_search_by(|stable| stable.service.cmp(service))
     }
 }
 
 /// The revision of most targets; of two that are as frequent the first by name, for all daemons alike.
-fn most<'a>(seen: &[&'a Revision]) -> Option<&'a Revision> {
+fn most_frequent<'a>(seen: &[&'a Revision]) -> Option<&'a Revision> {
     let mut seen = seen.to_vec();
     seen.sort_unstable();
     let groups = seen.chunk_by(|a, b| a == b);
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -25,9 +25,9 @@
 /// Gates of old targets that report, so that their number does not grow with the fleet.
 pub const MAX_OLD_REPORTERS: usize = 16;
 /// Weight of the last tick in the rate of a service's requests.
-const LATEST: f64 = 0.3;
+const RATE_SMOOTHING: f64 = 0.3;
 /// Ticks with requests after which that rate is known.
-const MEASURED: u32 = 4;
+const MIN_RATE_TICKS: u32 = 4;
 
 /// What this daemon knows of a roll-out on which it decides, or may have to.
 #[derive(Debug)]
@@ -35,15 +35,15 @@
     /// What is ordered.
     pub order: Order,
     /// What gates have reported.
-    pub evidence: Analysis,
+    pub analysis: Analysis,
     /// What is going on with the platform about it.
     pub sync: Arc<PlatformSync>,
     /// When the platform was asked last, and in which era.
     pub last_checked: Option<(Instant, Era)>,
     step: Step,
-    since: Instant,
+    step_since: Instant,
     /// When requests were counted last: those of new targets and of old ones that had been reported.
-    seen: (Instant, (u64, u64)),
+    last_counts: (Instant, (u64, u64)),
     /// Requests a second, and the ticks that it is made from.
     rate: (f64, u32),
 }
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct PlatformSync {
     /// Whether it is being asked.
-    pub under_way: AtomicBool,
+    pub in_progress: AtomicBool,
     /// Whether the platform has said that there is no verdict.
     pub confirmed: AtomicBool,
 }
@@ -75,8 +75,8 @@
         let is_new = |member: &&Member| {
             let offer = member.offer.as_ref().filter(|offer| offer.open);
             let offer = offer.filter(|offer| offer.service == *service);
-            let told = offer.and_then(|offer| offer.revision.as_ref());
-            told.map(|told| told == revision)
+            let announced = offer.and_then(|offer| offer.revision.as_ref());
+            announced.map(|announced| announced == revision)
         };
         let seen = roster.members.iter();
         let lost = roster.gone.iter().map(|departed| &departed.member);
@@ -95,11 +95,11 @@
     pub fn new(order: Order, known: &LocalProgress) -> Self {
         let now = Instant::now();
         Self {
-            evidence: Analysis::new(order.revision.clone()),
+            analysis: Analysis::new(order.revision.clone()),
             order,
             step: known.progress().plan.step,
-            since: now,
-            seen: (now, (0, 0)),
+            step_since: now,
+            last_counts: (now, (0, 0)),
             rate: (0.0, 0),
             sync: Arc::default(),
             last_checked: None,
@@ -107,21 +107,21 @@
     }
 
     /// Takes note of the step in force.
-    pub fn follow(&mut self, now: Instant, step: Step) {
+    pub fn set_step(&mut self, now: Instant, step: Step) {
         if self.step != step {
             self.step = step;
-            self.since = now;
+            self.step_since = now;
         }
     }
 
     /// New targets that are past the slow time after their start, by rank.
     #[must_use]
-    pub fn warm(&self, now: Instant, gates: &Sidecars) -> Vec<SocketAddr> {
+    pub fn warm(&self, now: Instant, sidecars: &Sidecars) -> Vec<SocketAddr> {
         let warm = |peer: &&SocketAddr| {
-            let mut heard = self.evidence.recent_reports(now);
-            heard.any(|(known, report)| known == **peer && report.warm)
+            let mut recent = self.analysis.recent_reports(now);
+            recent.any(|(known, report)| known == **peer && report.warm)
         };
-        gates.new.iter().filter(warm).copied().collect()
+        sidecars.new.iter().filter(warm).copied().collect()
     }
 
     /// What is to be decided on.
@@ -130,17 +130,17 @@
         &self,
         now: Instant,
         known: &LocalProgress,
-        gates: &Sidecars,
+        sidecars: &Sidecars,
         bad: bool,
     ) -> Observed {
-        let heard: Vec<(SocketAddr, &Report)> = self.evidence.recent_reports(now).collect();
-        let old_heard = heard
+        let recent: Vec<(SocketAddr, &Report)> = self.analysis.recent_reports(now).collect();
+        let old_recent = recent
             .iter()
-            .filter(|(peer, _)| gates.old.contains(peer))
+            .filter(|(peer, _)| sidecars.old.contains(peer))
             .count();
-        let expected = gates.old.len().min(MAX_OLD_REPORTERS);
+        let expected = sidecars.old.len().min(MAX_OLD_REPORTERS);
         let is_drained = |peer: &SocketAddr| {
-            let report = heard.iter().find(|(known, _)| known == peer);
+            let report = recent.iter().find(|(known, _)| known == peer);
             report.is_some_and(|(_, report)| report.step == Step::All && report.in_flight == 0)
         };
         let (rate, ticks) = self.rate;
@@ -148,18 +148,20 @@
             duration: self.order.duration.duration(),
             age: known.age(now),
             step: self.step,
-            in_step: now.saturating_duration_since(self.since),
+            in_step: now.saturating_duration_since(self.step_since),
             confirmed: self.sync.confirmed.load(Ordering::Acquire),
-            warm: self.warm(now, gates).len(),
-            targets: gates.new.len(),
-            in_touch: old_heard * 2 >= expected,
-            per_second: (ticks >= MEASURED).then_some(rate),
-            exposed: self.evidence.exposed(),
-            answers: self.evidence.answers(),
+            warm: self.warm(now, sidecars).len(),
+            targets: sidecars.new.len(),
+            in_touch: old_recent * 2 >= expected,
+            per_second: (ticks >= MIN_RATE_TICKS).then_some(rate),
+            exposed: self.analysis.exposed(),
+            answers: self.analysis.answers(),
             bad,
-            doubtful: self.evidence.is_doubtful(Test::default(), gates.new.len()),
+            doubtful: self
+                .analysis
+                .is_doubtful(Test::default(), sidecars.new.len()),
             // Whoever is out of sight may be beyond a cut, with callers of its own.
-            drained: gates.unreachable.is_empty() && gates.old.iter().all(is_drained),
+            drained: sidecars.unreachable.is_empty() && sidecars.old.iter().all(is_drained),
         }
     }
 
@@ -167,24 +169,26 @@
     ///
     /// Guards against a rate that seems to fall since reports are lost: what the revision may get beside its
     /// share would be a large part of it then. The rate stays while most of the gates are not heard.
-    pub fn update_request_rate(&mut self, gates: &Sidecars) {
+    pub fn update_request_rate(&mut self, sidecars: &Sidecars) {
         let now = Instant::now();
-        let heard = self.evidence.recent_reports(now);
-        let heard = heard.filter(|(peer, _)| gates.old.contains(peer)).count();
-        let requests = (self.evidence.exposed(), self.evidence.old_requests());
-        let (then, (exposed, others)) = std::mem::replace(&mut self.seen, (now, requests));
-        if heard == 0 || heard * 2 < gates.old.len().min(MAX_OLD_REPORTERS) {
+        let recent = self.analysis.recent_reports(now);
+        let recent = recent
+            .filter(|(peer, _)| sidecars.old.contains(peer))
+            .count();
+        let requests = (self.analysis.exposed(), self.analysis.old_requests());
+        let (then, (exposed, others)) = std::mem::replace(&mut self.last_counts, (now, requests));
+        if recent == 0 || recent * 2 < sidecars.old.len().min(MAX_OLD_REPORTERS) {
             return;
         }
-        let part = float(gates.old.len() as u64) / float(heard as u64);
-        let came = float(requests.0 - exposed) + float(requests.1 - others) * part.max(1.0);
+        let scale = to_f64(sidecars.old.len() as u64) / to_f64(recent as u64);
+        let received = to_f64(requests.0 - exposed) + to_f64(requests.1 - others) * scale.max(1.0);
         let seconds = now.saturating_duration_since(then).as_secs_f64();
-        let rate = came / seconds.max(TICK_INTERVAL.as_secs_f64() / 2.0);
+        let rate = received / seconds.max(TICK_INTERVAL.as_secs_f64() / 2.0);
         let (known, ticks) = self.rate;
-        let mean = if ticks < MEASURED {
+        let mean = if ticks < MIN_RATE_TICKS {
             (known * f64::from(ticks) + rate) / f64::from(ticks + 1)
         } else {
-            known + LATEST * (rate - known)
+            known + RATE_SMOOTHING * (rate - known)
         };
         self.rate = (mean, ticks.saturating_add(1));
     }
@@ -203,6 +207,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
-const fn float(count: u64) -> f64 {
+const fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -754,18 +754,18 @@
     let (service, now) = (Service::from("shelf"), Instant::now());
     let (old, new) = (Revision::from("v1"), Revision::from("v2"));
     let mut usual = Revisions::default();
-    usual.note(now, &service, &[&old, &old]);
+    usual.observe(now, &service, &[&old, &old]);
     let later = now + Duration::from_secs(5);
-    usual.note(later, &service, &[&new, &new]);
+    usual.observe(later, &service, &[&new, &new]);
     assert_eq!(usual.get(&service, later), Some(&old));
     usual.mark_absent(later, &[]);
-    usual.note(later, &service, &[&old, &new]);
+    usual.observe(later, &service, &[&old, &new]);
     assert_eq!(usual.get(&service, later), Some(&old));
     // Gone for good it is not the usual one any more.
-    usual.note(later, &service, &[&new]);
+    usual.observe(later, &service, &[&new]);
     let long = later + Duration::from_mins(1);
     assert_eq!(usual.get(&service, long), None, "any may take requests");
-    usual.note(long, &service, &[&new]);
+    usual.observe(long, &service, &[&new]);
     assert_eq!(usual.get(&service, long), Some(&new));
 }
 
@@ -776,12 +776,12 @@
     let (service, now) = (Service::from("shelf"), Instant::now());
     let (old, new) = (Revision::from("v1"), Revision::from("v2"));
     let mut usual = Revisions::default();
-    usual.note(now, &service, &[&new]);
+    usual.observe(now, &service, &[&new]);
     usual.adopt(&[(service.clone(), old.clone())]);
     assert_eq!(usual.get(&service, now), Some(&old));
     usual.adopt(&[(service.clone(), new)]);
     assert_eq!(usual.get(&service, now), Some(&old), "the first one counts");
-    assert_eq!(usual.told(), [(service, old)]);
+    assert_eq!(usual.snapshot(), [(service, old)]);
 }
 
 /// A revision takes six times as long for some requests, and is given all of them: its slow answers come when it is
@@ -848,11 +848,11 @@
             member(2, "v2", Health::Alive),
         ];
         roster.gone = gone.into_iter().collect();
-        let mut duty = Tracker::new(order("v2"), &known);
-        duty.evidence.record(now, peer(1), idle("v1"));
+        let mut tracker = Tracker::new(order("v2"), &known);
+        tracker.analysis.record(now, peer(1), idle("v1"));
         let service = Service::from("shelf");
         let gates = Sidecars::of(&roster, &service, &Revision::from("v2"));
-        duty.observe(now, &known, &gates, false).drained
+        tracker.observe(now, &known, &gates, false).drained
     };
     assert!(drained(None));
     assert!(drained(Some(Health::Left)));
