--- a/src/board.rs
+++ b/src/board.rs
@@ -271,7 +271,7 @@
         match self.rollouts.rules().get(&target.service) {
             Some(rule) => rule.side(revision, me, now).is_some(),
             None => {
-                self.settings.exposure_share.is_none() || self.roster.load().is_usual(target, now)
+                self.settings.exposure_share.is_none() || self.roster.load().is_stable(target, now)
             }
         }
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -103,7 +103,8 @@
                 .send::<_, Welcome>(contact.peer, JOIN, &join)
                 .await
             {
-                self.membership.learn(&welcome.members, &welcome.usual);
+                self.membership
+                    .learn(&welcome.members, &welcome.stable_revisions);
             }
         }
     }
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -90,5 +90,5 @@
     /// Highest era of the platform that the answerer knows.
     pub era: Era,
     /// Revisions that get requests without an order.
-    pub usual: Vec<(Service, Revision)>,
+    pub stable_revisions: Vec<(Service, Revision)>,
 }
--- a/src/membership/greeting.rs
+++ b/src/membership/greeting.rs
@@ -112,7 +112,8 @@
         self.board.quarantine.merge(&welcome.crashes);
         self.board.rollouts.merge(&welcome.rollouts);
         self.look_back(&welcome.members, heard);
-        self.membership.learn(&welcome.members, &welcome.usual);
+        self.membership
+            .learn(&welcome.members, &welcome.stable_revisions);
     }
 
     /// Finds out how an earlier daemon at this address ended: the latest word of it counts.
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -45,7 +45,7 @@
     /// When another daemon was told everything that is known of ends of targets.
     pub reconciled: Option<Instant>,
     /// Revisions that get requests without an order.
-    usual: Revisions,
+    stable_revisions: Revisions,
 }
 
 impl Membership {
@@ -68,7 +68,7 @@
             view,
             rng,
             reconciled: None,
-            usual: Revisions::default(),
+            stable_revisions: Revisions::default(),
         });
         let membership = Self {
             board,
@@ -177,7 +177,7 @@
             crashes: self.board.quarantine.snapshot(),
             rollouts: self.board.rollouts.snapshot(),
             era: self.board.era(),
-            usual: guard.usual.snapshot(),
+            stable_revisions: guard.stable_revisions.snapshot(),
         }
     }
 
@@ -185,7 +185,7 @@
     pub fn learn(&self, members: &[Member], usual: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
-        guard.usual.adopt(usual);
+        guard.stable_revisions.adopt(usual);
         for member in members {
             guard.view.merge(now, member);
         }
@@ -325,9 +325,9 @@
             .cloned()
             .chain([state.view.me().clone()])
             .collect();
-        let usual = state.usual.clone();
+        let usual = state.stable_revisions.clone();
         let roster = Roster::build(live, gone, &home, &old, usual, now);
-        state.usual.clone_from(&roster.usual);
+        state.stable_revisions.clone_from(&roster.stable_revisions);
         self.board.set_roster(roster);
     }
 
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -35,7 +35,7 @@
     pub fleet: Vec<(Service, usize)>,
     pools: Vec<Pool>,
     /// Revisions that get requests without an order.
-    pub usual: Revisions,
+    pub stable_revisions: Revisions,
 }
 
 /// A member that is thought to be gone.
@@ -149,7 +149,7 @@
             members,
             gone,
             pools,
-            usual,
+            stable_revisions: usual,
         }
     }
 
@@ -167,8 +167,8 @@
 
     /// Whether a target is of the revision that gets the requests without an order.
     #[must_use]
-    pub fn is_usual(&self, target: &Target, now: Instant) -> bool {
-        let usual = self.usual.get(&target.service, now);
+    pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
+        let usual = self.stable_revisions.get(&target.service, now);
         usual.is_none() || target.revision.is_none() || target.revision.as_ref() == usual
     }
 
