--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -1,4 +1,4 @@
-//! Where notes of requests in quarantine are kept: on the platform, or on its log.
+//! Persistent storage for records of quarantined requests: the platform or its log.
 
 use std::sync::Arc;
 
@@ -11,30 +11,30 @@
 use crate::quarantine::record::Record;
 use crate::units::{Millis, Offset};
 
-/// Records of the log that a start looks at: each of the requests in quarantine has a few.
+/// Log records read at startup. Each quarantined request has a few.
 const MAX_READ_RECORDS: u64 = 256;
 
-/// Keeps notes for daemons that start when nobody else is left.
+/// Storage from which daemons restore the quarantine when no peer is left.
 #[derive(Debug, Clone)]
 pub enum Archive {
-    /// With the platform, which tells them together with its list of daemons.
+    /// The platform, which returns the records with its list of daemons.
     Platform(Arc<dyn Origin>),
-    /// As records of the log, for as long as it retains them.
+    /// A stream of the log, for as long as the log retains the records.
     Log(Log),
 }
 
-/// One record of the `quarantine` stream.
+/// A record of the `quarantine` stream.
 #[derive(Debug, Serialize, Deserialize)]
 struct Entry {
-    /// What stays the same when the request is sent again.
+    /// Fingerprint of the request.
     cause: Fingerprint,
-    /// What holds of it; nothing once it may run again.
+    /// Crashes that the request caused; `None` once it is no longer quarantined.
     #[serde(rename = "note")]
     record: Option<Record>,
 }
 
 impl Archive {
-    /// Keeps a note of a request, in place of what was kept of it; drops that without one.
+    /// Replaces the stored record of a request, or deletes it if `record` is `None`.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes that a start has to ask for; the platform tells its own unasked.
+    /// Records from the log. Empty for the platform, which returns its own with the list of daemons.
     ///
     /// # Errors
     ///
@@ -75,7 +75,7 @@
             };
             next = last.offset.0 + 1;
             for stored in &page.records {
-                // One that can't be read was not written by a daemon of this release.
+                // Records that can't be parsed were not written by this release.
                 let Ok(Entry { cause, record }) = serde_json::from_str(&stored.value) else {
                     continue;
                 };
--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -1,4 +1,4 @@
-//! One end of a target without a word, and what ran there.
+//! Reports of target crashes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// Requests that one end names at most, so that it fits into a datagram.
+/// Most requests that a report lists, so that it fits into a datagram.
 pub const MAX_RUNNING: usize = 128;
 
-/// Name of one end of a target, drawn at random.
+/// Random identifier of a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashId(pub u64);
@@ -30,21 +30,20 @@
     }
 }
 
-/// A target's end without a word, as daemons tell each other of it.
+/// The unannounced end of a target process, as daemons report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Which one.
     pub id: CrashId,
-    /// Time since then, when it was told.
+    /// Time since the crash, at the time of sending.
     pub age: Millis,
-    /// Requests that ran there and may have caused it, sorted.
+    /// Requests that were running and may have caused the crash, sorted.
     pub running: Vec<Fingerprint>,
-    /// Others that ran there, which a target has answered since, sorted.
+    /// Requests that were running but that a target has answered since, sorted.
     pub cleared: Vec<Fingerprint>,
 }
 
 impl Crash {
-    /// An end that has just happened.
+    /// A crash that has just happened.
     #[must_use]
     pub fn new(id: CrashId, mut running: Vec<Fingerprint>) -> Self {
         running.truncate(MAX_RUNNING);
@@ -58,7 +57,7 @@
         }
     }
 
-    /// The same end as one told `age` ago, as far as it accuses one request.
+    /// A crash of the given age that implicates only `cause`.
     #[must_use]
     pub fn with_cause(id: CrashId, cause: Fingerprint, age: Millis) -> Self {
         Self {
@@ -67,13 +66,13 @@
         }
     }
 
-    /// Whether a request may have caused it.
+    /// Whether the request may have caused the crash.
     #[must_use]
     pub fn implicates(&self, fingerprint: Fingerprint) -> bool {
         contains(&self.running, fingerprint)
     }
 
-    /// Adds what another told of the same end; whether any of it was news.
+    /// Merges another report of the same crash; returns whether this one changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let cleared = other
             .cleared
@@ -91,7 +90,7 @@
         added.filter(|is_new| *is_new).count() > 0 || cleared
     }
 
-    /// Notes that a request is not the cause; whether that was news.
+    /// Marks a request as not the cause; returns whether it was not marked before.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
         self.running.retain(|other| *other != fingerprint);
         insert(&mut self.cleared, fingerprint)
@@ -102,7 +101,7 @@
     list.binary_search(&fingerprint).is_ok()
 }
 
-/// Adds one to a sorted list within its bound; whether it was not there.
+/// Inserts into a sorted list of at most [`MAX_RUNNING`]; returns whether the list changed.
 fn insert(list: &mut Vec<Fingerprint>, fingerprint: Fingerprint) -> bool {
     match list.binary_search(&fingerprint) {
         Err(index) if list.len() < MAX_RUNNING => {
--- a/src/quarantine/crash_set.rs
+++ b/src/quarantine/crash_set.rs
@@ -1,27 +1,27 @@
-//! Which requests end targets, by what all gates have seen.
+//! Attribution of target crashes to requests, from the reports of all sidecars.
 //!
-//! Each gate whose target ended tells a [`Crash`]: what ran there. [`Evidence`] is the union of what all of
-//! them told, the same on every daemon in whatever order it came, and judges requests by it: one that ran
-//! at [three](ENDS) ends of targets and was never answered is the cause of them. Ends that have a cause
-//! count against nobody else.
+//! Every sidecar whose target crashed reports a [`Crash`] with the requests that were running. [`CrashSet`]
+//! is the union of all reports, independent of the order of their arrival. A request that was running at
+//! [three](MIN_CRASHES) crashes and was never answered is taken for their cause. Crashes that are attributed
+//! to one request do not implicate any other.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
 //! use jackdawpulley::quarantine::crash::{Crash, CrashId};
-//! use jackdawpulley::quarantine::evidence::Evidence;
+//! use jackdawpulley::quarantine::crash_set::CrashSet;
 //! use jackdawpulley::quarantine::fingerprint::Fingerprint;
 //!
-//! let (fatal, bystander) = (Fingerprint(1), Fingerprint(2));
-//! let mut evidence = Evidence::new(Duration::from_mins(60));
+//! let (crashing, unrelated) = (Fingerprint(1), Fingerprint(2));
+//! let mut crashes = CrashSet::new(Duration::from_mins(60));
 //! let now = Instant::now();
 //! for id in 0..3 {
-//!     let running = if id == 0 { vec![fatal, bystander] } else { vec![fatal] };
+//!     let running = if id == 0 { vec![crashing, unrelated] } else { vec![crashing] };
 //!     let later = now + Duration::from_secs(id);
-//!     evidence.merge(later, &Crash::new(CrashId(id), running));
+//!     crashes.merge(later, &Crash::new(CrashId(id), running));
 //! }
-//! let verdicts = evidence.verdicts();
-//! assert!(verdicts.of(fatal).until.is_some());
-//! assert!(verdicts.of(bystander).until.is_none());
+//! let assessments = crashes.assess();
+//! assert!(assessments.of(crashing).quarantined_until.is_some());
+//! assert!(assessments.of(unrelated).quarantined_until.is_none());
 //! ```
 
 use std::time::{Duration, Instant};
@@ -32,49 +32,50 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// Ends of targets at which a request ran that is taken for their cause. One end has as many bystanders as
-/// the target has slots, and one of them may be repeated onto the next target; each end more costs a target.
+/// Crashes at which a request was running before they are attributed to it. A crash implicates as many
+/// unrelated requests as the target has slots, and one of these may be retried on the next target that
+/// crashes; but every further crash costs a target.
 pub const MIN_CRASHES: usize = 3;
-/// Ends after which a request is kept apart from others under the same suspicion: the next end tells which
-/// of them it was.
+/// Crashes after which a request does not run beside another with as many, so that the next crash tells which
+/// of them is the cause.
 const ISOLATION_CRASHES: usize = MIN_CRASHES - 1;
-/// Time within which ends count as one moment.
+/// Crashes within this time of the first one count as simultaneous.
 ///
-/// Guards against many targets that are killed at once, with the same long request under way on several of
-/// them: nothing but the kill connects them. It covers the time that news of an end take, and is shorter
-/// than the time between two attempts of a request that ends its targets.
+/// Guards against many targets being killed at once while the same long request runs on several of them,
+/// which implicates it in every crash. The window covers the propagation of crash reports and is shorter than
+/// the time between two attempts of a request that crashes its targets.
 pub const COINCIDENCE_WINDOW: Duration = Duration::from_millis(300);
-/// Moments that the ends of a cause belong to at least.
+/// Least number of separate [windows](COINCIDENCE_WINDOW) in which the crashes of a cause happened.
 const MIN_DISTINCT_TIMES: usize = 2;
-/// Ends that are remembered at most, so that memory is bounded: enough for 85 fatal requests at a time.
+/// Most crashes that are kept, to bound memory: enough for 85 crashing requests at a time.
 pub const MAX_CRASHES: usize = 256;
 
-/// What is held against a request.
+/// What the known crashes say about a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Assessment {
-    /// Ends of targets that nothing else explains, at which it ran.
+    /// Crashes at which it was running and that are not attributed to another request.
     pub crashes: usize,
-    /// Until when it must not run, if it is taken for the cause.
+    /// When the quarantine ends, if the request is quarantined.
     pub quarantined_until: Option<Instant>,
 }
 
 impl Assessment {
-    /// Whether it has to run apart from others of which this is true.
+    /// Whether it must not run beside another request for which this holds.
     #[must_use]
     pub const fn must_isolate(&self) -> bool {
         self.crashes >= ISOLATION_CRASHES
     }
 }
 
-/// What is held against each request, for the path of a request.
+/// Assessments of all implicated requests, for the request path.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Assessments {
-    /// Sorted.
+    /// Sorted by fingerprint.
     all: Vec<(Fingerprint, Assessment)>,
 }
 
 impl Assessments {
-    /// What is held against one request.
+    /// Assessment of one request.
     #[must_use]
     pub fn of(&self, fingerprint: Fingerprint) -> Assessment {
         let found = self
@@ -83,7 +84,7 @@
         found.map_or_else(|_| Assessment::default(), |index| self.all[index].1)
     }
 
-    /// Requests that must not run, with the time at which they may again.
+    /// Quarantined requests, with the end of each quarantine.
     pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, Instant)> {
         let all = self.all.iter();
         all.filter_map(|(fingerprint, assessment)| {
@@ -92,26 +93,27 @@
     }
 }
 
-/// An end with the time at which it will be forgotten.
+/// A crash with its expiry time.
 #[derive(Debug, Clone)]
 struct Entry {
     crash: Crash,
     until: Instant,
 }
 
-/// All ends that are remembered.
+/// All crashes that are known.
 ///
-/// A union of what was told: merging is commutative, associative and idempotent, so daemons that have heard
-/// the same hold the same. What expires at one a moment earlier is not taken in again there.
+/// The set is a state-based CRDT: merging is commutative, associative and idempotent, so daemons that have
+/// received the same reports hold the same set. A crash that another daemon still holds is not added again
+/// once it has expired here.
 #[derive(Debug)]
 pub struct CrashSet {
-    /// Sorted by identifier.
+    /// Sorted by crash id.
     entries: Vec<Entry>,
     retention: Duration,
 }
 
 impl CrashSet {
-    /// No ends yet; each will be remembered for `memory`.
+    /// An empty set that keeps each crash for `retention`.
     #[must_use]
     pub const fn new(retention: Duration) -> Self {
         Self {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Takes in what was told of an end; whether any of it was news.
+    /// Merges a crash report; returns whether the set changed.
     pub fn merge(&mut self, now: Instant, crash: &Crash) -> bool {
         let remaining = self.retention.saturating_sub(crash.age.duration());
         if remaining.is_zero() {
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Notes that a target has answered a request, which did not cause the end `id`, or any of those known
-    /// so far; the ends that accused it.
+    /// Marks a request that a target has answered as not the cause of crash `id`, or of all known crashes;
+    /// returns the crashes that implicated it.
     pub fn clear(&mut self, fingerprint: Fingerprint, id: Option<CrashId>) -> Vec<CrashId> {
         let crashes = self.entries.iter_mut().map(|known| &mut known.crash);
         let selected = crashes.filter(|crash| id.is_none_or(|id| crash.id == id));
@@ -154,20 +156,19 @@
             .collect()
     }
 
-    /// Forgets ends that are too long ago; whether there were any.
+    /// Removes expired crashes; returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.entries.len();
         self.entries.retain(|known| now < known.until);
         self.entries.len() < before
     }
 
-    /// Whether an end is remembered.
     #[must_use]
     pub fn contains(&self, id: CrashId) -> bool {
         self.find(id).is_ok()
     }
 
-    /// The ends at which a request ran that was not answered since, with the time since each.
+    /// Crashes that implicate a request, with their ages.
     #[must_use]
     pub fn crashes_of(&self, fingerprint: Fingerprint, now: Instant) -> Vec<(CrashId, Millis)> {
         let implicating = self
@@ -179,7 +180,7 @@
             .collect()
     }
 
-    /// What is to be told of some ends, or of all.
+    /// Reports of the selected crashes, or of all, for sending.
     #[must_use]
     pub fn snapshot(&self, now: Instant, ids: Option<&[CrashId]>) -> Vec<Crash> {
         let selected = |known: &&Entry| ids.is_none_or(|ids| ids.contains(&known.crash.id));
@@ -190,7 +191,7 @@
         self.entries.iter().filter(selected).map(aged).collect()
     }
 
-    /// The same for daemons that know the same; 0 for none.
+    /// Hash of the set, equal for equal sets; 0 for an empty one.
     #[must_use]
     pub fn hash(&self) -> u64 {
         if self.entries.is_empty() {
@@ -209,10 +210,10 @@
         hasher.digest()
     }
 
-    /// Judges all requests.
+    /// Assesses all implicated requests.
     ///
-    /// The request that explains most ends is judged first, and the ends that it explains count against
-    /// nobody else: bystanders repeat as well, and meet the cause on more than one target.
+    /// Crashes are attributed first to the request that explains most of them, and then implicate no other:
+    /// retries of unrelated requests may also be running at several crashes of the same cause.
     #[must_use]
     pub fn assess(&self) -> Assessments {
         let mut unexplained: Vec<&Entry> = self.entries.iter().collect();
@@ -232,7 +233,7 @@
                 all.extend(counts.into_iter().map(assessment));
                 break;
             };
-            // When too few of its ends will be remembered.
+            // When fewer than [`MIN_CRASHES`] of its crashes will be left.
             let until = expiry_times(&unexplained, cause)
                 .iter()
                 .rev()
@@ -261,7 +262,7 @@
             .binary_search_by_key(&id, |known| known.crash.id)
     }
 
-    /// Keeps to the bound: forgets the oldest end that no verdict rests on, else the oldest.
+    /// Evicts the oldest crashes above [`MAX_CRASHES`], first those that no quarantine depends on.
     fn evict_excess(&mut self) {
         while self.entries.len() > MAX_CRASHES {
             let assessments = self.assess();
@@ -278,7 +279,7 @@
     }
 }
 
-/// The request that is taken for the cause of most ends, with their number, if any is.
+/// The request that is the cause of most crashes, with their number.
 fn find_cause(
     unexplained: &[&Entry],
     counts: &[(Fingerprint, usize)],
@@ -297,10 +298,10 @@
     attributed.max_by_key(|(_, crashes)| *crashes)
 }
 
-/// Whether another request ran at as many ends and at some of the same ones.
+/// Whether another request is implicated in as many crashes, some of them the same.
 ///
-/// Ends alone don't tell the two apart, and one of them is a bystander. Neither is accused yet: they run
-/// apart, and one more end tells which it is.
+/// The crashes do not tell which of the two is the cause. Neither is quarantined yet: they run on separate
+/// targets, and the next crash tells.
 fn is_ambiguous(
     unexplained: &[&Entry],
     counts: &[(Fingerprint, usize)],
@@ -318,7 +319,7 @@
     others.any(|other| *other != fingerprint && crash_count(*other) == crashes)
 }
 
-/// When the ends will be forgotten that accuse a request, in the order in which they happened.
+/// Expiry times of the crashes that implicate a request, in the order of the crashes.
 fn expiry_times(unexplained: &[&Entry], fingerprint: Fingerprint) -> Vec<Instant> {
     let implicating = unexplained
         .iter()
@@ -328,7 +329,7 @@
     times
 }
 
-/// Moments to which sorted times belong.
+/// Number of windows that the sorted times fall into.
 fn count_distinct_times(times: &[Instant]) -> usize {
     let mut began = None;
     let mut count = 0;
@@ -341,7 +342,7 @@
     count
 }
 
-/// How many of some ends accuse each request, sorted by request.
+/// Number of crashes that implicate each request, sorted by fingerprint.
 fn count_implications(unexplained: &[&Entry]) -> Vec<(Fingerprint, usize)> {
     let implicated = unexplained
         .iter()
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -1,4 +1,4 @@
-//! Finding out whether the target has ended when a connection to it breaks.
+//! Detection of target crashes when a connection to the target breaks.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use crate::quarantine::running::{Completion, Run, RunId, Running};
 use crate::units::Millis;
 
-/// Time after the first broken connection in which the others that break with it are noticed.
+/// Time after the first broken connection in which others that break with it are noticed.
 const SETTLE_TIME: Duration = Duration::from_millis(10);
-/// Time in which a host refuses a connection to a port of its own that nobody listens on, many times over.
+/// Far longer than a host takes to refuse a connection to a local port without a listener.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Requests that a line about an ended target names.
+/// Most requests that the log line about a crash lists.
 const MAX_LOGGED_REQUESTS: usize = 32;
 
-/// Follows the runs at the target of one gate.
+/// Tracks the requests that run at the target of one sidecar and reports its crashes.
 #[derive(Debug, Clone)]
 pub struct Detector {
     board: Arc<Board>,
 }
 
-/// A run that is over when this is dropped, with an unknown fate if nothing else was said.
+/// A request at the target. Counts as unresolved if it is dropped without [`RunGuard::finish`].
 #[derive(Debug)]
 pub struct RunGuard {
     detector: Detector,
@@ -39,24 +39,24 @@
 }
 
 impl Detector {
-    /// An inspector of the target that `board` names.
+    /// A detector for the target that `board` names.
     #[must_use]
     pub const fn new(board: Arc<Board>) -> Self {
         Self { board }
     }
 
-    /// Notes that a request is about to be sent to the target.
+    /// Admits a request to the target and tracks it.
     ///
     /// # Errors
     ///
-    /// [`Reason::Quarantined`] for one under which targets ended, [`Reason::Overloaded`] for one that has
-    /// to wait until another under suspicion is done.
+    /// [`Reason::Quarantined`] if the request has crashed targets; [`Reason::Overloaded`] if it must not run
+    /// beside another suspected request that is running.
     pub fn begin(&self, run: Run) -> Result<RunGuard, Reason> {
         let quarantine = &self.board.quarantine;
         let assessment = quarantine.assessment(run.fingerprint);
-        // Guards against a request that ends each target which runs it, while its caller sends it again and
-        // again: callers of all kinds see the service shrink to a few targets. Every gate refuses it by the
-        // same evidence, so no entry that has not heard of it yet can bring it to a target.
+        // A request that crashes every target would otherwise be retried until few targets are left for all
+        // callers. All sidecars refuse it by the same crash reports, so an ingress that has not received them
+        // yet can't get it to a target.
         if assessment
             .quarantined_until
             .is_some_and(|until| run.began < until)
@@ -64,8 +64,8 @@
             return Err(Reason::Quarantined);
         }
         let mut running = self.running();
-        // Guards against a bystander that goes from one ending target to the next beside the cause, as
-        // both are repeated: with each of them on a target of its own, the next end tells which it is.
+        // An unrelated request may be retried along with the cause, from one crashing target to the next. On
+        // separate targets, the next crash tells which of them is the cause.
         let must_isolate = |run: &Run| quarantine.assessment(run.fingerprint).must_isolate();
         if assessment.must_isolate() && running.under_way().any(must_isolate) {
             return Err(Reason::Overloaded);
@@ -81,14 +81,14 @@
         })
     }
 
-    /// Finds out in a moment whether `target` has ended, unless that is under way already.
+    /// Checks in the background whether `target` has crashed, unless a check is in progress.
     pub fn check_target(&self, target: &Arc<Target>) {
         if !self.running().begin_check() {
             return;
         }
         let (detector, target) = (self.clone(), Arc::clone(target));
         tokio::spawn(async move {
-            // At once: a supervisor may have the next life listen within a few milliseconds.
+            // At once, since a supervisor may restart the target within a few milliseconds.
             let mut refused_since = refused_at(target.address).await;
             tokio::time::sleep(SETTLE_TIME).await;
             let broke_together = detector
@@ -112,7 +112,7 @@
         });
     }
 
-    /// Notes that `target` is another life than the one before it.
+    /// Handles the announcement of `target`, which replaces an earlier process.
     pub fn target_restarted(&self, target: &Target) {
         let began = target.born.map(|born| born.0);
         let age = began.map(|began| Duration::from_millis(clock::unix_ms().saturating_sub(began)));
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Tells that the target ended `ago` under these runs. Where they are too many, those that are suspected
-    /// already and those that began last are told.
+    /// Reports that the target crashed `ago` while these requests were running. If they are more than a
+    /// report holds, those with most crashes and those that began last are reported.
     fn report_crash(&self, mut runs: Vec<Run>, ago: Duration) {
         let quarantine = &self.board.quarantine;
         runs.sort_by_key(|run| {
@@ -149,7 +149,7 @@
         };
         let named: Vec<String> = runs.iter().take(MAX_LOGGED_REQUESTS).map(name).collect();
         let instance = target.instance.as_ref().map(ToString::to_string);
-        warn!(self.board.logger, "target ended"; "instance" => instance,
+        warn!(self.board.logger, "target crashed"; "instance" => instance,
             "address" => %target.address, "running" => runs.len(), "requests" => named.join(" "));
     }
 
@@ -159,7 +159,7 @@
 }
 
 impl RunGuard {
-    /// Notes how the run is over.
+    /// Ends the run with its outcome.
     pub fn finish(mut self, completion: Completion) {
         self.completion = completion;
         if completion == Completion::Answered {
@@ -180,15 +180,15 @@
     }
 }
 
-/// Takes the lock, which is held for a few instructions.
+/// Locks the runs; the lock is held for a few instructions only.
 pub fn lock_running(running: &Mutex<Running>) -> MutexGuard<'_, Running> {
     running.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// When it was found that nobody listens at an address of this host, if nobody does.
+/// When a connection to this local address was refused, if it was.
 ///
-/// Guards against a target whose answer was lost, or that cuts one connection: it still listens. One that
-/// has ended does not, and its host says so at once.
+/// A target that lost a response or closed one connection still listens; the host of a crashed target refuses
+/// connections at once.
 async fn refused_at(address: SocketAddr) -> Option<Instant> {
     let looked = Instant::now();
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What stays the same when a request is sent again.
+//! Identity of a request across retries.
 //!
-//! A repeat has another identifier and comes in at another daemon; method, host, path with its query, and
-//! body are the same. Requests with the same fingerprint are taken for repeats of one another.
+//! A retry has another request id and may arrive at another daemon, but has the same method, host, path with
+//! query, and body. Requests with equal fingerprints are treated as retries of each other.
 //!
 //! ```
 //! use jackdawpulley::quarantine::fingerprint::{Content, Fingerprint};
@@ -21,25 +21,25 @@
 
 use crate::authority;
 
-/// A hash of what stays the same when a request is sent again, printed in hexadecimal.
+/// Hash of the parts of a request that a retry repeats, displayed in hexadecimal.
 ///
-/// 64 bits: with one fingerprint in quarantine and 710,000 other requests a second, another request would
-/// meet it by chance once in 800,000 years.
+/// With 64 bits, one quarantined fingerprint and 710,000 other requests per second, a collision is expected
+/// once in 800,000 years.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
-/// The body of a request, as far as it is known before it is sent on.
+/// The body of a request, as far as it is known before forwarding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Content<'a> {
-    /// All of it.
+    /// A body that is buffered completely.
     Whole(&'a [u8]),
-    /// A body that is passed on as it comes, by the length that its sender gives.
+    /// A body that is streamed, with the value of its `Content-Length`.
     Stream(Option<&'a [u8]>),
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request; `path` includes the query.
+    /// Fingerprint of a request; `path` includes the query.
     #[must_use]
     pub fn of(method: &str, host: &str, path: &str, content: Content<'_>) -> Self {
         let mut hasher = Xxh3::new();
@@ -49,7 +49,7 @@
         };
         let host = authority::normalized(host);
         for field in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
-            // The length first, so that no two lists of fields read alike.
+            // The length prefix keeps different lists of fields from hashing alike.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,10 +1,11 @@
-//! Quarantine: requests that end the targets which run them.
+//! Quarantine of requests that crash the targets that process them.
 //!
-//! A request whose content makes a target crash is sent again by its caller, under another identifier and
-//! at any daemon, and takes one target after the other with it. A gate knows what was [`running`] when its
-//! target ended, names requests by a [`fingerprint`] of their content, and tells a [`crash`] to all daemons.
-//! Each of them judges by the same [`evidence`] what must not run, which the path of a request reads from
-//! what is [`shared`]. A [`note`] outlives the daemons.
+//! A request whose content crashes a target is retried by its caller, with another request id and through any
+//! daemon, and crashes one target after another. The sidecar of a crashed target knows which requests were
+//! [`running`] there, identifies them by a [`fingerprint`] of their content and reports the [`crash`] to all
+//! daemons. Every daemon merges the reports into the same [`crash_set`] and derives from it which requests to
+//! refuse; the request path reads the result from [`shared`]. A [`record`] in external storage survives the
+//! loss of all daemons.
 
 pub mod crash;
 pub mod crash_set;
--- a/src/quarantine/record.rs
+++ b/src/quarantine/record.rs
@@ -1,16 +1,16 @@
-//! What the platform keeps of a request in quarantine.
+//! Stored record of a quarantined request.
 //!
-//! Daemons remember in memory. When all of them have died at once, those that start read a [`Note`] of each
-//! request in quarantine; without it, the request would have to end as many targets again.
+//! Daemons keep crashes in memory. After the loss of all daemons, those that start read a [`Record`] of each
+//! quarantined request; without it, the request would crash as many targets again before it is quarantined.
 //!
 //! ```
 //! use jackdawpulley::quarantine::crash::CrashId;
-//! use jackdawpulley::quarantine::note::Note;
+//! use jackdawpulley::quarantine::record::Record;
 //! use jackdawpulley::units::Millis;
 //!
 //! let now_ms = 1_700_000_000_000;
 //! let record = Record::of(&[(CrashId(7), Millis(0)), (CrashId(8), Millis(900))], now_ms);
-//! assert_eq!(note.to_string().parse(), Ok(note));
+//! assert_eq!(record.to_string().parse(), Ok(record));
 //! ```
 
 use std::fmt;
@@ -23,19 +23,19 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// Ends that are noted at most: the first and the last ones tell as much as all of them.
+/// Most crashes in a record. The first and the last ones are kept: they carry as much as all of them.
 const MAX_RECORDED_CRASHES: usize = 16;
 
-/// The ends of targets that put a request into quarantine.
+/// The crashes for which a request is quarantined.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Each with its time, in Unix milliseconds, the first one first.
+    /// Crash ids with Unix times in milliseconds, in the order of time.
     #[serde(rename = "ends")]
     crashes: Vec<(CrashId, u64)>,
 }
 
 impl Record {
-    /// A note of ends that happened so long before `now_ms`.
+    /// A record of crashes with the given ages at `now_ms`.
     #[must_use]
     pub fn of(crashes: &[(CrashId, Millis)], now_ms: u64) -> Self {
         let crashes = crashes.iter();
@@ -48,7 +48,7 @@
         Self { crashes }
     }
 
-    /// The ends as they are told at `now_ms`; one of the future counts as one of now, since clocks differ.
+    /// The crashes with their ages at `now_ms`; 0 for a crash that lies in the future, since clocks differ.
     #[must_use]
     pub fn to_crashes(&self, cause: Fingerprint, now_ms: u64) -> Vec<Crash> {
         let age = |at_ms: u64| Millis(now_ms.saturating_sub(at_ms));
@@ -58,7 +58,7 @@
             .collect()
     }
 
-    /// Time since the last end.
+    /// Time since the last crash.
     #[must_use]
     pub fn age(&self, now_ms: u64) -> Millis {
         let last = self.crashes.last().map_or(0, |(_, at_ms)| *at_ms);
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -1,4 +1,4 @@
-//! Passes on what is learnt of requests that end targets, and has the archive keep what must last.
+//! Replication of crash reports to the other daemons and of quarantine records to the archive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::record::Record;
 
-/// Time between two looks for ends that are too long ago: small beside the quarantine.
+/// Interval at which expired crashes are removed: short beside the duration of a quarantine.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
-/// Pauses after calls to the platform that failed; while it is away, the daemons remember.
+/// Delays after failed calls to the platform; until one succeeds, the daemons hold the crashes in memory.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
 
-/// Keeps what one daemon knows in step with the others and the platform.
+/// Replicates the quarantine of one daemon to its peers and the archive.
 #[derive(Debug, Clone)]
 pub struct Replicator {
     board: Arc<Board>,
@@ -28,7 +28,7 @@
 }
 
 impl Replicator {
-    /// A keeper of what `board` knows, which has `archive` keep notes.
+    /// A replicator of the quarantine on `board`, which stores records in `archive`.
     #[must_use]
     pub fn new(board: &Arc<Board>, membership: &Arc<Membership>, archive: Archive) -> Self {
         Self {
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Follows what is learnt for as long as the daemon runs.
+    /// Replicates changes for as long as the daemon runs.
     pub async fn run(self) {
         let mut changes = self.board.quarantine.changes();
         let mut eras = self.board.eras();
         let mut assessments: Arc<Assessments> = Arc::default();
         loop {
-            // Nobody learns of anything without a change; time alone lets ends go.
+            // All but the expiry of crashes is signalled as a change.
             tokio::select! {
                 _ = changes.changed() => {}
                 _ = eras.changed() => self.store_all_again(&assessments),
@@ -63,14 +63,14 @@
     fn apply_changes(&self, before: &Assessments, now: &Assessments) {
         for (cause, _) in now.quarantined() {
             if before.of(cause).quarantined_until.is_none() {
-                warn!(self.board.logger, "request in quarantine";
+                warn!(self.board.logger, "request quarantined";
                     "fingerprint" => %cause, "ends" => now.of(cause).crashes);
                 self.store(cause);
             }
         }
         for (cause, _) in before.quarantined() {
             if now.of(cause).quarantined_until.is_none() {
-                info!(self.board.logger, "request out of quarantine"; "fingerprint" => %cause);
+                info!(self.board.logger, "request released from quarantine"; "fingerprint" => %cause);
                 self.store(cause);
             }
         }
@@ -78,21 +78,21 @@
         metrics::gauge!("jackdaw_quarantined").set(f64::from(count));
     }
 
-    /// Has the archive keep once more what it may have lost.
+    /// Stores all records again.
     ///
-    /// Guards against a platform that comes back from a copy of before a note: when all daemons are lost
-    /// then, the request would end three targets again.
+    /// The platform may have been restored from a backup that lacks them. If all daemons were lost after
+    /// that, each request would crash three targets again.
     fn store_all_again(&self, assessments: &Assessments) {
         assessments
             .quarantined()
             .for_each(|(cause, _)| self.store(cause));
     }
 
-    /// Has the archive keep what holds of a request now.
+    /// Stores the current record of a request, with retries.
     ///
-    /// Guards against the loss of all daemons at once: those that start know nothing, and the request
-    /// would end three targets again, and as many more as run it meanwhile. Each gate whose own target
-    /// ended under the request writes, so that one that dies before it is done is not missed.
+    /// Without a record, daemons that start after the loss of all daemons know nothing, and the request would
+    /// crash three targets again, and as many more as run it meanwhile. Every sidecar whose own target
+    /// crashed under the request writes the record, so that the loss of one of them does not matter.
     fn store(&self, cause: Fingerprint) {
         if !self.board.quarantine.has_local_crash(cause) {
             return;
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -1,50 +1,49 @@
-//! What runs at the co-located target, and what ran when it ended.
+//! Requests at the co-located target, and which of them may have caused its crash.
 //!
-//! All work enters a target through its gate, so the gate alone knows what was under way when the target
-//! ended. [`Running`] gets time as an argument.
+//! All requests reach a target through its sidecar, so only the sidecar knows what was running when the
+//! target crashed. [`Running`] takes the current time as an argument.
 
 use std::time::{Duration, Instant};
 
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Service;
 
-/// Time for which a request counts that its entry or caller has given up: not every target stops the work
-/// when its connection closes, and what takes longer to end a target than this is told by later ends.
+/// Time for which a request that its ingress or caller gave up may still have caused a crash: not every
+/// target stops work when the connection closes. A request that takes longer to crash its target is found by
+/// later crashes.
 const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
-/// Time after a broken connection in which another life of the target proves that it had ended: a supervisor
-/// starts it again, and it announces itself.
+/// Time after a broken connection within which a new target process shows that the earlier one had crashed:
+/// its supervisor restarts it, and it announces itself.
 const RESTART_WINDOW: Duration = Duration::from_secs(5);
-/// Requests of unknown fate that are kept: as many as a target of many slots may have under way.
+/// Most unresolved requests that are kept: as many as a target with many slots may have in flight.
 const MAX_UNRESOLVED: usize = 256;
-/// Answered requests that are remembered of one life of the target, in 8 KB. At a hundred answers a second
-/// they span ten seconds, many times what a request takes.
+/// Answered requests remembered for one target process, 8 KB in all. At a hundred answers per second they
+/// cover ten seconds, many times what a request takes.
 const MAX_ANSWERED: usize = 1_024;
 
-/// One request at the target.
+/// A request at the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// What it is.
     pub fingerprint: Fingerprint,
-    /// Its route.
     pub route: String,
-    /// Service on whose host it began.
+    /// Service on whose host the request began.
     pub from: Service,
-    /// When it was sent to the target.
+    /// When the request was sent to the target.
     pub began: Instant,
 }
 
-/// Names a run until it is over.
+/// Identifies a run while it is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunId(u64);
 
-/// How a run was over.
+/// How a run finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// The target answered it.
+    /// The target answered the request.
     Answered,
-    /// The target failed or refused it, or never saw it.
+    /// The target failed or refused the request, or never received it.
     Resolved,
-    /// Its connection broke, or whoever waited for it has given up.
+    /// The connection broke, or whoever waited for the response gave up; the target may still process it.
     Unresolved,
 }
 
@@ -52,23 +51,23 @@
 #[derive(Debug, Default)]
 pub struct Running {
     next: u64,
-    /// Sorted by ticket.
+    /// Sorted by id.
     under_way: Vec<(u64, Run)>,
-    /// Runs of unknown fate, with the time at which they were over.
+    /// Unresolved runs, with the time at which they finished.
     unresolved: Vec<(Instant, Run)>,
-    /// Fingerprints that this life of the target has answered; the oldest is overwritten first.
+    /// Requests that the current target process has answered, as a ring buffer.
     answered: Vec<Fingerprint>,
     next_answered: usize,
-    /// Whether the target has said that it ends.
+    /// Whether the target announced that it is going to stop.
     draining: bool,
-    /// Runs that began up to then were at lives whose end is known.
+    /// Runs that began up to this time were at processes whose end is known.
     attributed_until: Option<Instant>,
-    /// Whether it is being found out if the target is still there.
+    /// Whether a check of the target is in progress.
     check_in_progress: bool,
 }
 
 impl Running {
-    /// Notes that a request is sent to the target.
+    /// Adds a request that is sent to the target.
     pub fn begin(&mut self, run: Run) -> RunId {
         let id = self.next;
         self.next += 1;
@@ -76,12 +75,12 @@
         RunId(id)
     }
 
-    /// The requests that are under way.
+    /// The requests that are in flight.
     pub fn under_way(&self) -> impl Iterator<Item = &Run> {
         self.under_way.iter().map(|(_, run)| run)
     }
 
-    /// Notes that a run is over.
+    /// Ends a run; does nothing if it ended before.
     pub fn finish(&mut self, now: Instant, id: RunId, completion: Completion) {
         let found = self.under_way.binary_search_by_key(&id.0, |(id, _)| *id);
         let Ok(index) = found else {
@@ -91,7 +90,7 @@
         match completion {
             Completion::Answered => self.remember_answered(run.fingerprint),
             Completion::Resolved => {}
-            // What is cut while the target leaves is not the cause.
+            // A target that stops as announced has not crashed.
             Completion::Unresolved if self.draining => {}
             Completion::Unresolved => {
                 self.drop_expired(now);
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Runs that were over with an unknown fate in the last `time`.
+    /// Number of runs that finished as unresolved in the last `time`.
     #[must_use]
     pub fn unresolved_within(&self, now: Instant, time: Duration) -> usize {
         let unresolved = self.unresolved.iter();
@@ -112,9 +111,9 @@
             .count()
     }
 
-    /// When the target ended that another life, `age` after its begin, has taken the place of.
+    /// When the earlier target process crashed, judged at the announcement of a new one that is `age` old.
     ///
-    /// Guards against targets that end together and whose ends pass for several moments: the next lives announce
+    /// Guards against simultaneous crashes that seem to lie apart, because the new processes announce
     /// themselves one after the other.
     #[must_use]
     pub fn crash_time(&self, now: Instant, age: Option<Duration>) -> Instant {
@@ -123,13 +122,13 @@
         broken.into_iter().chain(started_at).min().unwrap_or(now)
     }
 
-    /// Notes that the target has said that it ends: what was cut before did not end it.
+    /// Records that the target announced its stop; requests that were cut off before did not crash it.
     pub fn mark_draining(&mut self) {
         self.draining = true;
         self.unresolved.clear();
     }
 
-    /// Notes that the target takes requests; `another` when it is not the life that did so before.
+    /// Records that the target accepts requests; `restarted` if it is a new process.
     pub fn mark_ready(&mut self, restarted: bool) {
         self.draining = false;
         if restarted {
@@ -138,11 +137,11 @@
         }
     }
 
-    /// Notes that another life of the target has announced itself, `age` after it began where it tells that;
-    /// returns what may have ended the former one, unless its end is known.
+    /// Records the announcement of a new target process that is `age` old, where it tells its age. Returns
+    /// the runs that may have crashed the earlier process, unless its end is known.
     ///
-    /// Guards against a supervisor that starts a target again before its gate has looked: the end would pass for
-    /// a connection that was cut.
+    /// Guards against a target that is restarted before its sidecar has checked it: the check finds a
+    /// listener, and the crash would pass for a broken connection.
     pub fn restarted(&mut self, now: Instant, age: Option<Duration>) -> Vec<Run> {
         self.drop_expired(now);
         if self.draining {
@@ -159,18 +158,19 @@
         runs
     }
 
-    /// Whether to find out if the target is still there; no second time until [`Running::inspected`].
+    /// Returns whether to check the target; `false` until [`Running::finish_check`] if a check is in
+    /// progress.
     pub const fn begin_check(&mut self) -> bool {
         let begins = !self.check_in_progress;
         self.check_in_progress = true;
         begins
     }
 
-    /// Notes whether the target has ended without a word, and since when nobody listens; returns what may have
-    /// ended it.
+    /// Records the result of a check: since when connections are refused, if the target has crashed. Returns
+    /// the runs that may have crashed it.
     ///
-    /// What this life has answered before did not end it now: a request that many callers send is under
-    /// way whenever a target ends.
+    /// Requests that this process answered before are not among them: one that many callers send is in flight
+    /// at every crash.
     pub fn finish_check(&mut self, now: Instant, refused_since: Option<Instant>) -> Vec<Run> {
         self.check_in_progress = false;
         self.drop_expired(now);
@@ -194,17 +194,18 @@
         runs
     }
 
-    /// Those of some runs that may have ended this life: not answered by it, nor told at an earlier end.
+    /// The runs that may have crashed the current process: those that it has not answered before and that
+    /// began after the last known end of a process.
     fn implicated(&self, runs: impl Iterator<Item = Run>) -> Vec<Run> {
         runs.filter(|run| self.attributed_until.is_none_or(|until| run.began > until))
             .filter(|run| !self.answered.contains(&run.fingerprint))
             .collect()
     }
 
-    /// Notes that the end of the life is known at which runs were that began up to `until`.
+    /// Records that runs which began up to `until` were at a process whose end is known.
     ///
-    /// Guards against one end that is told twice, and against a look that comes back when the next life is there:
-    /// the end of that one would pass for known.
+    /// Guards against reporting a crash twice, and against a check that finishes after the restart and would
+    /// mark the runs of the new process as well.
     fn mark_attributed(&mut self, until: Option<Instant>) {
         self.attributed_until = self.attributed_until.max(until);
     }
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The evidence of one daemon, shared by its controllers and read on the path of a request.
+//! Quarantine state of one daemon: updated by its controllers, read on the request path.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,14 +13,14 @@
 use crate::quarantine::record::Record;
 use crate::units::Millis;
 
-/// Answered requests of one end each that are remembered: as many as run on fifty targets that are killed at
+/// Answered requests, one entry per crash, that are kept: as many as run on fifty targets that are killed at
 /// once.
 const MAX_ANSWERED: usize = 1_024;
 
-/// What is known of requests that end targets.
+/// The known crashes and the requests that they implicate.
 #[derive(Debug)]
 pub struct Quarantine {
-    /// Held for as long as it takes to judge, and never by a request that nothing is held against.
+    /// Held during an assessment; not taken for requests that no crash implicates.
     state: Mutex<State>,
     assessments: ArcSwap<Assessments>,
     changes: watch::Sender<u64>,
@@ -29,17 +29,17 @@
 #[derive(Debug)]
 struct State {
     evidence: CrashSet,
-    /// Ends of this daemon's own target; those that are forgotten go with the next one.
+    /// Crashes of this daemon's own target. Expired ones are removed when the next one is added.
     local_crashes: Vec<CrashId>,
-    /// Requests that were answered here after the one end at which they ran; the first one first.
+    /// Requests that were answered here after the only crash that implicates them, the oldest first.
     answered: VecDeque<(Fingerprint, CrashId)>,
-    /// Ends with something that has not been passed on yet.
+    /// Crashes with changes that have not been sent to peers.
     updates: Vec<CrashId>,
     hash: u64,
 }
 
 impl Quarantine {
-    /// Nothing is known yet; what comes is remembered for `memory`.
+    /// An empty quarantine that keeps each crash for `retention`.
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         let state = State {
@@ -56,19 +56,19 @@
         }
     }
 
-    /// What is held against a request.
+    /// Assessment of one request.
     #[must_use]
     pub fn assessment(&self, fingerprint: Fingerprint) -> Assessment {
         self.assessments.load().of(fingerprint)
     }
 
-    /// What is held against all requests.
+    /// Assessments of all implicated requests.
     #[must_use]
     pub fn assessments(&self) -> Arc<Assessments> {
         self.assessments.load_full()
     }
 
-    /// Takes in an end of this daemon's own target.
+    /// Adds a crash of this daemon's own target.
     pub fn record_local_crash(&self, crash: &Crash) {
         let mut state = self.state();
         let State {
@@ -82,7 +82,7 @@
         self.merge(std::slice::from_ref(crash));
     }
 
-    /// Whether this daemon's own target ended under a request.
+    /// Whether the request is implicated in a crash of this daemon's own target.
     #[must_use]
     pub fn has_local_crash(&self, cause: Fingerprint) -> bool {
         let state = self.state();
@@ -92,13 +92,13 @@
             .any(|(id, _)| state.local_crashes.contains(id))
     }
 
-    /// The ends that accuse a request, with the time since each.
+    /// Crashes that implicate a request, with their ages.
     #[must_use]
     pub fn crashes_of(&self, cause: Fingerprint) -> Vec<(CrashId, Millis)> {
         self.state().evidence.crashes_of(cause, Instant::now())
     }
 
-    /// Takes in what was told of ends.
+    /// Merges crash reports.
     pub fn merge(&self, crashes: &[Crash]) {
         let now = Instant::now();
         let mut state = self.state();
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Takes in notes as they are read at `now_ms`, in Unix milliseconds.
+    /// Merges stored records that were read at `now_ms`, a Unix time in milliseconds.
     pub fn restore(&self, records: &[(Fingerprint, Record)], now_ms: u64) {
         for (cause, record) in records {
             self.merge(&record.to_crashes(*cause, now_ms));
         }
     }
 
-    /// Notes that a target has answered a request, which is then not the cause of any end known so far.
+    /// Records that a target has answered a request, which therefore did not cause any crash known so far.
     ///
-    /// Guards against a request that was under way at the ends of three targets by chance, as one that
-    /// many callers send may be: it would be refused everywhere. While it ran at one end only, the answer is
-    /// kept here until it matters: told at once, the answers after many ends would flood a fleet.
+    /// Guards against quarantining a request that many callers send and that was running at three crashes by
+    /// chance. While only one crash implicates the request, the answer is kept locally until another does:
+    /// sending all answers after many crashes would flood the fleet.
     pub fn record_answer(&self, fingerprint: Fingerprint) {
         let assessment = self.assessment(fingerprint);
         if assessment.crashes == 0 {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Forgets ends that are too long ago.
+    /// Removes expired crashes.
     pub fn expire(&self) {
         let mut state = self.state();
         if state.evidence.expire(Instant::now()) {
@@ -153,19 +153,19 @@
         }
     }
 
-    /// The same for daemons that know the same; 0 for nothing.
+    /// Hash of the known crashes, equal for daemons that know the same; 0 for none.
     #[must_use]
     pub fn hash(&self) -> u64 {
         self.state().hash
     }
 
-    /// Everything that is known.
+    /// Reports of all known crashes, for sending.
     #[must_use]
     pub fn snapshot(&self) -> Vec<Crash> {
         self.state().evidence.snapshot(Instant::now(), None)
     }
 
-    /// What has not been passed on yet, which counts as passed on from now on.
+    /// Returns the changes that have not been sent to peers and marks them as sent.
     #[must_use]
     pub fn take_updates(&self) -> Vec<Crash> {
         let mut state = self.state();
@@ -173,13 +173,13 @@
         state.evidence.snapshot(Instant::now(), Some(&updates))
     }
 
-    /// Follows changes.
+    /// Subscribes to changes.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Takes in the answers that were kept here to requests that ran at another end since.
+    /// Applies answers that were kept locally to requests that another crash implicates by now.
     fn clear_answered(&self, state: &mut State) {
         let assessments = self.assessments();
         let is_relevant = |known: &(Fingerprint, CrashId)| assessments.of(known.0).must_isolate();
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Takes a request out of one end or all ends that are known.
+    /// Marks a request as not the cause of one crash or of all that are known.
     fn clear(&self, state: &mut State, fingerprint: Fingerprint, id: Option<CrashId>) {
         let cleared = state.evidence.clear(fingerprint, id);
         if !cleared.is_empty() {
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -292,7 +292,7 @@
                 .set(f64::from(decision.permille) / f64::from(FULL_PERMILLE));
         }
         if plan.step != decision.step || decision.complete {
-            info!(self.board.logger, "roll-out decided"; "service" => %order.service,
+            info!(self.board.logger, "rollout step decided"; "service" => %order.service,
                 "revision" => %order.revision, "step" => %decision.step, "from" => %plan.step,
                 "complete" => decision.complete, "cause" => %decision.cause,
                 "permille" => decision.permille, "targets" => decision.targets,
@@ -374,7 +374,7 @@
         if board.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
                 .increment(1);
-            warn!(board.logger, "roll-out ended"; "service" => %order.service,
+            warn!(board.logger, "rollout ended"; "service" => %order.service,
                 "revision" => %order.revision, "verdict" => %verdict, "wanted" => %status);
         }
         return Ok(());
