--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -33,6 +33,7 @@
 /// The unannounced end of a target process, as daemons report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
+    /// Identifies the crash.
     pub id: CrashId,
     /// Time since the crash, at the time of sending.
     pub age: Millis,
--- a/src/quarantine/crash_set.rs
+++ b/src/quarantine/crash_set.rs
@@ -163,6 +163,7 @@
         self.entries.len() < before
     }
 
+    /// Whether the crash is known.
     #[must_use]
     pub fn contains(&self, id: CrashId) -> bool {
         self.find(id).is_ok()
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -24,7 +24,9 @@
 /// A request at the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
+    /// Identifies the request across retries.
     pub fingerprint: Fingerprint,
+    /// Name of its route.
     pub route: String,
     /// Service on whose host the request began.
     pub from: Service,
