--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -1,8 +1,8 @@
-//! What all gates of a service have reported, and what it says of the new revision.
+//! Comparison of the new revision with the old one, from the reports of a service's sidecars.
 //!
-//! Each tick holds what was counted in it, so that both revisions are compared over the same seconds: a
-//! service beneath that fails, or a slow moment, shows with the old one as well. The last seconds are judged
-//! apart from the whole, so that a fault which comes late is not outweighed by what went well before.
+//! Counts are kept by tick, so that both revisions are compared over the same time: a failing downstream
+//! service or a slow period affects the old revision as well. The last ticks are also compared by themselves,
+//! so that a late fault is not outweighed by earlier good answers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,20 +12,21 @@
 use crate::rollout::significance::{Comparison, Conclusion, Sample, Test};
 use crate::units::Revision;
 
-/// Ticks that are remembered: a minute at four a second.
+/// Ticks that are kept: one minute at four ticks per second.
 const MAX_TICKS: usize = 240;
-/// Buckets above the old revision's median from which an answer counts as slow: about three times its time.
+/// Histogram buckets above the old revision's median from which an answer counts as slow: about three times
+/// the median.
 const SLOW_BUCKET_OFFSET: usize = 3;
-/// Answers of the old revision that a comparison asks for at least, where it has them.
+/// Least number of answers of the old revision for a comparison, if there are as many.
 const MIN_BASE_ANSWERS: u32 = 300;
-/// Answers of it that are looked at as well, so that luck with the last ones does not count.
+/// Answers of the old revision in a second, longer sample, which evens out chance in the recent one.
 const LONG_BASE_ANSWERS: u32 = 2_000;
-/// Last ticks that are looked at for a doubt beside all of them: those of a move.
+/// Last ticks in which a doubt is looked for, beside all ticks: those of a promotion.
 const RECENT_TICKS: usize = 8;
-/// Time after which a gate that has not reported counts as not heard.
+/// Age from which a sidecar's last report is ignored.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One gate with its last report.
+/// A sidecar with its last report.
 #[derive(Debug, Clone)]
 struct Sidecar {
     peer: SocketAddr,
@@ -33,23 +34,23 @@
     received_at: Instant,
 }
 
-/// What was counted between two ticks.
+/// Counts that were reported during one tick.
 #[derive(Debug, Clone, Default)]
 struct Tick {
     old: Vec<(RouteId, RouteCounters)>,
     new: Vec<(SocketAddr, RouteId, RouteCounters)>,
 }
 
-/// How a revision compares with the old one.
+/// Comparison of the new revision with the old one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finding {
-    /// Route of the answers; 0 for all of them together.
+    /// Route of the answers; 0 for several routes together.
     pub route: RouteId,
-    /// The old revision's answers there.
+    /// Answers of the old revision.
     pub old: Sample,
-    /// The new one's.
+    /// Answers of the new revision.
     pub new: Sample,
-    /// Ticks over which they were counted.
+    /// Ticks over which the answers were counted.
     pub ticks: usize,
 }
 
@@ -69,24 +70,24 @@
     }
 }
 
-/// Reports of the gates of one service during one roll-out.
+/// Reports of the sidecars of one service during one rollout.
 #[derive(Debug, Clone)]
 pub struct Analysis {
-    /// Revision that is rolled out.
+    /// The new revision.
     revision: Revision,
     /// Sorted by address.
     sidecars: Vec<Sidecar>,
     ticks: VecDeque<Tick>,
-    /// Requests that the new revision was sent, as far as reported.
+    /// Reported requests to the new revision.
     exposed: u64,
-    /// Requests that reported gates of the old one were sent.
+    /// Reported requests to the old revision.
     others: u64,
-    /// Answers of the new revision.
+    /// Reported answers and failures of the new revision.
     answers: u64,
 }
 
 impl Analysis {
-    /// Nothing reported yet on `revision`.
+    /// An analysis of `revision` without reports.
     #[must_use]
     pub const fn new(revision: Revision) -> Self {
         Self {
@@ -99,19 +100,19 @@
         }
     }
 
-    /// Takes in a gate's report.
+    /// Adds a sidecar's report.
     pub fn record(&mut self, now: Instant, peer: SocketAddr, report: Report) {
         let found = self
             .sidecars
             .binary_search_by_key(&peer, |sidecar| sidecar.peer);
         let known = found.ok().map(|index| self.sidecars[index].report.clone());
-        // Counts of another life, or of another target there, begin anew.
+        // A restarted count, or a target of another revision, starts from zero.
         let same = known.filter(|known| {
             known.counters.series_id == report.counters.series_id
                 && known.revision == report.revision
         });
         let before = same.map(|known| known.counters).unwrap_or_default();
-        // Datagrams may overtake each other.
+        // Datagrams may arrive out of order.
         if report.counters.requests < before.requests {
             return;
         }
@@ -163,25 +164,25 @@
         self.ticks.push_back(Tick::default());
     }
 
-    /// Requests that the new revision was sent, as far as reported.
+    /// Reported requests to the new revision.
     #[must_use]
     pub const fn exposed(&self) -> u64 {
         self.exposed
     }
 
-    /// Requests that reported gates of the old revision were sent.
+    /// Reported requests to the old revision, from the sidecars that report.
     #[must_use]
     pub const fn old_requests(&self) -> u64 {
         self.others
     }
 
-    /// Answers and failures of the new revision.
+    /// Reported answers and failures of the new revision.
     #[must_use]
     pub const fn answers(&self) -> u64 {
         self.answers
     }
 
-    /// Gates that have reported a moment ago, with what they said.
+    /// Sidecars whose last report is recent, with that report.
     pub fn recent_reports(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Report)> {
         let recent = self.sidecars.iter().filter(move |sidecar| {
             now.saturating_duration_since(sidecar.received_at) < REPORT_TIMEOUT
@@ -189,10 +190,10 @@
         recent.map(|sidecar| (sidecar.peer, &sidecar.report))
     }
 
-    /// What speaks against the new revision, which has so many targets, if anything does beyond chance.
+    /// The first significant finding against the new revision, which has `targets` targets.
     ///
-    /// Each route is judged by itself, and all of them together: a fault on one of them is not outweighed by the
-    /// others, and one that shows on all needs fewer answers of each.
+    /// Each route is tested by itself, so that a fault on one is not outweighed by the others, and all routes
+    /// together, since a fault on all of them then needs fewer answers on each.
     #[must_use]
     pub fn find_regression(&self, test: Test, targets: usize) -> Option<Finding> {
         let routes = self.routes();
@@ -201,9 +202,10 @@
         groups.find_map(|group| self.find_regression_on(group, test, targets))
     }
 
-    /// Whether more speaks against the new revision than for it, over all ticks or the last ones.
+    /// Whether the new revision is at least doubtful, over all ticks or the last ones.
     ///
-    /// All routes are taken together: of many that are looked at one by one, some lean against any revision.
+    /// Only all routes together are tested: among many single routes, chance raises a doubt on some with any
+    /// revision.
     #[must_use]
     pub fn is_doubtful(&self, test: Test, targets: usize) -> bool {
         let routes = self.routes();
@@ -215,7 +217,7 @@
         is_doubtful_over(all) || is_doubtful_over(all.min(RECENT_TICKS))
     }
 
-    /// Both revisions beside each other, by route, over all ticks.
+    /// Both revisions by route, over all ticks.
     #[must_use]
     pub fn compared(&self) -> Vec<Finding> {
         let all = self.ticks.len();
@@ -233,7 +235,7 @@
         routes
     }
 
-    /// Judges some routes together over the last tick, the last two, four and so on.
+    /// Tests routes together over the last tick, the last two, four and so on.
     fn find_regression_on(
         &self,
         routes: &[RouteId],
@@ -250,13 +252,13 @@
         })
     }
 
-    /// Answers of both revisions on some routes over the last ticks.
+    /// Answers of both revisions on each route over the last `span` ticks.
     fn compare_all(&self, routes: &[RouteId], span: usize) -> Vec<Comparison> {
         let routes = routes.iter();
         routes.map(|route| self.compare(*route, span)).collect()
     }
 
-    /// Answers of both revisions on one route over the last ticks.
+    /// Answers of both revisions on one route over the last `span` ticks.
     fn compare(&self, route: RouteId, span: usize) -> Comparison {
         let min_answers = self.count_new_answers(route, span).max(MIN_BASE_ANSWERS);
         let recent = self.old_counters(route, span, min_answers);
@@ -267,8 +269,8 @@
             bad: counts.bad(slow_bucket),
             total: counts.total(),
         };
-        // Guards against luck on either side: a service beneath that has just begun to fail shows in
-        // the last answers, a few that happened to be good ones don't show in many.
+        // The worse of a recent and a longer sample counts: a downstream fault that has just begun shows only
+        // in the recent one, and a few good answers by chance do not affect the longer one.
         let long_term = self.old_counters(route, span, LONG_BASE_ANSWERS);
         Comparison {
             old: sample(&recent).with_higher_bad_rate(sample(&long_term)),
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Answers of the new revision over the last ticks.
+    /// Number of answers of the new revision over the last `span` ticks.
     fn count_new_answers(&self, route: RouteId, span: usize) -> u32 {
         let ticks = self.ticks.iter().rev().take(span);
         let new = ticks.flat_map(|tick| &tick.new);
@@ -284,11 +286,11 @@
         here.map(|(_, _, counts)| counts.total()).sum()
     }
 
-    /// Counts of the old revision over the last ticks, and over earlier ones as far as it takes to have as
-    /// many answers as are `asked` for.
+    /// Counts of the old revision over the last `span` ticks, and over earlier ones until there are
+    /// `min_answers`.
     ///
-    /// Guards against many answers that are held against few: while the new revision gets all requests, the
-    /// last ones of the old stand for all that follow, and some good ones would be taken back for their luck.
+    /// Once the new revision receives all requests, the last answers of the old one are compared with all
+    /// that follow. If these were few and good by chance, a good revision would be rolled back.
     fn old_counters(&self, route: RouteId, span: usize, min_answers: u32) -> RouteCounters {
         let mut base = RouteCounters::default();
         for (age, tick) in self.ticks.iter().rev().enumerate() {
@@ -307,7 +309,7 @@
         sidecar.report.revision == self.revision
     }
 
-    /// Answers of each target of the new revision over the last ticks, sorted by its daemon.
+    /// Answers of each target of the new revision over the last `span` ticks, sorted by sidecar.
     fn new_samples(
         &self,
         route: RouteId,
@@ -325,8 +327,8 @@
                 add_sample(&mut samples, *peer, counted);
             }
         }
-        // Guards against a slow revision whose answers come when it has got all requests: what it works on
-        // for longer than an answer may take is as bad as one that took so long.
+        // Requests in flight for longer than the limit for a slow answer count as bad. The answers of a slow
+        // revision would otherwise arrive only after it has received all requests.
         for sidecar in self.sidecars.iter().filter(|sidecar| self.is_new(sidecar)) {
             let here = sidecar.report.in_flight_ages.iter();
             let here = here.filter(|(known, _)| *known == route);
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -1,8 +1,9 @@
-//! Carrying roll-outs out: counts to those who decide, plans to everybody, the verdict to the platform.
+//! Rollout controller: reports counts to the coordinators, sends plans to all daemons and writes the verdict
+//! to the platform.
 //!
-//! Who decides is advisory, as reading is: two daemons that decide at once merge their plans, and the platform
-//! takes one verdict. The one that comes first in rendezvous order for the service decides, the next one steps
-//! in when no plan comes from it.
+//! Coordination is advisory, as reading is: if two daemons coordinate at once, their plans merge, and the
+//! platform accepts one verdict. The first daemon in rendezvous order for the service coordinates; the next
+//! one takes over when no plan arrives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,25 +31,26 @@
 };
 use crate::units::Service;
 
-/// Time between two looks where all have a verdict.
+/// Tick interval while every rollout has a verdict.
 const IDLE_INTERVAL: Duration = Duration::from_secs(2);
-/// Daemons that get the counts of a service: the one that decides, and the next one.
+/// Daemons that receive a service's reports: the coordinator and its successor.
 const COORDINATORS: usize = 2;
-/// Time without a plan after which the next one decides: before plans lapse.
+/// Time without a renewed plan after which the successor takes over: before the plan expires.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Gates of new targets that report: twice as many as a plan names, since some may not be warm.
+/// Sidecars of the new revision that report: twice as many as a plan names, since some targets may not be
+/// warm.
 const MAX_NEW_REPORTERS: usize = 2 * MAX_CHOSEN;
-/// Gates that report in one tick that nothing runs at their old targets; where there are more, each does so
-/// less often.
+/// Sidecars of the old revision that report per tick that their targets are drained; if there are more, each
+/// reports less often.
 const DRAIN_REPORTS_PER_TICK: usize = 48;
-/// Time between two looks at what the platform says of a roll-out: it may have forgotten.
+/// Interval at which the platform's status of a rollout is checked: it may have been lost.
 const STATUS_CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// Time for which it is looked at after the end of an order.
+/// Time after the end of an order during which the status is still checked.
 const CHECK_TIME_AFTER_ORDER: Duration = Duration::from_mins(1);
-/// Pauses after calls to the platform that failed.
+/// Delays after failed calls to the platform.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
 
-/// Carries out what is ordered, as far as it is this daemon's part.
+/// Runs this daemon's part of all rollouts.
 pub struct Controller {
     board: Arc<Board>,
     membership: Arc<Membership>,
@@ -60,7 +62,7 @@
 }
 
 impl Controller {
-    /// A controller of what `board` knows.
+    /// A controller of the rollouts on `board`.
     #[must_use]
     pub fn new(
         board: &Arc<Board>,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Follows roll-outs for as long as the daemon runs.
+    /// Runs for as long as the daemon does.
     pub async fn run(mut self) {
         let mut changes = self.board.rollouts.changes();
         let mut next = Instant::now();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Tells those who decide how the co-located target answers.
+    /// Reports the counts of the co-located target to the coordinators.
     async fn send_report(&self) {
         let board = &self.board;
         let target = board.target();
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Requests that the target works on, by route and the time since it got them.
+    /// Requests in flight at the target, by route and age.
     fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
         let mut ages = Counters::default();
         let running = detector::lock_running(&self.board.running);
@@ -189,7 +191,7 @@
         u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
     }
 
-    /// Serving daemons in the order in which they decide on a service.
+    /// Serving daemons in the order in which they coordinate rollouts of a service.
     fn coordinators(&self, service: &Service) -> Vec<SocketAddr> {
         let roster = self.board.roster();
         let serving = roster
@@ -221,7 +223,7 @@
         trackers.binary_search_by(|tracker| tracker.order.service.cmp(service))
     }
 
-    /// Looks after one roll-out, where that is this daemon's part.
+    /// Coordinates a rollout if this daemon is one of its coordinators.
     fn coordinate(&mut self, known: &LocalProgress) {
         let order = known.progress().order.clone();
         let me = self.board.settings.identity();
@@ -246,7 +248,8 @@
         };
         let now = Instant::now();
         let since_renewal = now.saturating_duration_since(known.plan_renewed_at());
-        // Plans are renewed until there is a verdict; then one daemon looks after it.
+        // Until there is a verdict, the successor takes over when renewals stop; after it, only the first
+        // daemon checks the status.
         let is_open = known.progress().verdict.is_none();
         let is_active = rank == 0 || is_open && since_renewal >= TAKEOVER_TIMEOUT;
         let sidecars = self.sidecars(&self.trackers[index].order);
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Decides what comes next.
+    /// Decides on the next plan and writes a verdict.
     fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
         let era = self.board.era();
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Looks now and then whether the platform still says how a roll-out stands, and whether it knows better.
+    /// Synchronizes the status with the platform if it is due or has not been confirmed.
     fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
         let tracker = &self.trackers[index];
@@ -320,7 +323,7 @@
         }
     }
 
-    /// Tells the platform how a roll-out stands and takes what stands there, unless that is under way.
+    /// Synchronizes the status with the platform in the background, unless that is in progress.
     fn sync_status(&mut self, index: usize, status: Status) {
         let Some(origin) = self.origin.clone() else {
             return;
@@ -345,7 +348,7 @@
     }
 }
 
-/// Time until the next look at what is known.
+/// Time until the next tick.
 fn tick_interval(known: &[LocalProgress]) -> Duration {
     let open = known
         .iter()
@@ -362,7 +365,7 @@
     each.min().unwrap_or(IDLE_INTERVAL)
 }
 
-/// Tells the platform how a roll-out stands, and takes what stands there.
+/// Writes the status of a rollout to the platform and applies the stored verdict, if there is one.
 async fn sync_with_platform(
     board: &Board,
     origin: &dyn Origin,
@@ -382,8 +385,8 @@
     let Some(known) = board.rollouts.get(&order.service) else {
         return Ok(());
     };
-    // Guards against the loss of all daemons at once: those that start would give the order its whole time
-    // once more.
+    // The start time of the order is stored as well: after the loss of all daemons, those that start would
+    // otherwise grant the whole duration again.
     let age = known.age(Instant::now());
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
@@ -397,7 +400,7 @@
     Ok(())
 }
 
-/// What the operator is to be told after a decision, if there is a verdict in it.
+/// The final status that follows from a decision, if it ends the rollout.
 fn final_status(decision: &Decision) -> Option<Status> {
     if decision.step == Step::Back {
         return Some(Status::RolledBack);
@@ -405,7 +408,7 @@
     decision.complete.then_some(Status::Completed)
 }
 
-/// The first few of the daemons, sorted; none for all.
+/// The first `count` daemons, sorted.
 fn choose_targets(ranked: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut chosen: Vec<SocketAddr> = ranked.iter().take(count).copied().collect();
     chosen.sort_unstable();
--- a/src/rollout/counters.rs
+++ b/src/rollout/counters.rs
@@ -1,8 +1,8 @@
-//! How the target of one gate answers, counted route by route.
+//! Counts of a target's responses by route, as its sidecar reports them.
 //!
-//! The counts only grow in a life of the gate, so that a report which is lost is made good by the next one.
-//! Times are from the moment at which the target got the request, with a slot in hand: what a request waits
-//! in a line is not held against a revision.
+//! Counts only grow while they have the same series id, so the next report makes up for a lost one. Times are
+//! measured from the moment at which the target received the request, which excludes the time in the
+//! sidecar's queue.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 use crate::rollout::plan::Step;
 use crate::units::{Revision, Service};
 
-/// Buckets of a histogram of times, each wider than the one before by a factor of the square root of two:
-/// from 1 ms to 4 s and above.
+/// Buckets of a time histogram from 1 ms to 4 s and above, each wider than the previous one by the square
+/// root of two.
 pub const BUCKETS: usize = 24;
-/// Buckets in which times double.
+/// Buckets for each doubling of the time.
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
-/// Routes that are told apart. Further ones are counted together, so that a report fits into a datagram.
+/// Routes that are counted separately. Further ones are counted together, so that a report fits into a
+/// datagram.
 const MAX_ROUTES: usize = 10;
 
-/// Names a route in few bytes; 0 for those that are counted together.
+/// Short identifier of a route; 0 for routes that are counted together.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,7 +29,7 @@
 pub struct RouteId(pub u32);
 
 impl RouteId {
-    /// The short name of a route.
+    /// Identifier of the route with this name.
     #[must_use]
     #[expect(clippy::cast_possible_truncation, reason = "any 32 bits of a hash do")]
     pub fn of(route: &str) -> Self {
@@ -36,21 +37,21 @@
     }
 }
 
-/// How a run at the target is over.
+/// How a request at the target ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The target answered it after this time.
+    /// Answered by the target after this time.
     Answered(Duration),
-    /// The target failed it, broke off or was silent until its deadline.
+    /// Failed by the target, cut off, or not answered by the deadline.
     Failed,
 }
 
-/// Answers on one route.
+/// Counts for one route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteCounters {
-    /// Requests that the target failed.
+    /// Requests that failed.
     pub failed: u32,
-    /// Requests that it answered, by the time that they took.
+    /// Answered requests by time bucket.
     pub times: [u32; BUCKETS],
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Adds what others counted.
+    /// Adds the counts of another sidecar.
     pub fn merge(&mut self, other: &Self) {
         self.failed = self.failed.saturating_add(other.failed);
         for (own, others) in self.times.iter_mut().zip(other.times) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// What has come since `earlier` counts of the same life.
+    /// Difference to earlier counts of the same series.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let mut times = self.times;
@@ -112,7 +113,7 @@
         middle.filter(|_| answered > 0)
     }
 
-    /// Requests that failed, or took a time of this bucket or a later one.
+    /// Requests that failed, or whose time is in bucket `slow` or above.
     #[must_use]
     pub fn bad(&self, slow: usize) -> u32 {
         let slow = self.times.iter().skip(slow).sum::<u32>();
@@ -135,10 +136,10 @@
     index.min(BUCKETS - 1)
 }
 
-/// What one gate has counted since the order that it counts for.
+/// Counts of one sidecar since counting began.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Names this life of the counts.
+    /// Random identifier, drawn when counting begins.
     pub series_id: u64,
     /// Requests that were sent to the target.
     pub requests: u64,
@@ -147,7 +148,7 @@
 }
 
 impl Counters {
-    /// No counts yet.
+    /// Empty counters.
     #[must_use]
     pub const fn new(life: u64) -> Self {
         Self {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Counts the end of a request on a route.
+    /// Counts the outcome of a request on a route.
     pub fn add(&mut self, route: RouteId, outcome: Outcome) {
         let full = self.routes.len() >= MAX_ROUTES;
         let known = self.find(route).is_ok();
@@ -173,7 +174,7 @@
         self.routes[index].1.add(outcome);
     }
 
-    /// Counts on one route.
+    /// Counts for one route.
     #[must_use]
     pub fn of(&self, route: RouteId) -> RouteCounters {
         let found = self.find(route);
@@ -186,21 +187,21 @@
     }
 }
 
-/// What a gate tells those who decide on a roll-out.
+/// A sidecar's report to the coordinators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Service of its target.
     pub service: Service,
     /// Revision of its target.
     pub revision: Revision,
-    /// The step that it acts by.
+    /// Step of the plan that the sidecar follows.
     pub step: Step,
-    /// Requests at its target or in line for it.
+    /// Requests in flight at the target.
     pub in_flight: u32,
-    /// Whether the target is past the slow time after its start.
+    /// Whether the target's warm-up after its start is over.
     pub warm: bool,
-    /// Requests that the target works on, by the time since it got them.
+    /// Requests in flight at the target, by the time since they were sent.
     pub in_flight_ages: Vec<(RouteId, RouteCounters)>,
-    /// What it has counted.
+    /// The sidecar's counters.
     pub counters: Counters,
 }
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -1,21 +1,21 @@
-//! Which step of a roll-out comes next.
+//! Decisions on the next step of a rollout.
 //!
-//! [`decide`] is pure: it gets what was [observed](Observed) of the roll-out and says what comes next. Most of the
-//! time is spent at a small share, on a few targets that then carry as much each as an old one does, so that a
-//! fault that shows under load or late is found while few requests meet it. The rest of the time is for the move
-//! itself: a part of the requests, then all, until nothing runs at the old targets. What the move takes of what a
-//! bad revision may get is set aside for it, so that one whose fault shows only then stays within the bound.
-//! While more speaks against a revision than for it, the move waits for more answers as far as that bound allows,
-//! and goes back beyond it.
+//! [`decide`] is a pure function of what was [observed](Observed). Most of the order's time is spent in the
+//! canary step: a small share of the requests goes to a few targets, each of which then carries as much as a
+//! target of the old revision, so that faults that show under load or late are found while few requests are
+//! exposed. The rest of the time is for the promotion: a part of the requests, then all of them, until the
+//! old targets are drained. The exposure that the promotion needs is reserved for it, so that a revision
+//! whose fault shows only then stays within the limits. While the evidence is in doubt, the promotion waits
+//! for more answers as far as the limits allow, and is rolled back beyond them.
 //!
 //! ```
 //! use std::time::Duration;
 //! use jackdawpulley::rollout::decision::decide;
-//! use jackdawpulley::rollout::observed::{Limits, Observed};
+//! use jackdawpulley::rollout::observed::{ExposureLimits, Observed};
 //! use jackdawpulley::rollout::plan::Step;
 //!
-//! let limits = Limits { share: 0.1, slack: 50 };
-//! let seen = Observed {
+//! let limits = ExposureLimits { share: 0.1, slack: 50 };
+//! let observed = Observed {
 //!     duration: Duration::from_secs(12),
 //!     age: Duration::from_secs(2),
 //!     confirmed: true,
@@ -24,9 +24,9 @@
 //!     per_second: Some(100.0),
 //!     ..Observed::default()
 //! };
-//! let decision = decide(&limits, &seen);
+//! let decision = decide(&limits, &observed);
 //! assert_eq!(decision.step, Step::Canary);
-//! assert!(decision.permille < 100, "well inside what a bad revision may get");
+//! assert!(decision.permille < 100, "well within the exposure limits");
 //! ```
 
 use std::time::Duration;
@@ -40,68 +40,68 @@
     ALL_TIME, RAMP_TIME, REPORT_LAG, canary, is_within_exposure, promotion_time, ramp, to_f64,
 };
 
-/// Time in which gates have reported what they saw of a step.
+/// Time within which the sidecars have reported on a step.
 const REPORT_DELAY: Duration = Duration::from_millis(300);
-/// Time before the end of an order at which it completes although requests still run at old targets.
+/// Time before the end of an order at which the rollout completes even if old targets are not drained.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(400);
-/// Answers of the new revision that the move asks for, where the requests are frequent enough.
+/// Answers of the new revision that the promotion waits for; half of the expected ones if these are fewer.
 const ENOUGH_ANSWERS: f64 = 40.0;
-/// Part of the time for the move that is left when it begins with fewer answers.
+/// Remaining part of the promotion time at which it begins with fewer answers.
 const LATE_PROMOTION_PART: f64 = 0.65;
-/// Answers without which nothing is known of a revision.
+/// Fewest answers by which a revision is judged.
 const MIN_ANSWERS: u64 = 4;
 
-/// What comes next.
+/// A decision on the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
-    /// Step to be in.
+    /// Next step.
     pub step: Step,
-    /// Share of the new revision in it.
+    /// Share of the requests for the new revision, in permille.
     pub permille: u16,
-    /// Targets that get it; 0 for all.
+    /// Number of targets that receive them; 0 for all.
     pub targets: usize,
-    /// Whether the roll-out is completed.
+    /// Whether the rollout is complete.
     pub complete: bool,
-    /// Why.
+    /// Reason for the decision.
     pub cause: Cause,
 }
 
-/// Why a decision was made.
+/// Reason for a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Display, EnumString, VariantNames)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Cause {
-    /// No target of the revision is ready, or the service's requests are not counted yet.
+    /// No target of the new revision is warm, or the request rate is not known yet.
     NoTarget,
-    /// The share is being tried.
+    /// The current step has not lasted long enough.
     Trying,
-    /// It is time to move, and nothing speaks against it.
+    /// The canary step is over without a finding.
     TimeToMove,
-    /// Nothing spoke against the last step.
+    /// The ramp step is over without a finding.
     WentWell,
-    /// Old targets still have work.
+    /// Old targets still have requests in flight.
     StillRunning,
-    /// Nothing runs at the old targets.
+    /// All old targets are drained.
     Drained,
-    /// Time is up, and all requests go to the new revision.
+    /// The order is about to end, and the new revision receives all requests.
     LastCall,
-    /// Too few gates are heard to go on.
+    /// Too few sidecars report to advance.
     OutOfTouch,
     /// The platform has not confirmed the order.
     NotConfirmed,
-    /// The revision is worse than the old one.
+    /// The new revision is significantly worse than the old one.
     Worse,
-    /// More speaks against the revision than for it, and more answers may tell.
+    /// The new revision is doubtful, and more answers may decide.
     InDoubt,
-    /// More speaks against the revision than for it, and it may not get more requests, or there is no time.
+    /// The new revision is doubtful, and neither the exposure limits nor the time allow more requests.
     Doubtful,
-    /// Time is up, and too little is known or moved.
+    /// The order has ended, or too little was observed or done to complete in time.
     TimeIsUp,
-    /// It went back before.
+    /// The rollout was rolled back before.
     WentBack,
 }
 
-/// What comes next in a roll-out.
+/// Decides on the next step of a rollout.
 #[must_use]
 pub fn decide(limits: &ExposureLimits, observed: &Observed) -> Decision {
     let remaining = observed.duration.saturating_sub(observed.age);
@@ -128,8 +128,8 @@
         Step::Back => back(Cause::WentBack),
     };
     let advances = next.step > observed.step || next.complete;
-    // A daemon that was cut off, or does not know yet whether there is a verdict, does not go on. It may
-    // stay where the roll-out is, or go back.
+    // A daemon that is cut off, or does not know whether there is a verdict, must not advance the rollout. It
+    // may keep the step or roll back.
     if advances && next.step != Step::Back && !observed.confirmed {
         return stay(limits, observed, Cause::NotConfirmed);
     }
@@ -155,7 +155,7 @@
     }
 }
 
-/// The small share, and the time at which it has been tried for long enough.
+/// Keeps the canary step until it is time for the promotion.
 fn decide_canary(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
     if observed.warm == 0 || observed.per_second.is_none() && observed.step == Step::Waiting {
         return Decision {
@@ -180,8 +180,8 @@
     }
     let expected = expected_answers(permille, observed);
     let enough = ENOUGH_ANSWERS.min(expected / 2.0);
-    // Guards against a good revision that goes back for want of answers, since nobody decided for a while: the move
-    // looks at it as well.
+    // Guards against rolling back a good revision that has few answers because nobody coordinated for a
+    // while: the promotion compares the revisions as well.
     let is_late = remaining < promotion.mul_f64(LATE_PROMOTION_PART);
     if observed.answers >= MIN_ANSWERS && (is_late || to_f64(observed.answers) >= enough) {
         let (permille, targets) = ramp(observed);
@@ -193,7 +193,7 @@
             ..trying
         };
     }
-    // With half of the time for the move gone there is none left to complete in.
+    // With less than half of the promotion time left, the rollout can't complete in time.
     if remaining < promotion / 2 {
         return Decision {
             step: Step::Back,
@@ -206,7 +206,7 @@
     trying
 }
 
-/// Answers to expect from the small share by the time to move.
+/// Answers to expect from the canary step before the promotion starts.
 fn expected_answers(permille: u16, observed: &Observed) -> f64 {
     let time = observed
         .duration
@@ -245,8 +245,8 @@
 
 fn decide_all(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
     let is_final = remaining < COMPLETION_MARGIN;
-    // Guards against a move that began late, since the daemon that decided was lost: a good revision that has
-    // all requests would be taken back for the rest of the step's time.
+    // If the coordinator was lost, the promotion may begin late. Waiting for the whole step would roll back a
+    // good revision that already receives all requests.
     let least = if is_final { REPORT_DELAY } else { ALL_TIME };
     let hold = |cause| Decision {
         step: Step::All,
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,16 +1,17 @@
-//! Moving a service's traffic to another revision of its targets, and back when that one is bad.
+//! Rollouts: moving a service's traffic to a new revision of its targets, or back if the revision is bad.
 //!
-//! An operator's [`order`](order::Order) names a service, a revision and a time. One daemon, the first in
-//! rendezvous order for the service, [decides](decision): it gives out a [`plan`](plan::Plan) with the share of
-//! requests that the revision gets, and renews it. Gates count how their targets answer in a
-//! [`tally`](tally::Tally) and report it; the [`evidence`](evidence::Evidence) compares the two revisions,
-//! by route and on all routes together, by a [`test`](test::Test). The verdict is one conditional write to the platform, so the
-//! first one counts, whoever wrote it.
+//! An operator's [`order`](order::Order) names a service, a revision and a duration. One daemon, the first in
+//! rendezvous order for the service, coordinates the rollout: it [decides](decision) on a
+//! [`plan`](plan::Plan) with the revision's share of requests, sends it to all daemons and renews it.
+//! Sidecars count the responses of their targets in [`counters`](counters::Counters) and report them; an
+//! [`analysis`](analysis::Analysis) compares the new revision with the old one, by route and over all routes,
+//! in a statistical [`test`](significance::Test). The verdict is a conditional write to the platform, so the
+//! first one counts, whichever daemon wrote it.
 //!
-//! No daemon goes on without a plan that is renewed: a gate of the new revision takes requests only while
-//! its plan is fresh, so that a daemon which hears nobody goes back by itself. What a daemon knows of a
-//! roll-out is its [`progress`](progress::Progress), merged alike everywhere; the path of a request reads
-//! [`rules`](rules::Rules) made from it.
+//! A plan expires unless it is renewed: sidecars of the new revision admit requests only under a current
+//! plan, so that a daemon which is cut off from the others falls back by itself. What a daemon knows of a
+//! rollout is its [`progress`](progress::Progress), a replicated state that merges alike on every daemon. The
+//! request path reads [`rules`](rules::Rules) derived from it.
 
 pub mod analysis;
 pub mod controller;
--- a/src/rollout/observed.rs
+++ b/src/rollout/observed.rs
@@ -1,48 +1,48 @@
-//! What is known of a roll-out at the moment of a decision.
+//! Input of a decision on a rollout.
 
 use std::time::Duration;
 
 use crate::rollout::plan::Step;
 
-/// What a bad revision may get.
+/// Limits on the requests that a bad revision may receive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureLimits {
-    /// Share of all requests of its service during the order.
+    /// Share of all requests of the service for the duration of the order.
     pub share: f64,
-    /// Requests beside that.
+    /// Number of requests in addition to that share.
     pub slack: u64,
 }
 
-/// What is known of a roll-out at the moment of a decision.
+/// State of a rollout at the time of a decision.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[expect(clippy::struct_excessive_bools, reason = "they are independent facts")]
 pub struct Observed {
-    /// Time that the order gives.
+    /// Duration that the order allows.
     pub duration: Duration,
-    /// Time since it was given.
+    /// Time since the order was given.
     pub age: Duration,
-    /// Step that is in force.
+    /// Current step.
     pub step: Step,
-    /// Time since that step began.
+    /// Time since the step began.
     pub in_step: Duration,
-    /// Whether the order stands on the platform without a verdict, by its own word.
+    /// Whether the platform has confirmed that the order has no verdict.
     pub confirmed: bool,
-    /// Targets of the new revision that are ready and warm.
+    /// Targets of the new revision whose warm-up is over.
     pub warm: usize,
     /// Targets of the new revision.
     pub targets: usize,
-    /// Whether most gates of the service have reported a moment ago.
+    /// Whether at least half of the old sidecars that should report have done so recently.
     pub in_touch: bool,
-    /// Requests of the service a second, once they have been counted for a while.
+    /// Request rate of the service, once it has been measured for a while.
     pub per_second: Option<f64>,
-    /// Requests that the new revision got.
+    /// Requests that the new revision has received.
     pub exposed: u64,
-    /// Requests that it answered or failed.
+    /// Requests that the new revision has answered or failed.
     pub answers: u64,
-    /// Whether it has proved to be worse.
+    /// Whether the new revision is significantly worse.
     pub bad: bool,
-    /// Whether more speaks against it than for it.
+    /// Whether the new revision is doubtful, or worse.
     pub doubtful: bool,
-    /// Whether nothing runs at the old targets any more.
+    /// Whether no requests are left at the old targets.
     pub drained: bool,
 }
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What an operator orders, and what became of it.
+//! Rollout orders and their outcome.
 
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
@@ -8,69 +8,69 @@
 use crate::membership::announce::MAX_REVISION;
 use crate::units::{Millis, Revision, Service};
 
-/// Longest time that an order may give, a day: a longer one is taken for a slip of the unit.
+/// Longest duration of an order, one day. A longer one is taken for a mistake in the unit.
 const MAX_DURATION: Millis = Millis(86_400_000);
 
-/// An order to move a service's traffic to a revision of its targets.
+/// An operator's order to move a service's traffic to a revision of its targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Service whose traffic moves.
+    /// Service whose traffic is moved.
     pub service: Service,
-    /// Revision that is to get it.
+    /// Revision that is to receive the traffic.
     pub revision: Revision,
-    /// Time in which that is to be done, or undone.
+    /// Time within which the rollout completes or is rolled back.
     pub duration: Millis,
 }
 
-/// An order as it was found on the platform.
+/// An order, or its withdrawal, as read from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Where it stands.
+    /// Position of the change on the platform.
     pub position: Position,
-    /// Service that it is about.
+    /// Service of the order.
     pub service: Service,
-    /// What is ordered; nothing when the order was taken away.
+    /// The order; `None` if it was withdrawn.
     pub order: Option<Order>,
 }
 
-/// What is wrong with an order.
+/// Reason for which an order is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum Fault {
-    /// It names no service that there can be.
+    /// The service name is invalid.
     #[snafu(display("the order names service {name:?}; use letters, digits, dots, dashes or _"))]
     Name {
-        /// The name as written.
+        /// The name in the order.
         name: String,
     },
-    /// It stands under another service's name.
+    /// The order is stored under another service.
     #[snafu(display("the order for {named} stands under {key}; write it under its own service"))]
     Misplaced {
-        /// Service under whose name it stands.
+        /// Service under which the order is stored.
         key: Service,
-        /// Service that it names.
+        /// Service that the order names.
         named: Service,
     },
-    /// It names no revision.
+    /// The revision is empty or too long.
     #[snafu(display("the order for {service} names no revision of 1 to 64 bytes; name one"))]
     NoRevision {
-        /// Service that it is about.
+        /// Service of the order.
         service: Service,
     },
-    /// Its time is none.
+    /// The duration is zero or too long.
     #[snafu(display("the order for {service} gives no time from 1 ms to a day; give one"))]
     NoTime {
-        /// Service that it is about.
+        /// Service of the order.
         service: Service,
     },
 }
 
 impl Order {
-    /// An order that stands under the name of `key`, if it can be carried out.
+    /// Checks an order that is stored under `key`.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Returns the first [`Fault`] found.
     pub fn check(self, key: &Service) -> Result<Self, Fault> {
         let service = &self.service;
         let name = service.as_str();
@@ -97,36 +97,36 @@
     }
 }
 
-/// How a roll-out ended. There is one verdict for an order, and it is final.
+/// Final verdict on a rollout. An order has one verdict at most.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, VariantNames,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Verdict {
-    /// The revision has all requests; targets of others may be stopped.
+    /// The revision receives all requests; targets of other revisions may be stopped.
     Completed,
-    /// The revision gets no request any more.
+    /// The revision receives no requests any more.
     RolledBack,
 }
 
-/// What the operator is told of a roll-out.
+/// Status of a rollout as the operator sees it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, VariantNames,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Status {
-    /// It is under way.
+    /// There is no verdict yet.
     Running,
-    /// As [`Verdict::Completed`].
+    /// See [`Verdict::Completed`].
     Completed,
-    /// As [`Verdict::RolledBack`].
+    /// See [`Verdict::RolledBack`].
     RolledBack,
 }
 
 impl Status {
-    /// The verdict that it tells, if any.
+    /// The verdict, if there is one.
     #[must_use]
     pub const fn verdict(self) -> Option<Verdict> {
         match self {
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,4 +1,4 @@
-//! What daemons go by while a revision is rolled out.
+//! The plan that daemons follow during a rollout.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use crate::units::Millis;
 
-/// Targets that a plan names at most, so that it fits into a datagram.
+/// Most targets that a plan names, so that it fits into a datagram.
 pub const MAX_CHOSEN: usize = 16;
 /// All requests, in permille.
 pub const FULL_PERMILLE: u16 = 1_000;
-/// Where a roll-out is.
+/// Step of a rollout.
 #[derive(
     Debug,
     Clone,
@@ -34,31 +34,31 @@
     /// No target of the revision is ready yet.
     #[default]
     Waiting,
-    /// A few targets get a small share.
+    /// A few targets receive a small share of the requests.
     Canary,
-    /// A few targets get as much each as they will with all requests.
+    /// A few targets each receive as many requests as they will when the revision has all of them.
     Ramp,
-    /// Everything; the old targets end what they have.
+    /// The revision receives all requests; the old targets finish theirs.
     All,
-    /// Nothing any more, for good.
+    /// The revision receives no requests any more; this step is final.
     Back,
 }
 
-/// What a daemon goes by.
+/// Plan for the traffic of a service during a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Rises with each renewal.
+    /// Incremented by each renewal.
     pub number: u64,
-    /// Step that it is in.
+    /// Step of the rollout.
     pub step: Step,
-    /// Share of the requests that the new revision gets, in permille.
+    /// Share of the requests for the new revision, in permille.
     pub permille: u16,
-    /// Daemons whose targets get it, sorted; all of the revision when there are none.
+    /// Daemons whose targets receive that share, sorted; if empty, all targets of the revision do.
     pub chosen: Vec<SocketAddr>,
 }
 
 impl Plan {
-    /// Whether it goes before `other`: going back is final, else the later one.
+    /// Whether this plan replaces `other`: a rollback is final; otherwise the higher number wins.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         let final_word = |plan: &Self| plan.step == Step::Back;
@@ -66,10 +66,10 @@
     }
 }
 
-/// Time after which a plan that is not renewed is no longer gone by.
+/// Time after which a plan that was not renewed expires.
 ///
-/// Guards against a bad revision that nobody watches: its gates close by themselves. Several renewals may be
-/// lost before a plan that holds looks like one that does not.
+/// Guards against a bad revision that nobody observes: its sidecars stop admitting requests. The time allows
+/// for several lost renewals.
 pub const PLAN_TTL: Duration = Duration::from_secs(2);
-/// Time between two renewals.
+/// Interval at which plans are renewed.
 pub const RENEWAL_INTERVAL: Millis = Millis(600);
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! What is known of a roll-out, merged alike on every daemon.
+//! State of a rollout, replicated on every daemon.
 
 use std::time::{Duration, Instant};
 
@@ -10,46 +10,45 @@
 use crate::rollout::plan::{Plan, Step};
 use crate::units::{Millis, Offset, Revision};
 
-/// Orders of one service that are remembered: several more than an operator gives within the time in which
-/// they matter.
+/// Past orders of one service that are kept: several more than an operator gives while they matter.
 const MAX_PAST_ORDERS: usize = 8;
-/// Revisions of one service that are remembered after they were rolled back.
+/// Rolled-back revisions of one service that are kept.
 const MAX_REFUSED_REVISIONS: usize = 32;
 
-/// An order that another one has replaced.
+/// An order that a later one replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastOrder {
-    /// What was ordered.
+    /// The replaced order.
     pub order: Order,
-    /// Where it stood.
+    /// Its offset on the platform.
     pub offset: Offset,
-    /// Whether its revision had got all requests.
+    /// Whether its revision had received all requests.
     pub completed: bool,
 }
 
-/// One roll-out as daemons tell each other of it.
+/// State of one rollout as daemons send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// What is ordered.
+    /// The current order.
     pub order: Order,
-    /// Where the order stands on the platform.
+    /// Position of the order on the platform.
     #[serde(rename = "at")]
     pub position: Position,
-    /// Time since it was given, when this was told.
+    /// Time since the order was given, at the time of sending.
     pub age: Millis,
-    /// What daemons go by.
+    /// The plan that daemons follow.
     pub plan: Plan,
-    /// Time since the plan was renewed, when this was told.
+    /// Time since the plan was renewed, at the time of sending.
     pub plan_age: Millis,
-    /// How it ended.
+    /// The verdict, if there is one.
     pub verdict: Option<Verdict>,
-    /// Revisions that were rolled back, sorted: they get no request, whatever is ordered.
+    /// Rolled-back revisions, sorted. They receive no requests, whatever is ordered.
     pub refused: Vec<Revision>,
-    /// Orders that were replaced, the last one last.
+    /// Replaced orders, the latest last.
     pub past: Vec<PastOrder>,
 }
 
-/// Progress as one daemon holds it.
+/// State of a rollout as one daemon holds it, with local times in place of ages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalProgress {
     progress: Progress,
@@ -60,7 +59,7 @@
 }
 
 impl Progress {
-    /// An order that was just given.
+    /// State of an order that was just given.
     #[must_use]
     pub fn new(order: Order, at: Position) -> Self {
         Self {
@@ -75,14 +74,14 @@
         }
     }
 
-    /// Whether the order's revision was rolled back.
+    /// Whether the ordered revision was rolled back.
     #[must_use]
     pub fn is_refused(&self) -> bool {
         self.refused.binary_search(&self.order.revision).is_ok()
     }
 
-    /// Revisions beside the order's that get no request, sorted: those that were rolled back, and those
-    /// that were being tried when another order took their place.
+    /// Revisions other than the ordered one that receive no requests, sorted: those that were rolled back,
+    /// and those whose rollout was replaced by another order before it completed.
     #[must_use]
     pub fn excluded_revisions(&self) -> Vec<Revision> {
         let mut excluded = self.refused.clone();
@@ -90,7 +89,7 @@
             let revision = &past.order.revision;
             match excluded.binary_search(revision) {
                 Err(index) if !past.completed => excluded.insert(index, revision.clone()),
-                // It was tried once more, and got all requests.
+                // A later order for this revision completed.
                 Ok(index) if past.completed && !self.refused.contains(revision) => {
                     excluded.remove(index);
                 }
@@ -103,7 +102,7 @@
 }
 
 impl LocalProgress {
-    /// What was told at `now`.
+    /// A state that was received at `now`.
     #[must_use]
     pub fn new(now: Instant, progress: Progress) -> Self {
         let before = |age: Millis| now.checked_sub(age.duration()).unwrap_or(now);
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Its content; the ages in it are those at which it was learnt.
+    /// The state, with ages as of the time at which it was received.
     #[must_use]
     pub const fn progress(&self) -> &Progress {
         &self.progress
@@ -132,7 +131,7 @@
         now.saturating_duration_since(self.ordered_at)
     }
 
-    /// What others are told at `now`.
+    /// The state with ages at `now`, for sending.
     #[must_use]
     pub fn snapshot(&self, now: Instant) -> Progress {
         Progress {
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Takes in what another daemon told of the same service; whether any of it was news.
+    /// Merges the state of another daemon for the same service; returns whether anything changed.
     pub fn merge(&mut self, now: Instant, other: &Progress) -> bool {
         let other = Self::new(now, other.clone());
         let refused = self.refuse_all(&other.progress.refused);
@@ -156,7 +155,7 @@
         true
     }
 
-    /// Takes in what was found on the platform; whether it was news.
+    /// Applies a change read from the platform; returns whether anything changed.
     pub fn apply_change(&mut self, now: Instant, change: &Change) -> bool {
         if change.position <= self.progress.position {
             return false;
@@ -168,9 +167,9 @@
             self.progress.position = change.position;
             return true;
         }
-        // Guards against a platform that comes back from an older copy: an order that was replaced
-        // stands there again until the operator has written the newer one once more. What it names would
-        // be tried anew. In a copy it stands where it stood.
+        // A platform that is restored from a backup has a replaced order again until the operator repeats the
+        // newer one. Following it would start its rollout anew. In a backup the order has the same offset as
+        // before.
         let is_copy = self.progress.position.era < change.position.era
             && self
                 .progress
@@ -187,7 +186,7 @@
         true
     }
 
-    /// Goes by a plan that supersedes the one before; whether it does.
+    /// Adopts a plan if it supersedes the current one; returns whether it does.
     pub fn apply_plan(&mut self, renewed: Instant, plan: &Plan) -> bool {
         let later = plan.supersedes(&self.progress.plan);
         if later {
@@ -200,7 +199,7 @@
         later
     }
 
-    /// Notes the verdict; whether it was news.
+    /// Sets the verdict unless there is one; returns whether it was set.
     pub fn set_verdict(&mut self, verdict: Verdict) -> bool {
         if self.progress.verdict.is_some() {
             return false;
@@ -212,14 +211,14 @@
         true
     }
 
-    /// Notes that the order is older than it seemed; whether that was news.
+    /// Moves the time of the order back if `ordered_at` is earlier; returns whether it is.
     pub fn backdate(&mut self, ordered_at: Instant) -> bool {
         let earlier = ordered_at < self.ordered_at;
         self.ordered_at = self.ordered_at.min(ordered_at);
         earlier
     }
 
-    /// Adds what decides what a daemon does to a hash; ages and renewals don't.
+    /// Adds the state to a hash, except for ages and renewals, which don't affect what a daemon does.
     pub fn hash_into(&self, hasher: &mut Xxh3) {
         let progress = &self.progress;
         let (order, at) = (&progress.order, progress.position);
@@ -247,7 +246,7 @@
         is_moved || is_plan_new || is_verdict_new
     }
 
-    /// Another order takes the place of this one.
+    /// Replaces the order by a later one.
     fn replace(&mut self, mut next: Self) {
         let mut past = std::mem::take(&mut self.progress.past);
         past.push(PastOrder {
@@ -263,13 +262,14 @@
         let refused = std::mem::take(&mut self.progress.refused);
         *self = next;
         self.refuse_all(&refused);
-        // A revision that was rolled back is not tried again under its name: it would meet callers anew.
+        // A revision that was rolled back is not tried again under the same name: callers would meet its
+        // faults again.
         if self.progress.is_refused() {
             self.progress.plan.step = Step::Back;
         }
     }
 
-    /// The order was taken away: what it names gets no more requests, unless it has got all of them.
+    /// The order was withdrawn: its revision receives no more requests, unless there is a verdict.
     fn withdraw(&mut self, at: Position) -> bool {
         self.progress.position = at;
         if self.progress.verdict.is_none() {
@@ -289,7 +289,7 @@
         self.refuse_all(&[revision]);
     }
 
-    /// Adds revisions to those that get no request; whether any was news.
+    /// Adds rolled-back revisions; returns whether any was not known.
     fn refuse_all(&mut self, revisions: &[Revision]) -> bool {
         let refused = &mut self.progress.refused;
         let mut is_new = false;
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -1,7 +1,8 @@
-//! Which targets may take a request, for the path of a request.
+//! Routing rules during a rollout, for the request path.
 //!
-//! An entry asks [`Rule::draw`] which side a request goes to; a gate asks [`Rule::side`] whether its target may
-//! take it at all. Both go by the same rule, so a gate corrects an entry that has not heard of a change.
+//! An ingress asks [`Rule::choose_side`] to which revision a request goes; a sidecar asks [`Rule::side`]
+//! whether its target may receive it. Both use the same rule, so that a sidecar rejects requests from an
+//! ingress that has not received a change yet.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,37 +12,37 @@
 use crate::rollout::progress::LocalProgress;
 use crate::units::{Revision, Service};
 
-/// Upstreams that a request tries before it goes to a new target without being drawn for it.
+/// Upstreams that a request tries before it goes to the new revision without having been selected for it.
 const MAX_OLD_ATTEMPTS: usize = 1;
 
-/// Part that a target has in a roll-out.
+/// Role of a target in a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// It is of the revision that is rolled out.
+    /// It has the new revision.
     New,
-    /// It is of another one.
+    /// It has another revision.
     Old,
 }
 
-/// What holds for the targets of one service.
+/// Rule for the targets of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rule {
-    /// Service that it is about.
+    /// Service that the rule is for.
     pub service: Service,
-    /// Revision that is rolled out.
+    /// The new revision.
     pub revision: Revision,
-    /// Other revisions that get no request, sorted.
+    /// Other revisions that receive no requests, sorted.
     excluded: Vec<Revision>,
     verdict: Option<Verdict>,
     step: Step,
     permille: u16,
     chosen: Vec<SocketAddr>,
-    /// Until when the plan is gone by.
+    /// When the plan expires.
     plan_expires_at: Instant,
 }
 
 impl Rule {
-    /// What follows from what is known of a roll-out.
+    /// Rule that follows from the state of a rollout.
     #[must_use]
     pub fn of(known: &LocalProgress) -> Self {
         let progress = known.progress();
@@ -57,19 +58,19 @@
         }
     }
 
-    /// The step that is gone by at `now`; nothing once there is a verdict.
+    /// The step that applies at `now`; `None` once there is a verdict.
     #[must_use]
     pub fn step(&self, now: Instant) -> Option<Step> {
         if self.verdict.is_some() {
             return None;
         }
-        // Guards against a daemon that hears nobody: it does not know whether the revision was taken
-        // back meanwhile, and goes back by itself until it hears more.
+        // A daemon that is cut off does not know whether the revision was rolled back meanwhile, so it sends
+        // it no requests until it receives a current plan.
         let expired = now >= self.plan_expires_at && self.step != Step::Back;
         Some(if expired { Step::Waiting } else { self.step })
     }
 
-    /// The side of a target that may take requests at `now`; nothing for one that may not.
+    /// Side of a target that may receive requests at `now`; `None` if it may not.
     #[must_use]
     pub fn side(
         &self,
@@ -78,12 +79,13 @@
         now: Instant,
     ) -> Option<Side> {
         if self.verdict == Some(Verdict::Completed) {
-            // One that has not said what it is yet is not stopped: the operator stops what it knows.
+            // A target whose revision is not known yet stays in use: the operator stops the targets that are
+            // known to be old.
             let new = revision.is_none_or(|revision| *revision == self.revision);
             return new.then_some(Side::New);
         }
-        // A target that was found by its health alone may be of the revision that is tried. It says what it
-        // is with its next announcement.
+        // A target that was found by health checks alone may have the new revision; its next announcement
+        // tells.
         let revision = revision?;
         let step = self.step(now).unwrap_or(Step::Back);
         if *revision != self.revision {
@@ -95,11 +97,12 @@
         (takes_requests && chosen).then_some(Side::New)
     }
 
-    /// The side that a request goes to, by a number drawn from 0 to 1, after so many upstreams were `tried`.
-    /// One that is sent once more goes to the old side.
+    /// Chooses the side of a request by a `random` number from 0 to 1 and the number of upstreams `tried`
+    /// before. A first retry goes to the old side.
     ///
-    /// Guards against a request that is refused by one old gate after the other: all of them may have closed
-    /// by a plan that has not come here yet. After two it goes to a new one.
+    /// Guards against a request that is refused by one old sidecar after the other, since all of them may
+    /// already follow a plan that this ingress has not received. After two attempts the request goes to the
+    /// new side.
     #[must_use]
     pub fn choose_side(&self, random: f64, tried: usize, now: Instant) -> Side {
         match self.step(now) {
@@ -120,14 +123,14 @@
         }
     }
 
-    /// Whether gates count how their targets answer.
+    /// Whether sidecars count the responses of their targets.
     #[must_use]
     pub const fn is_undecided(&self) -> bool {
         self.verdict.is_none()
     }
 }
 
-/// The rules of all services that have a roll-out.
+/// Rules for all services that have a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Rules {
     /// Sorted by service.
@@ -135,7 +138,7 @@
 }
 
 impl Rules {
-    /// Rules that follow from what is known, which is sorted by service.
+    /// Rules that follow from the states of all rollouts, which are sorted by service.
     #[must_use]
     pub fn of(known: &[LocalProgress]) -> Self {
         Self {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The rule of a service, if there is one.
+    /// The rule for a service, if it has a rollout.
     #[must_use]
     pub fn get(&self, service: &Service) -> Option<&Rule> {
         let found = self.all.binary_search_by(|rule| rule.service.cmp(service));
--- a/src/rollout/share.rs
+++ b/src/rollout/share.rs
@@ -1,60 +1,61 @@
-//! Shares of the requests that the steps of a roll-out take, and the time of the move.
+//! Shares of requests in the steps of a rollout, and the time that is reserved for the promotion.
 //!
-//! What a bad revision may get is a share of all requests of the order and a number beside it. What the move takes
-//! is set aside first; the first step has the rest, or a part of the whole where that is less.
+//! The exposure limits allow a bad revision a share of all requests of the order, and a number in addition.
+//! The requests of the promotion are reserved first; the canary step uses the rest, or a part of the whole if
+//! that is less.
 
 use std::time::Duration;
 
 use crate::rollout::observed::{ExposureLimits, Observed};
 use crate::rollout::plan::{FULL_PERMILLE, MAX_CHOSEN, Step};
 
-/// Largest part of the requests that a bad revision may get which is spent on finding out at a small share.
+/// Largest part of the allowed exposure that the canary step uses.
 const CANARY_BUDGET_PART: f64 = 0.3;
-/// Largest share of the first step, in permille, however few the requests are: most callers stay with what
-/// is known to be good.
+/// Largest share of the canary step, however few the requests are: at least half of them stay with the old
+/// revision.
 const MAX_CANARY_PERMILLE: f64 = 500.0;
-/// Targets that get the first share at least, so that a bad revision is told from a bad target.
+/// Fewest targets in the canary step, so that a bad revision can be told from a bad target.
 const MIN_TARGETS: usize = 2;
-/// Share of the second step, in permille: the least one with which a few targets carry as much each as with all
-/// requests.
+/// Least share of the ramp step: a few targets then each receive as many requests as with all of them.
 const MIN_RAMP_PERMILLE: usize = 250;
-/// Largest share of it, where a service has few targets.
+/// Largest share of the ramp step, used for services with few targets.
 const MAX_RAMP_PERMILLE: usize = 500;
-/// Requests that the first step may take at least, so that something is known of each revision.
+/// Fewest requests that the canary step may use, so that every revision is tried at all.
 const MIN_CANARY_REQUESTS: f64 = 8.0;
-/// Part of an order's time that is kept for the move.
+/// Part of an order's duration that is reserved for the promotion.
 const PROMOTION_PART: f64 = 0.35;
-/// Time that is kept for the move at least: the ramp, requests under way at the old targets, the verdict.
+/// Shortest time reserved for the promotion: the ramp step, draining the old targets, and the verdict.
 const MIN_PROMOTION_TIME: Duration = Duration::from_millis(3_500);
-/// Time that it takes at most.
+/// Longest time reserved for the promotion.
 const MAX_PROMOTION_TIME: Duration = Duration::from_secs(10);
-/// Largest part of an order's time that is kept for the move, where that is short.
+/// Largest part of a short order's duration that is reserved for the promotion.
 const MAX_PROMOTION_PART: f64 = 0.6;
-/// Time of the ramp: several reports of each gate.
+/// Duration of the ramp step: several reports from each sidecar.
 pub(super) const RAMP_TIME: Duration = Duration::from_millis(500);
-/// Time at all requests before the verdict, for the same reason.
+/// Time with all requests before the verdict, also for several reports.
 pub(super) const ALL_TIME: Duration = Duration::from_millis(500);
-/// Time that a step lasts beyond that: a report, a decision, and the news of it.
+/// Delay before a step takes effect beyond its own time: a report, a decision and the propagation of the
+/// plan.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(250);
 
-/// Time that is kept for the move of all requests.
+/// Time reserved for the promotion.
 pub(super) fn promotion_time(duration: Duration) -> Duration {
     let part = duration.mul_f64(PROMOTION_PART);
     let part = part.clamp(MIN_PROMOTION_TIME, MAX_PROMOTION_TIME);
     part.min(duration.mul_f64(MAX_PROMOTION_PART))
 }
 
-/// Share in permille and targets of the first step.
+/// Share in permille and number of targets of the canary step.
 ///
-/// What a bad revision may get is a share of all requests and a number beside it. Where requests are few
-/// the number carries the share: it may be large, and there are answers to judge by all the same.
+/// With few requests, most of the exposure comes from the fixed number: the share may then be large, which
+/// still yields enough answers for a comparison.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "clamped to a share"
 )]
 pub(super) fn canary(limits: &ExposureLimits, observed: &Observed) -> (u16, usize) {
-    // A share of an unknown number may be any number.
+    // Without a known rate, any share may exceed the limits.
     let Some(per_second) = observed.per_second else {
         return (0, target_count(0, observed));
     };
@@ -67,7 +68,7 @@
         .duration
         .saturating_sub(promotion_time(observed.duration));
     let canary_requests = (per_second * time.as_secs_f64()).max(1.0);
-    // What has been spent already is not spent twice, whoever decided then.
+    // Exposure that was used before counts, also under another coordinator.
     let spent = to_f64(observed.exposed) >= part;
     let permille = if spent {
         0.0
@@ -78,7 +79,7 @@
     (permille, target_count(permille, observed))
 }
 
-/// Share in permille and targets of the second step.
+/// Share in permille and number of targets of the ramp step.
 pub(super) fn ramp(observed: &Observed) -> (u16, usize) {
     let all = observed.targets.max(observed.warm).max(1);
     let min_targets_permille = (MIN_TARGETS * usize::from(FULL_PERMILLE)).div_ceil(all);
@@ -87,7 +88,7 @@
     (permille, target_count(permille, observed))
 }
 
-/// Requests that the move takes until its verdict.
+/// Requests that the promotion uses until its verdict.
 fn promotion_requests(per_second: f64, observed: &Observed) -> f64 {
     let (permille, _) = ramp(observed);
     let part = f64::from(permille) / f64::from(FULL_PERMILLE);
@@ -96,8 +97,8 @@
     per_second * (ramp + all)
 }
 
-/// Targets that carry as much each, with this share, as they will with all requests; 0 when those are too
-/// many to be named.
+/// Number of targets that each carry, at this share, as many requests as with all of them; 0 if they are too
+/// many for a plan to name.
 fn target_count(permille: u16, observed: &Observed) -> usize {
     let all = observed.targets.max(observed.warm);
     let share = (all * usize::from(permille)).div_ceil(usize::from(FULL_PERMILLE));
@@ -111,7 +112,7 @@
     few.min(MAX_CHOSEN)
 }
 
-/// Whether a bad revision may get all requests for so long, beside what it got.
+/// Whether the new revision may receive all requests for `time` in addition to those that it has received.
 pub(super) fn is_within_exposure(
     limits: &ExposureLimits,
     observed: &Observed,
@@ -123,7 +124,7 @@
     })
 }
 
-/// Requests that a bad revision may get.
+/// Requests that a bad revision may receive.
 fn exposure_budget(limits: &ExposureLimits, per_second: f64, observed: &Observed) -> f64 {
     limits.share * per_second * observed.duration.as_secs_f64() + to_f64(limits.slack)
 }
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -1,4 +1,4 @@
-//! The roll-outs of one daemon, shared by its controllers and read on the path of a request.
+//! Rollout state of one daemon: updated by its controllers, read on the request path.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,19 +16,19 @@
 use crate::rollout::rules::Rules;
 use crate::units::Service;
 
-/// Services with a roll-out that are remembered; an order for a further one waits for the daemon's restart.
+/// Most services with a rollout. An order for a further one is ignored until the daemon restarts.
 const MAX_SERVICES: usize = 256;
-/// Reports that wait to be read, so that memory is bounded: those of a few hundred gates.
+/// Most unread reports, to bound memory: those of a few hundred sidecars.
 const MAX_REPORTS: usize = 1_024;
 
-/// What is known of roll-outs.
+/// The known rollouts.
 #[derive(Debug)]
 pub struct Rollouts {
-    /// Held for as long as it takes to merge, and never by a request.
+    /// Held while a change is merged; never taken by a request.
     state: Mutex<State>,
     rules: ArcSwap<Rules>,
     changes: watch::Sender<u64>,
-    /// Whether the co-located target's service has a roll-out that is not decided.
+    /// Whether the service of the co-located target has a rollout without a verdict.
     counting: AtomicBool,
     /// Held for a few instructions.
     counters: Mutex<Counters>,
@@ -39,7 +39,7 @@
 struct State {
     /// Sorted by service.
     known: Vec<LocalProgress>,
-    /// Services with something that has not been passed on yet.
+    /// Services with changes that have not been sent to peers.
     updates: Vec<Service>,
     hash: u64,
 }
@@ -58,19 +58,19 @@
 }
 
 impl Rollouts {
-    /// The rules in force.
+    /// The current rules.
     #[must_use]
     pub fn rules(&self) -> Arc<Rules> {
         self.rules.load_full()
     }
 
-    /// What is known of each service.
+    /// States of all known rollouts.
     #[must_use]
     pub fn list(&self) -> Vec<LocalProgress> {
         self.state().known.clone()
     }
 
-    /// What is known of one service.
+    /// State of one service's rollout.
     #[must_use]
     pub fn get(&self, service: &Service) -> Option<LocalProgress> {
         let state = self.state();
@@ -78,7 +78,7 @@
         Some(state.known[index].clone())
     }
 
-    /// Takes in what was found on the platform; whether it was news.
+    /// Applies a change read from the platform; returns whether anything changed.
     pub fn apply_change(&self, change: &Change) -> bool {
         let now = Instant::now();
         self.change(&change.service, |known| match (known, &change.order) {
@@ -87,12 +87,12 @@
                 let progress = Progress::new(order.clone(), change.position);
                 Some(Some(LocalProgress::new(now, progress)))
             }
-            // Nothing is known of it that could be taken away.
+            // No order is known that could be withdrawn.
             (None, None) => None,
         })
     }
 
-    /// Takes in what another daemon told.
+    /// Merges the states received from another daemon.
     pub fn merge(&self, received: &[Progress]) {
         let now = Instant::now();
         for progress in received {
@@ -103,29 +103,29 @@
         }
     }
 
-    /// Goes by a plan for an order; whether it supersedes the one before.
+    /// Adopts a plan for an order if it supersedes the current one; returns whether it does.
     pub fn apply_plan(&self, order: &Order, plan: &Plan) -> bool {
         let now = Instant::now();
         self.update_order(order, |known| known.apply_plan(now, plan))
     }
 
-    /// Notes the verdict on an order; whether it was news.
+    /// Sets the verdict on an order unless there is one; returns whether it was set.
     pub fn set_verdict(&self, order: &Order, verdict: Verdict) -> bool {
         self.update_order(order, |known| known.set_verdict(verdict))
     }
 
-    /// Notes when an order was given; whether that is earlier than it seemed.
+    /// Moves the time of an order back if `ordered_at` is earlier; returns whether it is.
     pub fn backdate(&self, order: &Order, ordered_at: Instant) -> bool {
         self.update_order(order, |known| known.backdate(ordered_at))
     }
 
-    /// The same for daemons that know the same; 0 for nothing.
+    /// Hash of all states, equal for daemons that know the same; 0 for none.
     #[must_use]
     pub fn hash(&self) -> u64 {
         self.state().hash
     }
 
-    /// Everything that is known.
+    /// All states, for sending.
     #[must_use]
     pub fn snapshot(&self) -> Vec<Progress> {
         let now = Instant::now();
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// What has not been passed on yet, which counts as passed on from now on.
+    /// Returns the changes that have not been sent to peers and marks them as sent.
     #[must_use]
     pub fn take_updates(&self) -> Vec<Progress> {
         let now = Instant::now();
@@ -148,13 +148,13 @@
         new.map(|known| known.snapshot(now)).collect()
     }
 
-    /// Follows changes.
+    /// Subscribes to changes.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Has what the co-located target answers counted from now on, or no more.
+    /// Starts or stops counting the responses of the co-located target. Starting resets the counters.
     pub fn set_counting(&self, counting: bool) {
         let before = self.counting.swap(counting, Ordering::AcqRel);
         if counting && !before {
@@ -162,43 +162,43 @@
         }
     }
 
-    /// Counts a request that is sent to the co-located target, where that is wanted.
+    /// Counts a request that is sent to the co-located target, if counting is on.
     pub fn count_request(&self) {
         if self.counting.load(Ordering::Acquire) {
             self.lock_counters().requests += 1;
         }
     }
 
-    /// Counts how the co-located target is done with a request, where that is wanted.
+    /// Counts the outcome of a request at the co-located target, if counting is on.
     pub fn count_answer(&self, route: &str, outcome: Outcome) {
         if self.counting.load(Ordering::Acquire) {
             self.lock_counters().add(RouteId::of(route), outcome);
         }
     }
 
-    /// What has been counted.
+    /// A copy of the counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.lock_counters().clone()
     }
 
-    /// Keeps a gate's report until it is read.
+    /// Keeps a sidecar's report until it is read, in place of an earlier one.
     pub fn add_report(&self, peer: SocketAddr, report: Report) {
         let mut reports = self.reports();
-        // Each counts everything that the ones before it did.
+        // Counts are cumulative, so a report includes all earlier ones.
         reports.retain(|(known, _)| *known != peer);
         if reports.len() < MAX_REPORTS {
             reports.push((peer, report));
         }
     }
 
-    /// The reports that have come since they were taken last.
+    /// Removes and returns the reports received since the last call.
     #[must_use]
     pub fn take_reports(&self) -> Vec<(SocketAddr, Report)> {
         std::mem::take(&mut *self.reports())
     }
 
-    /// Changes what is known of an order, if it is the current one.
+    /// Changes the state of an order if it is the current one of its service.
     fn update_order(&self, order: &Order, update: impl FnOnce(&mut LocalProgress) -> bool) -> bool {
         self.change(&order.service, |known| {
             let known = known.filter(|known| known.progress().order == *order)?;
@@ -206,8 +206,8 @@
         })
     }
 
-    /// Changes what is known of a service: something is returned when it is news, with what is known from
-    /// now on where nothing was.
+    /// Changes the state of a service. `change` returns `None` if nothing changed, and otherwise the new
+    /// state if the service had none.
     fn change(
         &self,
         service: &Service,
@@ -250,7 +250,7 @@
     known.binary_search_by(|known| known.progress().order.service.cmp(service))
 }
 
-/// The same for equal knowledge; 0 for none.
+/// Equal for equal states; 0 for none.
 fn hash(known: &[LocalProgress]) -> u64 {
     if known.is_empty() {
         return 0;
--- a/src/rollout/significance.rs
+++ b/src/rollout/significance.rs
@@ -1,61 +1,61 @@
-//! Telling a worse revision from chance.
+//! Statistical tests of whether the new revision is worse than the old one.
 //!
-//! Two tests are offered. The sequential one weighs each answer by how much likelier it is for a bad revision
-//! than for one like the old, and decides as soon as the weight is enough; the threshold waits for a number of
-//! answers and compares shares.
+//! There are two tests. The sequential one is a likelihood-ratio test: it adds up the log-likelihood ratio of
+//! each answer and decides as soon as the sum is large enough. The threshold test waits for a number of
+//! answers and compares the shares of bad ones.
 
 use std::net::SocketAddr;
 
 use strum::{Display, EnumString, VariantNames};
 
-/// Rises of the share of bad answers that make a revision a bad one. The small one finds what is bad now and
-/// then, where there are many answers; the large one finds what is often bad with few.
+/// Increases of the share of bad answers that make a revision bad. The small one detects rare faults with
+/// many answers, the large one frequent faults with few.
 const EFFECT_SIZES: [f64; 2] = [0.05, 0.15];
-/// Weight of evidence, as a natural logarithm of odds, that decides: one in 10,000 by chance.
+/// Natural logarithm of the odds that decides against a revision: one in 10,000 by chance.
 const DECISIVE_LOG_ODDS: f64 = 9.2;
-/// Weight of evidence with which a revision does not get on: one in 40 by chance.
+/// Natural logarithm of the odds at which a rollout does not advance: one in 40 by chance.
 const DOUBTFUL_LOG_ODDS: f64 = 3.7;
-/// Largest part of the weight that decides which one target of several can bring.
+/// Largest part of the decisive log odds that a single target of several can contribute.
 ///
-/// Guards against a target that is bad alone, as one on a broken host is: the revision would be taken back
-/// for it. A bad revision shows at other targets too; where those do well, they speak against it.
+/// Guards against rolling back a revision because of one bad target, for example on a broken host. A bad
+/// revision shows at other targets too; if those do well, their answers count in its favour.
 const MAX_TARGET_PART: f64 = 0.6;
-/// Answers that the old revision is credited with beside its own.
+/// Answers that are added to those of the old revision as a prior.
 const PRIOR_ANSWERS: f64 = 20.0;
-/// Bad ones among them.
+/// Bad answers among the added ones.
 ///
-/// Guards against a share that was measured on few answers: an old revision without a bad one among a hundred
-/// may have one in fifty, and the new one would be taken back for the same.
+/// Guards against a share that was measured on few answers: an old revision without a bad one in a hundred
+/// may have a share of one in fifty, and the new one would be rolled back for the same share.
 const PRIOR_BAD_ANSWERS: f64 = 1.0;
-/// Largest share of bad answers that is reckoned with.
+/// Upper bound of the assumed share of bad answers.
 const MAX_BAD_RATE: f64 = 0.98;
-/// Answers that the threshold waits for.
+/// Answers that the threshold test waits for.
 const THRESHOLD_MIN_ANSWERS: u32 = 50;
-/// Rise of the share at which the threshold decides.
+/// Increase of the share of bad answers at which the threshold test decides.
 const THRESHOLD_RISE: f64 = 0.05;
 
-/// How the two revisions are compared.
+/// Method of comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, EnumString, VariantNames)]
 #[strum(serialize_all = "snake_case")]
 pub enum Test {
-    /// Odds, answer by answer.
+    /// Sequential likelihood-ratio test.
     #[default]
     Sequential,
-    /// Shares, after a number of answers.
+    /// Comparison of shares after a fixed number of answers.
     Threshold,
 }
 
-/// Bad answers among all of one side.
+/// Number of bad answers among all answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sample {
     /// Failures and slow answers.
     pub bad: u32,
-    /// All answers and failures.
+    /// All answers, including failures.
     pub total: u32,
 }
 
 impl Sample {
-    /// The one with the larger share of bad answers.
+    /// The sample with the larger share of bad answers.
     #[must_use]
     pub fn with_higher_bad_rate(self, other: Self) -> Self {
         if other.expected_bad_rate() > self.expected_bad_rate() {
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Share of bad answers to expect, credited with a few for what luck has in it.
+    /// Share of bad answers to expect, with a prior for small samples.
     fn expected_bad_rate(self) -> f64 {
         let share =
             (f64::from(self.bad) + PRIOR_BAD_ANSWERS) / (f64::from(self.total) + PRIOR_ANSWERS);
         share.min(MAX_BAD_RATE)
     }
 
-    /// Both together.
+    /// Sum of two samples.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -82,17 +82,17 @@
     }
 }
 
-/// Answers of both revisions on one route, over the same time.
+/// Answers of both revisions on one route during the same time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Of the old one.
+    /// Answers of the old revision.
     pub old: Sample,
-    /// Of each target of the new one that gave any, sorted by its daemon.
+    /// Answers by target of the new revision, sorted by the address of its sidecar.
     pub new: Vec<(SocketAddr, Sample)>,
 }
 
 impl Comparison {
-    /// The answers of all targets of the new revision.
+    /// Answers of all targets of the new revision.
     #[must_use]
     pub fn total(&self) -> Sample {
         let new = self.new.iter().map(|(_, sample)| *sample);
@@ -100,21 +100,20 @@
     }
 }
 
-/// What a comparison says of the new revision.
+/// Result of a test.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Conclusion {
-    /// No worse than the old one, as far as it shows.
+    /// No significant difference.
     #[default]
     NotWorse,
-    /// More likely worse than not, and not beyond chance.
+    /// Doubtful, but not significantly worse.
     Doubtful,
-    /// Worse beyond chance.
+    /// Significantly worse than the old revision.
     Worse,
 }
 
 impl Test {
-    /// Whether the new revision is worse than the old one, by the answers on some routes together; `alone` where
-    /// it has only one target.
+    /// Tests the answers on some routes together; `single_target` if the new revision has only one target.
     #[must_use]
     pub fn compare(self, routes: &[Comparison], single_target: bool) -> Conclusion {
         match self {
@@ -137,7 +136,7 @@
     }
 }
 
-/// Logarithm of the odds that the new revision is worse, by the rise that explains the answers best.
+/// Log odds that the new revision is worse, for the increase that explains the answers best.
 fn log_odds(routes: &[Comparison], single_target: bool) -> f64 {
     let most = if single_target {
         f64::INFINITY
@@ -155,7 +154,7 @@
         .fold(f64::MIN, f64::max)
 }
 
-/// Whether the new revision's share of bad answers is larger by the threshold.
+/// Whether the share of bad answers has increased by the threshold.
 fn exceeds(routes: &[Comparison], single_target: bool) -> bool {
     let old = routes.iter().map(|route| route.old);
     let old = old.fold(Sample::default(), Sample::plus);
@@ -172,8 +171,8 @@
     rest.total >= THRESHOLD_MIN_ANSWERS && share(rest) - share(old) >= THRESHOLD_RISE
 }
 
-/// Weight of evidence of each target, over all of some routes. Each answer is weighed against the old ones of its
-/// own route: the revisions may differ in the routes that they get.
+/// Log-likelihood ratio of each target over all routes. Answers are compared with those of the old revision
+/// on the same route, since the revisions may receive different mixes of routes.
 fn weights(routes: &[Comparison], rise: f64) -> Vec<(SocketAddr, f64)> {
     let mut all: Vec<(SocketAddr, f64)> = Vec::new();
     for route in routes {
@@ -188,7 +187,7 @@
     all
 }
 
-/// Answers of each target of the new revision, over all of some routes.
+/// Answers of each target of the new revision over all routes.
 fn by_target(routes: &[Comparison]) -> Vec<Sample> {
     let mut all: Vec<(SocketAddr, Sample)> = Vec::new();
     for (peer, sample) in routes.iter().flat_map(|route| &route.new) {
@@ -200,8 +199,7 @@
     all.into_iter().map(|(_, sample)| sample).collect()
 }
 
-/// Logarithm of the odds that the new revision has bad answers more often by a rise, rather than as often
-/// as the old one.
+/// Log-likelihood ratio of a share of bad answers increased by `rise` to that of the old revision.
 fn weight(old: Sample, new: Sample, rise: f64) -> f64 {
     let expected_bad_rate = old.expected_bad_rate();
     let risen = (expected_bad_rate + rise).min(f64::midpoint(1.0, MAX_BAD_RATE));
--- a/src/rollout/stable.rs
+++ b/src/rollout/stable.rs
@@ -1,39 +1,39 @@
-//! The revision that gets a service's requests while nobody has ordered another one.
+//! The stable revision of each service: the one that receives its requests while no rollout is ordered.
 //!
-//! It is the one that a daemon saw first, and stays that one. A daemon that joins takes it from those that
-//! welcome it: it may see as many targets of a new revision as of the old one when their order has not
-//! reached it yet.
+//! It is the revision that a daemon saw first, and it does not change while targets of it are seen. A daemon
+//! that joins adopts it from its peers: before the order reaches it, it may see as many targets of a new
+//! revision as of the old one.
 //!
 //! ```
 //! use std::time::Instant;
-//! use jackdawpulley::rollout::usual::Usual;
+//! use jackdawpulley::rollout::stable::Revisions;
 //! use jackdawpulley::units::{Revision, Service};
 //!
 //! let (service, now) = (Service::from("shelf"), Instant::now());
 //! let (old, new) = (Revision::from("v1"), Revision::from("v2"));
-//! let mut usual = Usual::default();
-//! usual.note(now, &service, &[&old]);
-//! usual.note(now, &service, &[&new, &old, &new]);
-//! assert_eq!(usual.get(&service, now), Some(&old));
+//! let mut stable = Revisions::default();
+//! stable.observe(now, &service, &[&old]);
+//! stable.observe(now, &service, &[&new, &old, &new]);
+//! assert_eq!(stable.get(&service, now), Some(&old));
 //! ```
 
 use std::time::{Duration, Instant};
 
 use crate::units::{Revision, Service};
 
-/// Time for which a revision stays the usual one when no target of it is seen.
+/// Time without a target after which a revision is no longer stable.
 ///
-/// Guards against a daemon that loses sight of the others for a moment, as one that is short of processor time
-/// does: whatever it saw then would get its full share from there on. It is several times what a member
-/// takes to be suspected, dropped and met again.
+/// Guards against a daemon that loses sight of the others for a moment, for example for lack of processor
+/// time: it would send a revision without an order its full share from then on. The time is several times
+/// what it takes to suspect a member, drop it and discover it again.
 const ABSENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The usual revisions of all services.
+/// Stable revisions of all services.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Revisions {
     /// Sorted by service.
     all: Vec<StableRevision>,
-    /// Whether another daemon has told what it knows.
+    /// Whether the revisions of another daemon were adopted.
     received: bool,
 }
 
@@ -41,12 +41,12 @@
 struct StableRevision {
     service: Service,
     revision: Revision,
-    /// Since when no target of it is seen.
+    /// Since when no target of the revision is seen.
     absent_since: Option<Instant>,
 }
 
 impl Revisions {
-    /// Notes the revisions of a service's targets, as they are seen at `now`.
+    /// Records the revisions of a service's targets that are seen at `now`.
     pub fn observe(&mut self, now: Instant, service: &Service, seen: &[&Revision]) {
         let most = most_frequent(seen).cloned();
         match self.find(service) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Notes that nothing is seen of services other than those.
+    /// Records that no targets of other services than `seen` are seen.
     pub fn mark_absent(&mut self, now: Instant, seen: &[&Service]) {
         let absent = self
             .all
@@ -85,8 +85,8 @@
         });
     }
 
-    /// Takes over what another daemon told: the first one's word goes before what is known here, since a
-    /// joiner sees a few members before it is welcomed.
+    /// Adopts the revisions of another daemon. The first ones replace those known here, since a daemon that
+    /// joins sees only a few members before.
     pub fn adopt(&mut self, received: &[(Service, Revision)]) {
         let first = !std::mem::replace(&mut self.received, true);
         for (service, revision) in received {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The usual revision of a service, unless it has been gone for long.
+    /// The stable revision of a service, unless it has been absent for too long.
     #[must_use]
     pub fn get(&self, service: &Service, now: Instant) -> Option<&Revision> {
         let stable = &self.all[self.find(service).ok()?];
@@ -111,7 +111,7 @@
         (!stable.absent_since.is_some_and(is_over)).then_some(&stable.revision)
     }
 
-    /// What others are told.
+    /// All revisions, for sending.
     #[must_use]
     pub fn snapshot(&self) -> Vec<(Service, Revision)> {
         let all = self.all.iter();
@@ -125,7 +125,8 @@
     }
 }
 
-/// The revision of most targets; of two that are as frequent the first by name, for all daemons alike.
+/// The most frequent revision; among equally frequent ones the first by name, so that all daemons choose the
+/// same.
 fn most_frequent<'a>(seen: &[&'a Revision]) -> Option<&'a Revision> {
     let mut seen = seen.to_vec();
     seen.sort_unstable();
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of a roll-out on which it decides, or may have to.
+//! A coordinator's working state of a rollout.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -18,58 +18,58 @@
 use crate::rollout::significance::Test;
 use crate::units::{CallKey, Era, Revision, Service};
 
-/// Time between two looks at a roll-out that is under way.
+/// Interval between ticks during a rollout.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two of them while requests move: each look less is requests that a bad revision gets.
+/// Interval between ticks during the promotion: a later decision exposes more requests to a bad revision.
 pub const PROMOTION_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Gates of old targets that report, so that their number does not grow with the fleet.
+/// Most sidecars of the old revision that report, so that the number of reports does not grow with the fleet.
 pub const MAX_OLD_REPORTERS: usize = 16;
-/// Weight of the last tick in the rate of a service's requests.
+/// Weight of the last tick in the moving average of the request rate.
 const RATE_SMOOTHING: f64 = 0.3;
-/// Ticks with requests after which that rate is known.
+/// Ticks with requests after which the request rate is known.
 const MIN_RATE_TICKS: u32 = 4;
 
-/// What this daemon knows of a roll-out on which it decides, or may have to.
+/// Working state of a rollout on a coordinator or its successor.
 #[derive(Debug)]
 pub struct Tracker {
-    /// What is ordered.
+    /// The order.
     pub order: Order,
-    /// What gates have reported.
+    /// Reports of the sidecars.
     pub analysis: Analysis,
-    /// What is going on with the platform about it.
+    /// Synchronization of the status with the platform.
     pub sync: Arc<PlatformSync>,
-    /// When the platform was asked last, and in which era.
+    /// Time and era of the last synchronization.
     pub last_checked: Option<(Instant, Era)>,
     step: Step,
     step_since: Instant,
-    /// When requests were counted last: those of new targets and of old ones that had been reported.
+    /// When requests were counted last, and the counts of the new and the old revision then.
     last_counts: (Instant, (u64, u64)),
-    /// Requests a second, and the ticks that it is made from.
+    /// Requests per second, and the number of ticks in this average.
     rate: (f64, u32),
 }
 
-/// What is going on with the platform about one order.
+/// Synchronization of an order's status with the platform.
 #[derive(Debug, Default)]
 pub struct PlatformSync {
-    /// Whether it is being asked.
+    /// Whether a call to the platform is in progress.
     pub in_progress: AtomicBool,
-    /// Whether the platform has said that there is no verdict.
+    /// Whether the platform has confirmed that there is no verdict.
     pub confirmed: AtomicBool,
 }
 
-/// Gates of one service, as the view has them.
+/// Sidecars of one service in the membership view.
 #[derive(Debug)]
 pub struct Sidecars {
-    /// Of the revision that is rolled out, by rank.
+    /// Sidecars of the new revision, by rank.
     pub new: Vec<SocketAddr>,
-    /// Of others, by rank.
+    /// Sidecars of other revisions, by rank.
     pub old: Vec<SocketAddr>,
-    /// Of others, by rank, that are out of sight and have not left as planned.
+    /// Sidecars of other revisions that are unreachable and have not left as planned, by rank.
     pub unreachable: Vec<SocketAddr>,
 }
 
 impl Sidecars {
-    /// The gates of a service whose targets are of `revision`, and those of others.
+    /// The sidecars of a service, by whether their targets have `revision`.
     #[must_use]
     pub fn of(roster: &Roster, service: &Service, revision: &Revision) -> Self {
         let is_new = |member: &&Member| {
@@ -90,7 +90,7 @@
 }
 
 impl Tracker {
-    /// The duty to decide on an order of which so much is known.
+    /// The state at the start of coordination.
     #[must_use]
     pub fn new(order: Order, known: &LocalProgress) -> Self {
         let now = Instant::now();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes note of the step in force.
+    /// Records the current step.
     pub fn set_step(&mut self, now: Instant, step: Step) {
         if self.step != step {
             self.step = step;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// New targets that are past the slow time after their start, by rank.
+    /// Targets of the new revision whose warm-up is over, by rank.
     #[must_use]
     pub fn warm(&self, now: Instant, sidecars: &Sidecars) -> Vec<SocketAddr> {
         let warm = |peer: &&SocketAddr| {
@@ -124,7 +124,7 @@
         sidecars.new.iter().filter(warm).copied().collect()
     }
 
-    /// What is to be decided on.
+    /// Input of the next decision.
     #[must_use]
     pub fn observe(
         &self,
@@ -160,15 +160,16 @@
             doubtful: self
                 .analysis
                 .is_doubtful(Test::default(), sidecars.new.len()),
-            // Whoever is out of sight may be beyond a cut, with callers of its own.
+            // An unreachable sidecar may be on the other side of a network partition, with callers of its
+            // own.
             drained: sidecars.unreachable.is_empty() && sidecars.old.iter().all(is_drained),
         }
     }
 
-    /// Notes how many requests the service gets.
+    /// Updates the request rate of the service.
     ///
-    /// Guards against a rate that seems to fall since reports are lost: what the revision may get beside its
-    /// share would be a large part of it then. The rate stays while most of the gates are not heard.
+    /// The rate is kept while most sidecars do not report. Lost reports would make it seem to fall, and the
+    /// fixed number of requests that a bad revision may receive would then become a large share.
     pub fn update_request_rate(&mut self, sidecars: &Sidecars) {
         let now = Instant::now();
         let recent = self.analysis.recent_reports(now);
