--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -38,13 +38,17 @@
 #[non_exhaustive]
 pub enum Fault {
     /// The service name is invalid.
-    #[snafu(display("the order names service {name:?}; use letters, digits, dots, dashes or _"))]
-    Name {
+    #[snafu(display(
+        "invalid service name {name:?} in a rollout order; use letters, digits, dots, dashes or _"
+    ))]
+    InvalidService {
         /// The name in the order.
         name: String,
     },
     /// The order is stored under another service.
-    #[snafu(display("the order for {named} stands under {key}; write it under its own service"))]
+    #[snafu(display(
+        "rollout order for {named} is stored under {key}; store it under its own service"
+    ))]
     Misplaced {
         /// Service under which the order is stored.
         key: Service,
@@ -52,14 +56,14 @@
         named: Service,
     },
     /// The revision is empty or too long.
-    #[snafu(display("the order for {service} names no revision of 1 to 64 bytes; name one"))]
-    NoRevision {
+    #[snafu(display("rollout order for {service} needs a revision of 1 to 64 bytes"))]
+    InvalidRevision {
         /// Service of the order.
         service: Service,
     },
     /// The duration is zero or too long.
-    #[snafu(display("the order for {service} gives no time from 1 ms to a day; give one"))]
-    NoTime {
+    #[snafu(display("rollout order for {service} needs a duration from 1 ms to a day"))]
+    InvalidDuration {
         /// Service of the order.
         service: Service,
     },
@@ -74,7 +78,7 @@
     pub fn check(self, key: &Service) -> Result<Self, Fault> {
         let service = &self.service;
         let name = service.as_str();
-        ensure!(service.is_valid(), NameSnafu { name });
+        ensure!(service.is_valid(), InvalidServiceSnafu { name });
         let named = service.clone();
         ensure!(
             service == key,
@@ -87,12 +91,12 @@
         let service = service.clone();
         ensure!(
             (1..=MAX_REVISION).contains(&length),
-            NoRevisionSnafu {
+            InvalidRevisionSnafu {
                 service: service.clone()
             }
         );
-        let timed = self.duration > Millis(0) && self.duration <= MAX_DURATION;
-        ensure!(timed, NoTimeSnafu { service });
+        let is_valid_duration = self.duration > Millis(0) && self.duration <= MAX_DURATION;
+        ensure!(is_valid_duration, InvalidDurationSnafu { service });
         Ok(self)
     }
 }
--- a/tests/rollout_decisions.rs
+++ b/tests/rollout_decisions.rs
@@ -734,16 +734,22 @@
         duration: Millis(0),
         ..order("v2")
     };
-    assert!(matches!(untimed.check(&key), Err(Fault::NoTime { .. })));
+    assert!(matches!(
+        untimed.check(&key),
+        Err(Fault::InvalidDuration { .. })
+    ));
     assert!(matches!(
         order("").check(&key),
-        Err(Fault::NoRevision { .. })
+        Err(Fault::InvalidRevision { .. })
     ));
     let nameless = Order {
         service: Service::from("no name"),
         ..order("v2")
     };
-    assert!(matches!(nameless.check(&key), Err(Fault::Name { .. })));
+    assert!(matches!(
+        nameless.check(&key),
+        Err(Fault::InvalidService { .. })
+    ));
     assert!(order("v2").check(&key).is_ok());
 }
 
