--- a/tests/crash_attribution.rs
+++ b/tests/crash_attribution.rs
@@ -1,4 +1,4 @@
-//! Which requests end targets, by what all gates have seen.
+//! Tests for the attribution of crashes to requests.
 
 mod common;
 
@@ -22,7 +22,7 @@
     Crash::new(CrashId(id), running.collect())
 }
 
-/// What is known after ends at which these requests ran.
+/// A set of crashes with the requests that were running at each, one [`COINCIDENCE_WINDOW`] apart.
 fn evidence(ends: &[&[u64]]) -> CrashSet {
     let mut evidence = CrashSet::new(MEMORY);
     let now = Instant::now();
@@ -44,7 +44,8 @@
     assert_eq!(quarantined(&evidence(&[&[1], &[1], &[1]])), [1]);
 }
 
-/// A lookup is repeated beside the request that ends targets, and meets it on three of five.
+/// A lookup is retried along with the request that crashes targets, and is running at three of its five
+/// crashes.
 #[test]
 fn explained_ends_accuse_nobody_else() {
     let ends: [&[u64]; 5] = [&[1, 2], &[1, 2], &[1, 2], &[1], &[1]];
@@ -53,8 +54,8 @@
     assert_eq!(evidence.assess().of(Fingerprint(2)).crashes, 0);
 }
 
-/// Two requests have run at the same three ends. One of them is a bystander, and three ends don't tell
-/// which; neither is refused until the fourth does.
+/// Two requests were running at the same three crashes. One of them is unrelated, and three crashes don't
+/// tell which; neither is quarantined until the fourth does.
 #[test]
 fn alike_ones_are_told_by_one_more() {
     let mut ends: Vec<&[u64]> = vec![&[1, 2], &[1, 2], &[1, 2]];
@@ -64,15 +65,15 @@
     assert_eq!(quarantined(&evidence(&ends)), [1]);
 }
 
-/// Two requests end targets at the same time, each its own.
+/// Two requests crash targets at the same time, each its own.
 #[test]
 fn two_causes_are_told_apart() {
     let ends: [&[u64]; 6] = [&[1], &[1], &[1, 3], &[2], &[2, 3], &[2]];
     assert_eq!(quarantined(&evidence(&ends)), [1, 2]);
 }
 
-/// Five targets are killed at once, with the same long lookup under way on each. Its callers repeat it, and
-/// must not be refused: nothing connects it with those ends but the moment.
+/// Guards against quarantining a long lookup because five targets are killed at once while it runs on each.
+/// Apart from their time, nothing connects it with the crashes.
 #[test]
 fn killed_together_accuses_nobody() {
     let mut evidence = CrashSet::new(MEMORY);
@@ -82,7 +83,7 @@
         evidence.merge(then, &crash(id, &[7]));
     }
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
-    // Something else goes on ending targets, and is found all the same.
+    // A request that goes on crashing targets is still found.
     for id in 10..13_u32 {
         evidence.merge(
             now + COINCIDENCE_WINDOW * 10 * id,
@@ -93,8 +94,7 @@
     assert_eq!(quarantined(&evidence), [1]);
 }
 
-/// The same long lookup is under way on three targets that end. It is served by the next one, and held to be
-/// the cause no longer.
+/// The same long lookup is running at three crashes. The next target answers it, so it is not the cause.
 #[test]
 fn answered_one_is_cleared() {
     let mut evidence = evidence(&[&[7], &[7], &[7]]);
@@ -102,7 +102,7 @@
     let cleared = evidence.clear(Fingerprint(7), None);
     assert_eq!(cleared.len(), MIN_CRASHES);
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
-    // An older word of the same ends does not accuse it again.
+    // An older report of the same crash does not implicate it again.
     assert!(!evidence.merge(Instant::now(), &crash(0, &[7])));
     assert_eq!(quarantined(&evidence), [0_u64; 0]);
 }
@@ -125,8 +125,8 @@
     );
 }
 
-/// A host whose targets end by the thousand must not make its daemons forget what they refuse, nor take
-/// their memory.
+/// Guards against a host with thousands of crashes, which must not displace the crashes of a quarantined
+/// request nor exhaust memory.
 #[test]
 fn flood_is_bounded() {
     let mut evidence = evidence(&[&[1], &[1], &[1]]);
@@ -141,7 +141,7 @@
     assert_eq!(quarantined(&evidence), [1]);
 }
 
-/// All daemons have died. The note that one of them left is as good as what they knew.
+/// All daemons are lost. A record that one of them stored restores the same quarantine.
 #[test]
 fn note_restores_the_quarantine() {
     let known = evidence(&[&[1, 2], &[1, 3], &[1, 4]]);
@@ -165,7 +165,7 @@
     }
 }
 
-/// What one daemon hears of a few ends.
+/// What a daemon learns about crashes.
 #[derive(Debug, Clone)]
 enum Word {
     Crash(u64, Vec<u64>),
@@ -204,8 +204,8 @@
 proptest! {
     #![proptest_config(fixed(300))]
 
-    /// Daemons that have told each other everything hold the same against the same requests, whoever spoke
-    /// first and however often.
+    /// Daemons that have exchanged all reports assess the same requests alike, whatever the order and number
+    /// of messages.
     #[test]
     fn all_come_to_the_same(
         one in prop::collection::vec(word(), 0..12),
--- a/tests/crash_detection.rs
+++ b/tests/crash_detection.rs
@@ -1,4 +1,4 @@
-//! What ran at a target when it ended.
+//! Tests for finding the requests that were running when a target crashed.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Notes that the target ended at `now`; what may have ended it.
+/// Records that the target crashed at `now`; returns the runs that may have crashed it.
 fn end(running: &mut Running, now: Instant) -> Vec<Run> {
     assert!(running.begin_check());
     running.finish_check(now, Some(now))
@@ -35,7 +35,7 @@
     );
 }
 
-/// An answer is lost and its connection ends; the target goes on. It didn't end.
+/// A response is lost and its connection closes, but the target still listens: it has not crashed.
 #[test]
 fn target_that_listens_has_not_ended() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -47,8 +47,7 @@
     assert!(running.begin_check());
 }
 
-/// A target says that it ends, and ends with a request under way that took too long. The request is not
-/// the cause.
+/// A target announces its stop and stops while a slow request is running. The request is not the cause.
 #[test]
 fn planned_end_accuses_nobody() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -59,8 +58,8 @@
     assert_eq!(end(&mut running, now), [run("/slow", now)]);
 }
 
-/// Many callers send the same request, so it is under way whenever a target ends. This life of the target
-/// has answered it before: something else has ended it.
+/// A request that many callers send is running at every crash. The target process has answered it before, so
+/// something else crashed it.
 #[test]
 fn answered_before_is_not_accused() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -78,7 +77,7 @@
     );
 }
 
-/// A caller gives up on a request a moment before its target ends under it.
+/// A caller gives up on a request shortly before it crashes its target.
 #[test]
 fn given_up_counts_for_a_while() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -92,7 +91,7 @@
     assert!(end(&mut running, later + Duration::from_secs(2)).is_empty());
 }
 
-/// Guards against a target that is started again before its gate has looked whether it is there.
+/// Guards against missing a crash because the target is restarted before its sidecar has checked it.
 #[test]
 fn quick_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -113,7 +112,7 @@
     );
 }
 
-/// Guards against targets that end together and pass for ends at several moments.
+/// Guards against simultaneous crashes that seem to lie apart.
 #[test]
 fn successor_dates_the_end() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -124,14 +123,14 @@
     let announced = now + ms(700);
     assert_eq!(running.crash_time(announced, None), now + ms(10));
     assert_eq!(running.crash_time(announced, Some(ms(600))), now + ms(10));
-    // What was given up after the next life began does not date the end.
+    // A run that was given up after the new process started does not affect the time of the crash.
     let late = running.begin(run("/late", now));
     running.finish(now + ms(500), late, Completion::Unresolved);
     let end = running.crash_time(announced, Some(ms(600)));
     assert_eq!(end, now + ms(100));
 }
 
-/// Guards against one end that is told twice, when it is seen and when the next life announces itself.
+/// Guards against reporting a crash twice: when it is detected and when the new process announces itself.
 #[test]
 fn seen_end() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -141,7 +140,7 @@
     assert!(running.restarted(now, None).is_empty());
 }
 
-/// Guards against requests that are accused since their target was stopped and started as planned.
+/// Guards against implicating requests in a planned restart.
 #[test]
 fn planned_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -151,7 +150,7 @@
     assert!(running.restarted(now, None).is_empty());
 }
 
-/// Guards against a connection that was cut long before its target ended.
+/// Guards against attributing a crash to a connection that was cut long before.
 #[test]
 fn old_break() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -161,7 +160,7 @@
     assert!(running.restarted(later, None).is_empty());
 }
 
-/// Guards against the end of a life that passes for known, since the look after the one before it came back late.
+/// Guards against missing the crash of a process because the check after the previous crash finished late.
 #[test]
 fn late_look() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -183,7 +182,7 @@
     }
 }
 
-/// Guards against an end that is forgotten, since the next life announced itself before the look came back.
+/// Guards against missing a crash because the new process announced itself before the check finished.
 #[test]
 fn nameless_restart() {
     let (mut running, now) = (Running::default(), Instant::now());
@@ -201,7 +200,7 @@
     );
 }
 
-/// Guards against one end that is told twice, once with the runs whose connections break late.
+/// Guards against reporting a crash twice because some of its connections break late.
 #[test]
 fn late_break() {
     let (mut running, now) = (Running::default(), Instant::now());
--- a/tests/quarantine_state.rs
+++ b/tests/quarantine_state.rs
@@ -1,4 +1,4 @@
-//! What one daemon makes of ends and answers.
+//! Tests for the quarantine state of one daemon.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
     Quarantine::new(Duration::from_hours(1))
 }
 
-/// An end of a target under these requests, so many moments ago.
+/// A crash at which these requests were running, so many coincidence windows ago.
 fn end(id: u64, moments: u32, running: &[Fingerprint]) -> Crash {
     Crash {
         age: Millis::from(COINCIDENCE_WINDOW * moments),
@@ -27,9 +27,8 @@
     until.is_some_and(|until| Instant::now() < until)
 }
 
-/// Fifty targets are killed, with work under way on each. All of it is tried again and answered, and every
-/// answer was told to the whole fleet: 1,200 datagrams for each of 900 requests. What ran at one end is no
-/// news to anybody.
+/// Guards against flooding the fleet with answers: after fifty targets were killed, each of 900 requests that
+/// was retried and answered caused 1,200 datagrams. An answer after a single crash is not sent to peers.
 #[test]
 fn answers_of_bystanders_stay_here() {
     let quarantine = quarantine();
@@ -44,8 +43,8 @@
     assert_eq!(quarantine.hash(), hash);
 }
 
-/// A lookup is under way at one end, is answered, and is under way at two more. Its answer counts, though
-/// nobody was told of it at the time.
+/// A lookup is running at one crash, is answered, and is running at two more. Its answer counts although no
+/// peer was told at the time.
 #[test]
 fn answer_between_two_ends_counts() {
     let quarantine = quarantine();
@@ -73,7 +72,7 @@
     assert_eq!(quarantine.assessment(BYSTANDER).crashes, 0);
 }
 
-/// Guards against a request that leaves the quarantine by another spelling of its host.
+/// Guards against a request that evades the quarantine by another spelling of its host.
 #[test]
 fn spelling_is_no_escape() {
     let of = |host| Fingerprint::of("GET", host, "/x", Content::Whole(b""));
--- a/tests/rollout_decisions.rs
+++ b/tests/rollout_decisions.rs
@@ -1,4 +1,4 @@
-//! Deciding on a roll-out: steps, evidence, and what daemons make of each other's word.
+//! Tests for rollouts: decisions, analysis, replicated state and routing rules.
 
 mod common;
 
@@ -62,7 +62,7 @@
     SocketAddr::from(([127, 0, 0, host], 1))
 }
 
-/// A roll-out in a step, with everything in order.
+/// A rollout in the given step that may advance.
 fn observed(step: Step, age_ms: u64) -> Observed {
     Observed {
         duration: Duration::from_secs(12),
@@ -110,7 +110,8 @@
     );
 }
 
-/// Guards against a good revision that goes back, since another daemon decides shortly before the end.
+/// Guards against rolling back a good revision because another daemon takes over shortly before the end of
+/// the order.
 #[test]
 fn end_of_the_order_completes() {
     let late = Observed {
@@ -136,7 +137,7 @@
     );
 }
 
-/// Guards against a good revision that goes back for want of answers, since nobody decided for a while.
+/// Guards against rolling back a good revision for lack of answers because nobody coordinated for a while.
 #[test]
 fn few_answers_move_late() {
     let few = Observed {
@@ -160,10 +161,10 @@
     assert_eq!(decide(&LIMITS, &over).cause, Cause::TimeIsUp);
 }
 
-/// Guards against a revision that is completed although most of what is known speaks against it.
+/// Guards against completing a doubtful revision.
 #[test]
 fn doubt_waits() {
-    // 200 a second for 12 s: 290 are allowed.
+    // 200 requests per second for 12 s: the limits allow 290.
     let ramp = Observed {
         doubtful: true,
         exposed: 100,
@@ -186,7 +187,8 @@
     assert_eq!(decide(&LIMITS, &late).step, Step::All);
 }
 
-/// Guards against a revision in doubt that gets more than a bad one may, or goes back while it need not.
+/// Guards against exposing more requests to a doubtful revision than the limits allow, and against rolling it
+/// back earlier than necessary.
 #[test]
 fn doubt_ends() {
     let all = Observed {
@@ -214,8 +216,8 @@
     assert!(decide(&LIMITS, &cleared).complete);
 }
 
-/// A daemon that decides and hears few gates, or does not know whether there is a verdict, must not give the
-/// revision more: it would do so on its side of a cut, whatever the others have found.
+/// A coordinator that receives few reports, or does not know whether there is a verdict, must not advance the
+/// rollout: on its side of a network partition it would do so whatever the others have found.
 #[test]
 fn nobody_goes_on_alone() {
     for step in [Step::Waiting, Step::Canary, Step::Ramp, Step::All] {
@@ -244,8 +246,8 @@
     }
 }
 
-/// A service of five requests a second: a share of them is next to nothing, and the requests that are allowed
-/// beside it let the revision be tried all the same.
+/// With five requests per second, a share of them is next to nothing. The fixed number of allowed requests
+/// still lets the revision be tried.
 #[test]
 fn few_requests_are_enough() {
     let rare = Observed {
@@ -277,8 +279,8 @@
 proptest! {
     #![proptest_config(fixed(2_000))]
 
-    /// Whatever is observed: going back is final, a revision that proved worse gets nothing, and the first
-    /// step leaves room for the move.
+    /// For any input: a rollback is final, a worse revision receives nothing, and the canary step leaves
+    /// exposure for the promotion.
     #[test]
     fn decisions_are_bounded(
         step in 0..5_usize, age_ms in 0..15_000_u64, rate in 0.0..5_000.0_f64, exposed in 0..3_000_u64,
@@ -304,8 +306,8 @@
     }
 }
 
-/// A daemon is cut off while a revision is tried. It does not learn that it was taken back, and would send it
-/// its share for as long as it is alone.
+/// A daemon that is cut off during a rollout does not learn of a rollback. Without an expiry of plans it
+/// would go on sending requests to the revision.
 #[test]
 fn plan_lapses() {
     let mut known = known("v2");
@@ -332,8 +334,8 @@
     );
 }
 
-/// All old gates have closed by a plan that an entry has not heard of yet. Its requests went to one of them
-/// after the other and were refused by each.
+/// Guards against a request that every old sidecar refuses because an ingress has not received the plan yet
+/// under which they stopped admitting requests.
 #[test]
 fn third_try_is_a_new_one() {
     let mut known = known("v2");
@@ -352,8 +354,8 @@
     assert_eq!(rule.choose_side(0.9, 2, now + PLAN_TTL), Side::Old);
 }
 
-/// With all requests at the new revision the old targets end what they have. A gate that hears nobody any more
-/// takes requests again: the others may have gone back.
+/// When the new revision receives all requests, the old targets finish theirs. An old sidecar that is cut off
+/// admits requests again, since the others may have rolled back.
 #[test]
 fn old_ones_open_again() {
     let mut known = known("v2");
@@ -379,7 +381,7 @@
     );
 }
 
-/// A daemon that decided went back, and another one that had not heard of it renewed its own plan.
+/// A coordinator rolled back, and another one that had not received that renewed its own plan.
 #[test]
 fn going_back_is_final() {
     let mut known = known("v2");
@@ -400,8 +402,8 @@
     assert_eq!(known.progress().plan.step, Step::Back);
 }
 
-/// A revision was rolled back, and the operator orders it once more under its name: its callers would meet the
-/// same failures again.
+/// A revision that was rolled back is ordered again under the same name: callers would meet the same
+/// failures.
 #[test]
 fn refused_revision_stays_refused() {
     let mut known = known("v2");
@@ -417,7 +419,7 @@
     );
 }
 
-/// While one revision is tried another one is ordered: the first is neither old nor new, and gets nothing.
+/// During a rollout another revision is ordered: the first one is neither old nor new and receives nothing.
 #[test]
 fn replaced_revision_is_barred() {
     let mut known = known("v2");
@@ -429,10 +431,10 @@
         rule.side(Some(&Revision::from("v1")), peer(1), now),
         Some(Side::Old)
     );
-    // Ordered once more it is tried like any other.
+    // Ordered again, it is tried like any other.
     assert!(known.apply_change(now, &notice("v2", at(1, 7))));
     assert_eq!(known.progress().plan.step, Step::Waiting);
-    // What has got all requests is an old revision for the next order.
+    // A completed revision is an old one for the next order.
     known.set_verdict(Verdict::Completed);
     assert!(known.apply_change(now, &notice("v4", at(1, 8))));
     let rule = Rule::of(&known);
@@ -459,8 +461,8 @@
     assert_eq!(completed.progress().verdict, Some(Verdict::Completed));
 }
 
-/// The store comes back from a copy in which the order before the last one is the newest. Read there, it would
-/// take the place of the last one, and start anew what was replaced.
+/// The platform is restored from a backup in which a replaced order is the newest. Applying it would replace
+/// the current order and start a rollout anew.
 #[test]
 fn older_copy_brings_no_order_back() {
     let mut known = known("v2");
@@ -472,11 +474,11 @@
         "it stands where it stood"
     );
     assert_eq!(known.progress().order.revision, Revision::from("v3"));
-    // The operator writes the newer one again, at an offset that was given out before.
+    // The operator repeats the newer order, at an offset that was used before.
     assert!(known.apply_change(now, &notice("v3", at(2, 6))));
     assert_eq!(known.progress().position, at(2, 6));
     assert_eq!(known.progress().plan.step, Step::Waiting);
-    // Written anew, the older one is an order like any other.
+    // Written again, the older order counts like any other.
     assert!(known.apply_change(now, &notice("v2", at(2, 7))));
     assert_eq!(known.progress().order.revision, Revision::from("v2"));
 }
@@ -491,7 +493,7 @@
             Step::All,
             Step::Back,
         ][step],
-        // One that decides gives one plan a number.
+        // A coordinator uses a plan number once.
         permille: u16::try_from(number * 7 + step as u64).expect("small"),
         chosen: Vec::new(),
     });
@@ -510,10 +512,10 @@
 proptest! {
     #![proptest_config(fixed(500))]
 
-    /// Daemons that have heard the same in any order, and some of it twice, go by the same plan.
+    /// Daemons that receive the same states in any order, some of them twice, follow the same plan.
     #[test]
     fn words_merge_in_any_order(words in proptest::collection::vec(told(), 1..8)) {
-        // Two plans of one number are one decider's, so they are the same plan.
+        // Plans with the same number come from one coordinator and are equal.
         let mut words = words;
         words.sort_by_key(|word| word.plan.number);
         words.dedup_by_key(|word| word.plan.number);
@@ -532,7 +534,7 @@
     }
 }
 
-/// Counts what targets answer in rounds of four a second.
+/// Records the answers of targets in rounds, four per second.
 struct Rounds {
     evidence: Analysis,
     tallies: Vec<(u8, Counters)>,
@@ -548,7 +550,7 @@
         }
     }
 
-    /// One round in which each host's target answers so on a route; hosts from 100 on have the new revision.
+    /// One round of answers on a route, by host; hosts from 100 on have the new revision.
     fn play(&mut self, route: &str, answers: &[(u8, usize, Outcome)]) {
         for (host, count, outcome) in answers {
             let index = self.tallies.iter().position(|(known, _)| known == host);
@@ -582,7 +584,7 @@
     }
 }
 
-/// Targets of the new revision in these rounds.
+/// Number of targets of the new revision.
 const TARGETS: usize = 3;
 
 const FINE: Outcome = Outcome::Answered(USUAL);
@@ -610,7 +612,7 @@
     assert!(rounds.is_bad());
 }
 
-/// One target of the new revision stands on a broken host and fails everything; the others do well.
+/// One target of the new revision is on a broken host and fails all requests; the others do well.
 #[test]
 fn bad_target_is_not_the_revision() {
     let mut rounds = Rounds::new();
@@ -624,7 +626,7 @@
     assert!(!rounds.is_bad());
 }
 
-/// A service beneath fails for both revisions alike.
+/// A downstream service fails for both revisions alike.
 #[test]
 fn fault_beneath_is_not_the_revision() {
     let mut rounds = Rounds::new();
@@ -636,7 +638,8 @@
     assert!(!rounds.is_bad());
 }
 
-/// The revision does well for seven seconds, and then it fails: what went well before must not outweigh it.
+/// The revision does well for seven seconds and then fails: the earlier answers must not outweigh the
+/// failures.
 #[test]
 fn late_fault_tells() {
     let mut rounds = Rounds::new();
@@ -662,7 +665,7 @@
     assert_eq!(finding.map(|finding| finding.route), Some(RouteId::of("b")));
 }
 
-/// Guards against a fault that no route has enough answers to show.
+/// Guards against missing a fault that no single route has enough answers to show.
 #[test]
 fn routes_together() {
     let slow = Outcome::Answered(USUAL * 4);
@@ -676,7 +679,7 @@
     assert!(rounds.is_bad());
 }
 
-/// Guards against a doubt that a few answers raise, and against one that passes for a proof.
+/// Guards against a doubt on too few answers, and against taking a doubt for a significant finding.
 #[test]
 fn doubt_before_proof() {
     let mut rounds = Rounds::new();
@@ -689,7 +692,8 @@
     assert!(!rounds.is_bad());
 }
 
-/// Guards against a good revision that gets more of a route on which some requests always fail.
+/// Guards against rolling back a good revision because it receives more of a route on which some requests
+/// always fail.
 #[test]
 fn other_mix() {
     let mut rounds = Rounds::new();
@@ -702,7 +706,7 @@
     assert!(!rounds.is_bad());
 }
 
-/// A gate starts again and counts from nothing: what it has told before stays counted once.
+/// A sidecar restarts and counts from zero: its earlier counts are added once.
 #[test]
 fn restarted_gate_counts_on() {
     let mut rounds = Rounds::new();
@@ -710,7 +714,7 @@
     rounds.tallies[0].1 = Counters::new(77);
     rounds.play("a", &[(100, 4, FINE)]);
     assert_eq!(rounds.evidence.exposed(), 14);
-    // A datagram that comes again, or late, adds nothing.
+    // A duplicate or late datagram adds nothing.
     let report = Report {
         service: Service::from("shelf"),
         revision: Revision::from("v2"),
@@ -753,8 +757,8 @@
     assert!(order("v2").check(&key).is_ok());
 }
 
-/// A daemon loses sight of all targets of the old revision for a moment, while targets of a new one are there
-/// whose order has not been given yet. It took those for the usual ones, and sent them everything from then on.
+/// Guards against a daemon that loses sight of all targets of the old revision for a moment and takes a new
+/// revision without an order for the stable one: it then sent it all requests.
 #[test]
 fn lost_sight_changes_nothing() {
     let (service, now) = (Service::from("shelf"), Instant::now());
@@ -767,7 +771,7 @@
     usual.mark_absent(later, &[]);
     usual.observe(later, &service, &[&old, &new]);
     assert_eq!(usual.get(&service, later), Some(&old));
-    // Gone for good it is not the usual one any more.
+    // After a longer absence it is no longer stable.
     usual.observe(later, &service, &[&new]);
     let long = later + Duration::from_mins(1);
     assert_eq!(usual.get(&service, long), None, "any may take requests");
@@ -775,8 +779,8 @@
     assert_eq!(usual.get(&service, long), Some(&new));
 }
 
-/// A daemon joins, and hears of targets of the new revision first. What those that welcome it have known for
-/// longer goes before that.
+/// A daemon that joins sees targets of the new revision first. The stable revisions of its peers replace its
+/// own.
 #[test]
 fn joiner_takes_the_others_word() {
     let (service, now) = (Service::from("shelf"), Instant::now());
@@ -790,8 +794,8 @@
     assert_eq!(usual.snapshot(), [(service, old)]);
 }
 
-/// A revision takes six times as long for some requests, and is given all of them: its slow answers come when it is
-/// too late, but the requests that wait for them show it earlier.
+/// A revision is six times as slow for some requests and receives all of them. Its slow answers arrive too
+/// late, but its requests in flight show the fault earlier.
 #[test]
 fn overdue_requests_tell() {
     let mut rounds = Rounds::new();
@@ -819,7 +823,7 @@
     assert!(rounds.is_bad());
 }
 
-/// A member that offers a target of a revision.
+/// A member that offers a target with a revision.
 fn member(host: u8, revision: &str, health: Health) -> Member {
     Member {
         peer: peer(host),
@@ -838,7 +842,7 @@
     }
 }
 
-/// Guards against a roll-out that is completed while old targets beyond a cut have work.
+/// Guards against completing a rollout while old targets beyond a network partition have requests in flight.
 #[test]
 fn lost_sight_is_no_drain() {
     let now = Instant::now();
@@ -865,7 +869,7 @@
     assert!(!drained(Some(Health::Gone)));
 }
 
-/// What a gate reports whose target has no work in the last step.
+/// Report of a sidecar in the last step whose target has no requests in flight.
 fn idle(revision: &str) -> Report {
     Report {
         service: Service::from("shelf"),
--- a/tests/rollout_simulation.rs
+++ b/tests/rollout_simulation.rs
@@ -1,7 +1,7 @@
-//! Roll-outs in virtual time: what a bad revision gets, and how sure the verdicts are.
+//! Simulated rollouts in virtual time: exposure to bad revisions, and reliability of the verdicts.
 //!
-//! A fleet is modelled by what its gates would report each tick. Everything that decides is the product's
-//! own: evidence, test and plan.
+//! A fleet is modelled by the reports that its sidecars would send in each tick. All decisions are made by
+//! the product's own code: analysis, test and decision.
 #![expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
@@ -22,26 +22,26 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Time between two looks, and between two of them while requests move.
+/// Interval between ticks, and between ticks during the promotion.
 const TICKS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(100)];
 const LIMITS: ExposureLimits = ExposureLimits {
     share: 0.1,
     slack: 50,
 };
-/// The users' `rollback-s`.
+/// The user requirement `rollback-s`.
 const ROLLBACK: Duration = Duration::from_secs(5);
-/// Bad answers from which that counts.
+/// Number of bad answers from which that time counts.
 const BAD_ANSWERS: usize = 50;
-/// Requests a second for each old target.
+/// Requests per second for each old target.
 const RATE: f64 = 30.0;
-/// Old gates that report.
+/// Sidecars of the old revision that report.
 const SAMPLED: usize = 16;
-/// Time after an order at which its targets are warm.
+/// Time after the order at which the new targets are warm.
 const WARM: Duration = Duration::from_secs(3);
-/// Share of the answers of any revision that fail.
+/// Share of failures among the answers of any revision.
 const USUAL_FAILURES: f64 = 0.002;
 
-/// When a bad revision is bad.
+/// When a bad revision has its fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Onset {
     Never,
@@ -53,12 +53,12 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Case {
-    /// Targets of the old revision, and as many of the new.
+    /// Number of old targets, and of new ones.
     targets: usize,
     onset: Onset,
-    /// Share of its answers that are bad then.
+    /// Share of its answers that are bad during the fault.
     share: f64,
-    /// Whether these are slow, and failures otherwise.
+    /// Whether bad answers are slow; otherwise they are failures.
     slow: bool,
     duration: Duration,
 }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Requests of a mean number, as they come.
+    /// Random number of requests with the given mean.
     fn count(&mut self, mean: f64) -> usize {
         let whole = mean.floor();
         let rest = usize::from(self.rng.random_bool((mean - whole).clamp(0.0, 1.0)));
@@ -108,7 +108,7 @@
         ((whole * spread).round() as usize) + rest
     }
 
-    /// What an answer is like: half as long or up to one and a half times as long as usual, with a tail.
+    /// Random outcome: half to one and a half times the usual time, with a tail.
     fn outcome(&mut self, bad: bool) -> Outcome {
         if bad && !self.case.slow || self.rng.random_bool(USUAL_FAILURES) {
             return Outcome::Failed;
@@ -123,7 +123,7 @@
         Outcome::Answered(Duration::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Plays a tick at a gate that gets so many requests; how many of them were bad.
+    /// Simulates a tick at a sidecar; returns the number of requests and of bad answers.
     fn play(&mut self, gate: usize, mean: f64, age: Duration, tick: Duration) -> (usize, usize) {
         let count = self.count(mean);
         let new = self.tallies[gate].1;
@@ -163,7 +163,7 @@
     }
 }
 
-/// Plays an order to its verdict.
+/// Simulates an order until its verdict.
 fn play(case: Case, test: Test, seed: u64) -> Result {
     let mut fleet = Fleet::new(case, seed);
     let mut evidence = Analysis::new(Revision::from("v2"));
@@ -179,7 +179,7 @@
     let mut fiftieth = None;
     let mut age = Duration::ZERO;
     while age < case.duration + ROLLBACK {
-        // What is played in this tick goes by the plan of the one before: news take a moment.
+        // Requests of this tick follow the plan of the previous one, since plans take time to arrive.
         let share = f64::from(permille) / 1_000.0;
         let takers = if chosen == 0 { case.targets } else { chosen };
         let moves = matches!(step, Step::Ramp | Step::All);
@@ -222,7 +222,7 @@
             answers: evidence.answers(),
             bad: evidence.find_regression(test, case.targets).is_some(),
             doubtful: evidence.is_doubtful(test, case.targets),
-            // Requests under way end within a second.
+            // Requests in flight end within a second.
             drained: step == Step::All && age.saturating_sub(since) >= Duration::from_secs(1),
         };
         let decision = decide(&LIMITS, &observed);
@@ -258,8 +258,8 @@
         Onset::OneRoute,
     ];
     let bad = onsets.into_iter().flat_map(|onset| {
-        // Of a tenth that fails four targets show six bad answers within what may be spent on finding out:
-        // too few to ask for a verdict.
+        // If a tenth of the answers fails, four targets show six bad answers within the canary's exposure:
+        // too few to require a verdict.
         let rare = (targets > 4).then_some((0.1, false));
         let often = [(0.3, false), (0.6, true)];
         often
@@ -275,13 +275,13 @@
     std::iter::once(good).chain(bad).collect()
 }
 
-/// Verdicts over all seeds of a case.
+/// Results of a case for all seeds.
 fn verdicts(case: Case, test: Test) -> Vec<Result> {
     (0..SEEDS).map(|seed| play(case, test, seed)).collect()
 }
 
-/// A fleet of one size: no bad revision gets more than the users allow, none completes, and no good one goes
-/// back.
+/// For a fleet of one size: no bad revision exceeds the allowed exposure or completes, and no good one is
+/// rolled back.
 fn hold(targets: usize) {
     for case in cases(targets) {
         let results = verdicts(case, Test::default());
@@ -325,8 +325,8 @@
     hold(150);
 }
 
-/// The sequential test against the threshold, on the same seeds: it misses no bad revision that the other one
-/// finds, takes no longer, and takes no more good ones back.
+/// Compares the sequential test with the threshold test on the same seeds: no more bad revisions and no fewer
+/// good ones complete.
 #[test]
 fn sequential_is_no_worse() {
     for targets in [4, 30] {
