--- a/tests/crash_attribution.rs
+++ b/tests/crash_attribution.rs
@@ -14,8 +14,8 @@
 use jackdawpulley::units::Millis;
 use proptest::prelude::*;
 
-const MEMORY: Duration = Duration::from_hours(1);
-const FATAL: Fingerprint = Fingerprint(1);
+const RETENTION: Duration = Duration::from_hours(1);
+const CRASHING: Fingerprint = Fingerprint(1);
 
 fn crash(id: u64, running: &[u64]) -> Crash {
     let running = running.iter().copied().map(Fingerprint);
@@ -23,143 +23,146 @@
 }
 
 /// A set of crashes with the requests that were running at each, one [`COINCIDENCE_WINDOW`] apart.
-fn evidence(ends: &[&[u64]]) -> CrashSet {
-    let mut evidence = CrashSet::new(MEMORY);
+fn crash_set(running_at: &[&[u64]]) -> CrashSet {
+    let mut crashes = CrashSet::new(RETENTION);
     let now = Instant::now();
-    for (id, running) in (0..).zip(ends) {
-        let then = now + COINCIDENCE_WINDOW * u32::try_from(id).expect("a few");
-        evidence.merge(then, &crash(id, running));
+    for (id, running) in (0..).zip(running_at) {
+        let crashed_at = now + COINCIDENCE_WINDOW * u32::try_from(id).expect("a few");
+        crashes.merge(crashed_at, &crash(id, running));
     }
-    evidence
+    crashes
 }
 
-fn quarantined(evidence: &CrashSet) -> Vec<u64> {
-    let verdicts = evidence.assess();
-    verdicts.quarantined().map(|(cause, _)| cause.0).collect()
+fn quarantined(crashes: &CrashSet) -> Vec<u64> {
+    let assessments = crashes.assess();
+    assessments
+        .quarantined()
+        .map(|(cause, _)| cause.0)
+        .collect()
 }
 
 #[test]
-fn third_end_tells() {
-    assert_eq!(quarantined(&evidence(&[&[1], &[1]])), [0_u64; 0]);
-    assert_eq!(quarantined(&evidence(&[&[1], &[1], &[1]])), [1]);
+fn third_crash_decides() {
+    assert_eq!(quarantined(&crash_set(&[&[1], &[1]])), [0_u64; 0]);
+    assert_eq!(quarantined(&crash_set(&[&[1], &[1], &[1]])), [1]);
 }
 
 /// A lookup is retried along with the request that crashes targets, and is running at three of its five
 /// crashes.
 #[test]
-fn explained_ends_accuse_nobody_else() {
-    let ends: [&[u64]; 5] = [&[1, 2], &[1, 2], &[1, 2], &[1], &[1]];
-    let evidence = evidence(&ends);
-    assert_eq!(quarantined(&evidence), [1]);
-    assert_eq!(evidence.assess().of(Fingerprint(2)).crashes, 0);
+fn attributed_crashes_implicate_no_other() {
+    let running_at: [&[u64]; 5] = [&[1, 2], &[1, 2], &[1, 2], &[1], &[1]];
+    let crashes = crash_set(&running_at);
+    assert_eq!(quarantined(&crashes), [1]);
+    assert_eq!(crashes.assess().of(Fingerprint(2)).crashes, 0);
 }
 
 /// Two requests were running at the same three crashes. One of them is unrelated, and three crashes don't
 /// tell which; neither is quarantined until the fourth does.
 #[test]
-fn alike_ones_are_told_by_one_more() {
-    let mut ends: Vec<&[u64]> = vec![&[1, 2], &[1, 2], &[1, 2]];
-    assert_eq!(quarantined(&evidence(&ends)), [0_u64; 0]);
-    assert!(evidence(&ends).assess().of(FATAL).must_isolate());
-    ends.push(&[1]);
-    assert_eq!(quarantined(&evidence(&ends)), [1]);
+fn ambiguous_requests_need_another_crash() {
+    let mut running_at: Vec<&[u64]> = vec![&[1, 2], &[1, 2], &[1, 2]];
+    assert_eq!(quarantined(&crash_set(&running_at)), [0_u64; 0]);
+    assert!(crash_set(&running_at).assess().of(CRASHING).must_isolate());
+    running_at.push(&[1]);
+    assert_eq!(quarantined(&crash_set(&running_at)), [1]);
 }
 
 /// Two requests crash targets at the same time, each its own.
 #[test]
-fn two_causes_are_told_apart() {
-    let ends: [&[u64]; 6] = [&[1], &[1], &[1, 3], &[2], &[2, 3], &[2]];
-    assert_eq!(quarantined(&evidence(&ends)), [1, 2]);
+fn two_causes_are_distinguished() {
+    let running_at: [&[u64]; 6] = [&[1], &[1], &[1, 3], &[2], &[2, 3], &[2]];
+    assert_eq!(quarantined(&crash_set(&running_at)), [1, 2]);
 }
 
 /// Guards against quarantining a long lookup because five targets are killed at once while it runs on each.
 /// Apart from their time, nothing connects it with the crashes.
 #[test]
-fn killed_together_accuses_nobody() {
-    let mut evidence = CrashSet::new(MEMORY);
+fn simultaneous_crashes_quarantine_nothing() {
+    let mut crashes = CrashSet::new(RETENTION);
     let now = Instant::now();
     for id in 0..5 {
-        let then = now + Duration::from_millis(20 * id);
-        evidence.merge(then, &crash(id, &[7]));
+        let crashed_at = now + Duration::from_millis(20 * id);
+        crashes.merge(crashed_at, &crash(id, &[7]));
     }
-    assert_eq!(quarantined(&evidence), [0_u64; 0]);
+    assert_eq!(quarantined(&crashes), [0_u64; 0]);
     // A request that goes on crashing targets is still found.
     for id in 10..13_u32 {
-        evidence.merge(
+        crashes.merge(
             now + COINCIDENCE_WINDOW * 10 * id,
             &crash(id.into(), &[1, 7]),
         );
     }
-    evidence.clear(Fingerprint(7), None);
-    assert_eq!(quarantined(&evidence), [1]);
+    crashes.clear(Fingerprint(7), None);
+    assert_eq!(quarantined(&crashes), [1]);
 }
 
 /// The same long lookup is running at three crashes. The next target answers it, so it is not the cause.
 #[test]
-fn answered_one_is_cleared() {
-    let mut evidence = evidence(&[&[7], &[7], &[7]]);
-    assert_eq!(quarantined(&evidence), [7]);
-    let cleared = evidence.clear(Fingerprint(7), None);
+fn answered_request_is_cleared() {
+    let mut crashes = crash_set(&[&[7], &[7], &[7]]);
+    assert_eq!(quarantined(&crashes), [7]);
+    let cleared = crashes.clear(Fingerprint(7), None);
     assert_eq!(cleared.len(), MIN_CRASHES);
-    assert_eq!(quarantined(&evidence), [0_u64; 0]);
+    assert_eq!(quarantined(&crashes), [0_u64; 0]);
     // An older report of the same crash does not implicate it again.
-    assert!(!evidence.merge(Instant::now(), &crash(0, &[7])));
-    assert_eq!(quarantined(&evidence), [0_u64; 0]);
+    assert!(!crashes.merge(Instant::now(), &crash(0, &[7])));
+    assert_eq!(quarantined(&crashes), [0_u64; 0]);
 }
 
 #[test]
-fn quarantine_ends_with_its_time() {
-    let mut evidence = evidence(&[&[1], &[1], &[1]]);
-    let until = evidence
+fn quarantine_expires() {
+    let mut crashes = crash_set(&[&[1], &[1], &[1]]);
+    let until = crashes
         .assess()
-        .of(FATAL)
+        .of(CRASHING)
         .quarantined_until
-        .expect("it is refused");
-    assert!(!evidence.expire(Instant::now() + MEMORY / 2));
-    assert!(evidence.expire(until));
-    assert_eq!(quarantined(&evidence), [0_u64; 0]);
-    let old = Crash::with_cause(CrashId(9), FATAL, Millis::from(MEMORY));
+        .expect("it is quarantined");
+    assert!(!crashes.expire(Instant::now() + RETENTION / 2));
+    assert!(crashes.expire(until));
+    assert_eq!(quarantined(&crashes), [0_u64; 0]);
+    let old = Crash::with_cause(CrashId(9), CRASHING, Millis::from(RETENTION));
     assert!(
-        !evidence.merge(Instant::now(), &old),
-        "it is not taken in again"
+        !crashes.merge(Instant::now(), &old),
+        "it is not added again"
     );
 }
 
 /// Guards against a host with thousands of crashes, which must not displace the crashes of a quarantined
 /// request nor exhaust memory.
 #[test]
-fn flood_is_bounded() {
-    let mut evidence = evidence(&[&[1], &[1], &[1]]);
+fn crash_count_is_bounded() {
+    let mut crashes = crash_set(&[&[1], &[1], &[1]]);
     let now = Instant::now();
     for id in 100..500 {
         let running: Vec<u64> = (0..200).map(|run| id * 1_000 + run).collect();
-        evidence.merge(now, &crash(id, &running));
+        crashes.merge(now, &crash(id, &running));
     }
-    let told = evidence.snapshot(now, None);
+    let told = crashes.snapshot(now, None);
     assert_eq!(told.len(), MAX_CRASHES);
     assert!(told.iter().all(|crash| crash.running.len() <= MAX_RUNNING));
-    assert_eq!(quarantined(&evidence), [1]);
+    assert_eq!(quarantined(&crashes), [1]);
 }
 
 /// All daemons are lost. A record that one of them stored restores the same quarantine.
 #[test]
-fn note_restores_the_quarantine() {
-    let known = evidence(&[&[1, 2], &[1, 3], &[1, 4]]);
+fn record_restores_quarantine() {
+    let known = crash_set(&[&[1, 2], &[1, 3], &[1, 4]]);
     let now = Instant::now() + Duration::from_secs(1);
-    let note = Record::of(&known.crashes_of(FATAL, now), 1_000_000);
-    let read: Record = note.to_string().parse().expect("it was written so");
-    let mut started = CrashSet::new(MEMORY);
-    for crash in read.to_crashes(FATAL, 1_060_000) {
+    let record = Record::of(&known.crashes_of(CRASHING, now), 1_000_000);
+    let read: Record = record.to_string().parse().expect("it was written so");
+    let mut started = CrashSet::new(RETENTION);
+    for crash in read.to_crashes(CRASHING, 1_060_000) {
         started.merge(now, &crash);
     }
     assert_eq!(quarantined(&started), [1]);
     let left = started
         .assess()
-        .of(FATAL)
+        .of(CRASHING)
         .quarantined_until
-        .expect("it is refused")
+        .expect("it is quarantined")
         - now;
-    assert!(left + Duration::from_mins(1) <= MEMORY, "{left:?}");
+    assert!(left + Duration::from_mins(1) <= RETENTION, "{left:?}");
     for text in ["", "x", "1@", "1@2,zz@3", "1@2,,3@4"] {
         assert!(text.parse::<Record>().is_err(), "{text}");
     }
@@ -167,37 +170,37 @@
 
 /// What a daemon learns about crashes.
 #[derive(Debug, Clone)]
-enum Word {
+enum Event {
     Crash(u64, Vec<u64>),
     Answered(u64),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        3 => (0_u64..6, prop::collection::vec(0_u64..5, 0..4)).prop_map(|(id, run)| Word::Crash(id, run)),
-        1 => (0_u64..5).prop_map(Word::Answered),
+        3 => (0_u64..6, prop::collection::vec(0_u64..5, 0..4)).prop_map(|(id, run)| Event::Crash(id, run)),
+        1 => (0_u64..5).prop_map(Event::Answered),
     ]
 }
 
-fn hear(words: &[Word]) -> CrashSet {
-    let mut evidence = CrashSet::new(MEMORY);
-    for word in words {
-        match word {
-            Word::Crash(id, running) => {
-                evidence.merge(Instant::now(), &crash(*id, running));
+fn apply_events(events: &[Event]) -> CrashSet {
+    let mut crashes = CrashSet::new(RETENTION);
+    for event in events {
+        match event {
+            Event::Crash(id, running) => {
+                crashes.merge(Instant::now(), &crash(*id, running));
             }
-            Word::Answered(request) => {
-                evidence.clear(Fingerprint(*request), None);
+            Event::Answered(request) => {
+                crashes.clear(Fingerprint(*request), None);
             }
         }
     }
-    evidence
+    crashes
 }
 
-fn take_in(evidence: &mut CrashSet, other: &CrashSet) {
+fn merge_all(crashes: &mut CrashSet, other: &CrashSet) {
     let now = Instant::now();
     for crash in other.snapshot(now, None) {
-        evidence.merge(now, &crash);
+        crashes.merge(now, &crash);
     }
 }
 
@@ -207,28 +210,28 @@
     /// Daemons that have exchanged all reports assess the same requests alike, whatever the order and number
     /// of messages.
     #[test]
-    fn all_come_to_the_same(
-        one in prop::collection::vec(word(), 0..12),
-        two in prop::collection::vec(word(), 0..12),
-        three in prop::collection::vec(word(), 0..12),
+    fn merging_is_order_independent(
+        one in prop::collection::vec(event(), 0..12),
+        two in prop::collection::vec(event(), 0..12),
+        three in prop::collection::vec(event(), 0..12),
     ) {
-        let all = [hear(&one), hear(&two), hear(&three)];
-        let mut forward = CrashSet::new(MEMORY);
-        let mut backward = CrashSet::new(MEMORY);
+        let all = [apply_events(&one), apply_events(&two), apply_events(&three)];
+        let mut forward = CrashSet::new(RETENTION);
+        let mut backward = CrashSet::new(RETENTION);
         for index in [0, 1, 2, 0] {
-            take_in(&mut forward, &all[index]);
+            merge_all(&mut forward, &all[index]);
         }
         for index in [2, 1, 0] {
-            take_in(&mut backward, &all[index]);
+            merge_all(&mut backward, &all[index]);
         }
         prop_assert_eq!(forward.hash(), backward.hash());
-        let standings = |evidence: &CrashSet| {
-            let verdicts = evidence.assess();
+        let assess = |crashes: &CrashSet| {
+            let assessments = crashes.assess();
             (0..5).map(|request| {
-                let standing = verdicts.of(Fingerprint(request));
-                (standing.crashes, standing.quarantined_until.is_some())
+                let assessment = assessments.of(Fingerprint(request));
+                (assessment.crashes, assessment.quarantined_until.is_some())
             }).collect::<Vec<_>>()
         };
-        prop_assert_eq!(standings(&forward), standings(&backward));
+        prop_assert_eq!(assess(&forward), assess(&backward));
     }
 }
--- a/tests/crash_detection.rs
+++ b/tests/crash_detection.rs
@@ -16,13 +16,13 @@
 }
 
 /// Records that the target crashed at `now`; returns the runs that may have crashed it.
-fn end(running: &mut Running, now: Instant) -> Vec<Run> {
+fn crash(running: &mut Running, now: Instant) -> Vec<Run> {
     assert!(running.begin_check());
     running.finish_check(now, Some(now))
 }
 
 #[test]
-fn whatever_ran_is_told() {
+fn running_requests_are_reported() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
     running.begin(run("/running", now));
@@ -30,14 +30,14 @@
     running.finish(now, refused, Completion::Resolved);
     running.finish(now, broken, Completion::Unresolved);
     assert_eq!(
-        end(&mut running, now),
+        crash(&mut running, now),
         [run("/broken", now), run("/running", now)]
     );
 }
 
 /// A response is lost and its connection closes, but the target still listens: it has not crashed.
 #[test]
-fn target_that_listens_has_not_ended() {
+fn listening_target_has_not_crashed() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/broken", now));
     running.finish(now, broken, Completion::Unresolved);
@@ -49,46 +49,46 @@
 
 /// A target announces its stop and stops while a slow request is running. The request is not the cause.
 #[test]
-fn planned_end_accuses_nobody() {
+fn planned_stop_implicates_no_request() {
     let (mut running, now) = (Running::default(), Instant::now());
     running.begin(run("/slow", now));
     running.mark_draining();
-    assert!(end(&mut running, now).is_empty());
+    assert!(crash(&mut running, now).is_empty());
     running.mark_ready(true);
-    assert_eq!(end(&mut running, now), [run("/slow", now)]);
+    assert_eq!(crash(&mut running, now), [run("/slow", now)]);
 }
 
 /// A request that many callers send is running at every crash. The target process has answered it before, so
 /// something else crashed it.
 #[test]
-fn answered_before_is_not_accused() {
+fn answered_request_is_not_implicated() {
     let (mut running, now) = (Running::default(), Instant::now());
     let first = running.begin(run("/popular", now));
     running.finish(now, first, Completion::Answered);
     running.begin(run("/popular", now));
-    assert!(end(&mut running, now).is_empty());
+    assert!(crash(&mut running, now).is_empty());
     running.mark_ready(true);
     let later = now + Duration::from_millis(1);
     running.begin(run("/popular", later));
     assert_eq!(
-        end(&mut running, later),
+        crash(&mut running, later),
         [run("/popular", later)],
-        "another life"
+        "another process"
     );
 }
 
 /// A caller gives up on a request shortly before it crashes its target.
 #[test]
-fn given_up_counts_for_a_while() {
+fn abandoned_request_counts_briefly() {
     let (mut running, now) = (Running::default(), Instant::now());
     let given_up = running.begin(run("/given-up", now));
     running.finish(now, given_up, Completion::Unresolved);
     let soon = now + Duration::from_millis(100);
-    assert_eq!(end(&mut running, soon).len(), 1);
+    assert_eq!(crash(&mut running, soon).len(), 1);
     let later = soon + Duration::from_millis(1);
     let given_up = running.begin(run("/given-up", later));
     running.finish(later, given_up, Completion::Unresolved);
-    assert!(end(&mut running, later + Duration::from_secs(2)).is_empty());
+    assert!(crash(&mut running, later + Duration::from_secs(2)).is_empty());
 }
 
 /// Guards against missing a crash because the target is restarted before its sidecar has checked it.
@@ -100,7 +100,7 @@
     assert!(running.begin_check());
     assert!(
         running.finish_check(now, None).is_empty(),
-        "the next life listens"
+        "the new process listens"
     );
     running.begin(run("/under-way", now));
     let later = now + Duration::from_secs(2);
@@ -114,7 +114,7 @@
 
 /// Guards against simultaneous crashes that seem to lie apart.
 #[test]
-fn successor_dates_the_end() {
+fn restart_dates_the_crash() {
     let (mut running, now) = (Running::default(), Instant::now());
     let ms = Duration::from_millis;
     assert_eq!(running.crash_time(now, None), now);
@@ -132,10 +132,10 @@
 
 /// Guards against reporting a crash twice: when it is detected and when the new process announces itself.
 #[test]
-fn seen_end() {
+fn detected_crash_is_reported_once() {
     let (mut running, now) = (Running::default(), Instant::now());
     let late = running.begin(run("/late", now));
-    assert_eq!(end(&mut running, now), [run("/late", now)]);
+    assert_eq!(crash(&mut running, now), [run("/late", now)]);
     running.finish(now, late, Completion::Unresolved);
     assert!(running.restarted(now, None).is_empty());
 }
@@ -152,7 +152,7 @@
 
 /// Guards against attributing a crash to a connection that was cut long before.
 #[test]
-fn old_break() {
+fn old_broken_connection() {
     let (mut running, now) = (Running::default(), Instant::now());
     let cut = running.begin(run("/cut", now));
     running.finish(now, cut, Completion::Unresolved);
@@ -162,15 +162,15 @@
 
 /// Guards against missing the crash of a process because the check after the previous crash finished late.
 #[test]
-fn late_look() {
+fn late_check() {
     let (mut running, now) = (Running::default(), Instant::now());
     let ms = Duration::from_millis;
-    for life in 1..=3 {
-        let began = now + life * ms(400);
+    for process in 1..=3 {
+        let began = now + process * ms(400);
         let broken = running.begin(run("/fatal", began));
-        let looked = began + ms(345);
-        let announced = looked + ms(5);
-        running.finish(looked, broken, Completion::Unresolved);
+        let refused_at = began + ms(345);
+        let announced = refused_at + ms(5);
+        running.finish(refused_at, broken, Completion::Unresolved);
         assert!(running.begin_check());
         assert_eq!(
             running.restarted(announced, Some(ms(2))),
@@ -178,13 +178,16 @@
         );
         running.mark_ready(true);
         let late = announced + ms(5);
-        assert!(running.finish_check(late, Some(looked)).is_empty(), "told");
+        assert!(
+            running.finish_check(late, Some(refused_at)).is_empty(),
+            "reported already"
+        );
     }
 }
 
 /// Guards against missing a crash because the new process announced itself before the check finished.
 #[test]
-fn nameless_restart() {
+fn restart_before_check() {
     let (mut running, now) = (Running::default(), Instant::now());
     let broken = running.begin(run("/fatal", now));
     running.finish(now, broken, Completion::Unresolved);
@@ -195,14 +198,14 @@
     assert_eq!(running.finish_check(late, Some(now)), [run("/fatal", now)]);
     running.finish(late, next, Completion::Unresolved);
     assert_eq!(
-        end(&mut running, late),
+        crash(&mut running, late),
         [run("/next", now + Duration::from_millis(5))]
     );
 }
 
 /// Guards against reporting a crash twice because some of its connections break late.
 #[test]
-fn late_break() {
+fn late_broken_connection() {
     let (mut running, now) = (Running::default(), Instant::now());
     let late = running.begin(run("/late", now));
     let later = now + Duration::from_millis(400);
@@ -210,5 +213,5 @@
     assert_eq!(running.restarted(later, age), [run("/late", now)]);
     running.mark_ready(true);
     running.finish(later, late, Completion::Unresolved);
-    assert!(end(&mut running, later).is_empty());
+    assert!(crash(&mut running, later).is_empty());
 }
