--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -79,10 +79,10 @@
         let fresh = told.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
         let rules = self.board.rollouts.rules();
         let Some(rule) = rules.get(service) else {
-            let usual = roster.stable_revisions.get(service, Instant::now());
+            let stable = roster.stable_revisions.get(service, Instant::now());
             let staged = self.board.settings.exposure_share.is_some();
             let may = |revision: &Option<Revision>| {
-                !staged || usual.is_none() || revision.is_none() || revision.as_ref() == usual
+                !staged || stable.is_none() || revision.is_none() || revision.as_ref() == stable
             };
             let may = fresh.filter(|(_, revision)| may(revision));
             return may.map(|(upstream, _)| upstream).collect();
--- a/src/calls/work.rs
+++ b/src/calls/work.rs
@@ -67,7 +67,7 @@
 pub struct Work {
     board: Arc<Board>,
     dispatcher: Dispatcher,
-    inspector: Detector,
+    crash_detector: Detector,
     line: Arc<Line>,
     /// Bodies that come over the link, and those that wait for that.
     bodies: Arc<Line>,
@@ -79,7 +79,7 @@
     pub fn new(board: Arc<Board>) -> Self {
         let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
         Self {
-            inspector: Detector::new(Arc::clone(&board)),
+            crash_detector: Detector::new(Arc::clone(&board)),
             board,
             dispatcher,
             line: Arc::default(),
@@ -131,7 +131,7 @@
             self.board.drop_target(target);
         }
         if matches!(reason, Reason::Unreachable | Reason::Broken) {
-            self.inspector.check_target(target);
+            self.crash_detector.check_target(target);
         }
     }
 
@@ -286,7 +286,7 @@
             left,
         );
         let began = Instant::now();
-        let watched = work.inspector.begin(Run {
+        let watched = work.crash_detector.begin(Run {
             fingerprint: handover.fingerprint,
             route: handover.route.clone(),
             from: handover.from.clone(),
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -100,7 +100,7 @@
     board: Arc<Board>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
-    inspector: Detector,
+    crash_detector: Detector,
     lives: Mutex<Lives>,
     /// When the last target began that has no names for its lives, in milliseconds since 1970; 0 for not told.
     born_ms: AtomicU64,
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
         Self {
-            inspector: Detector::new(Arc::clone(&board)),
+            crash_detector: Detector::new(Arc::clone(&board)),
             board,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
@@ -212,7 +212,7 @@
             lease_until: Instant::now() + beat.lease.duration(),
         };
         if standing == Standing::New && contested {
-            self.inspector.target_restarted(&target);
+            self.crash_detector.target_restarted(&target);
         }
         self.open(target).await;
         Ok(())
@@ -360,7 +360,7 @@
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
         if self.follows_another(target.born) {
-            self.inspector.target_restarted(&target);
+            self.crash_detector.target_restarted(&target);
         }
         self.open(target).await;
         (StatusCode::OK, "announced".to_owned())
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -182,10 +182,10 @@
     }
 
     /// Takes over the view of a peer, and which revisions it has as the usual ones.
-    pub fn learn(&self, members: &[Member], usual: &[(Service, Revision)]) {
+    pub fn learn(&self, members: &[Member], stable_revisions: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
-        guard.stable_revisions.adopt(usual);
+        guard.stable_revisions.adopt(stable_revisions);
         for member in members {
             guard.view.merge(now, member);
         }
@@ -325,8 +325,8 @@
             .cloned()
             .chain([state.view.me().clone()])
             .collect();
-        let usual = state.stable_revisions.clone();
-        let roster = Roster::build(live, gone, &home, &old, usual, now);
+        let stable_revisions = state.stable_revisions.clone();
+        let roster = Roster::build(live, gone, &home, &old, stable_revisions, now);
         state.stable_revisions.clone_from(&roster.stable_revisions);
         self.board.set_roster(roster);
     }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -97,7 +97,7 @@
         gone: Vec<Departed>,
         home: &Home,
         old: &Self,
-        mut usual: Revisions,
+        mut stable_revisions: Revisions,
         now: Instant,
     ) -> Self {
         members.sort_by_key(|member| member.peer);
@@ -140,16 +140,16 @@
         }
         for pool in &pools {
             let told: Vec<&Revision> = pool.revisions.iter().flatten().collect();
-            usual.observe(now, &pool.service, &told);
+            stable_revisions.observe(now, &pool.service, &told);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
-        usual.mark_absent(now, &services);
+        stable_revisions.mark_absent(now, &services);
         Self {
             fleet: fleet(&members),
             members,
             gone,
             pools,
-            stable_revisions: usual,
+            stable_revisions,
         }
     }
 
@@ -168,8 +168,8 @@
     /// Whether a target is of the revision that gets the requests without an order.
     #[must_use]
     pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
-        let usual = self.stable_revisions.get(&target.service, now);
-        usual.is_none() || target.revision.is_none() || target.revision.as_ref() == usual
+        let stable = self.stable_revisions.get(&target.service, now);
+        stable.is_none() || target.revision.is_none() || target.revision.as_ref() == stable
     }
 
     fn pool(&self, service: &Service) -> Option<&Pool> {
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -193,12 +193,12 @@
     offer.revision.clone()
 }
 
-fn quarantined(verdicts: &Assessments, now: Instant) -> Vec<QuarantineDump> {
-    let quarantined = verdicts.quarantined().take(MOST);
+fn quarantined(assessments: &Assessments, now: Instant) -> Vec<QuarantineDump> {
+    let quarantined = assessments.quarantined().take(MOST);
     quarantined
         .map(|(cause, until)| QuarantineDump {
             fingerprint: cause.to_string(),
-            ends: verdicts.of(cause).crashes,
+            ends: assessments.of(cause).crashes,
             left_ms: until.saturating_duration_since(now).into(),
         })
         .collect()
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -190,9 +190,9 @@
 /// A target that lost a response or closed one connection still listens; the host of a crashed target refuses
 /// connections at once.
 async fn refused_at(address: SocketAddr) -> Option<Instant> {
-    let looked = Instant::now();
+    let started_at = Instant::now();
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
-    let gone = connecting.is_ok_and(|connected| connected.is_err_and(refused));
-    gone.then_some(looked)
+    let refused = connecting.is_ok_and(|connected| connected.is_err_and(refused));
+    refused.then_some(started_at)
 }
--- a/src/rollout/counters.rs
+++ b/src/rollout/counters.rs
@@ -150,9 +150,9 @@
 impl Counters {
     /// Empty counters.
     #[must_use]
-    pub const fn new(life: u64) -> Self {
+    pub const fn new(series_id: u64) -> Self {
         Self {
-            series_id: life,
+            series_id,
             requests: 0,
             routes: Vec::new(),
         }
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -131,15 +131,15 @@
     // A daemon that is cut off, or does not know whether there is a verdict, must not advance the rollout. It
     // may keep the step or roll back.
     if advances && next.step != Step::Back && !observed.confirmed {
-        return stay(limits, observed, Cause::NotConfirmed);
+        return keep_step(limits, observed, Cause::NotConfirmed);
     }
     if advances && next.step != Step::Back && observed.step != Step::Waiting && !observed.in_touch {
-        return stay(limits, observed, Cause::OutOfTouch);
+        return keep_step(limits, observed, Cause::OutOfTouch);
     }
     next
 }
 
-fn stay(limits: &ExposureLimits, observed: &Observed, cause: Cause) -> Decision {
+fn keep_step(limits: &ExposureLimits, observed: &Observed, cause: Cause) -> Decision {
     let (permille, targets) = match observed.step {
         Step::Waiting | Step::Back => (0, 0),
         Step::Canary => canary(limits, observed),
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -55,16 +55,16 @@
     /// When the order was given.
     ordered_at: Instant,
     /// When the plan was renewed.
-    renewed: Instant,
+    plan_renewed_at: Instant,
 }
 
 impl Progress {
     /// State of an order that was just given.
     #[must_use]
-    pub fn new(order: Order, at: Position) -> Self {
+    pub fn new(order: Order, position: Position) -> Self {
         Self {
             order,
-            position: at,
+            position,
             age: Millis(0),
             plan: Plan::default(),
             plan_age: Millis(0),
@@ -108,7 +108,7 @@
         let before = |age: Millis| now.checked_sub(age.duration()).unwrap_or(now);
         Self {
             ordered_at: before(progress.age),
-            renewed: before(progress.plan_age),
+            plan_renewed_at: before(progress.plan_age),
             progress,
         }
     }
@@ -122,7 +122,7 @@
     /// When the plan was renewed.
     #[must_use]
     pub const fn plan_renewed_at(&self) -> Instant {
-        self.renewed
+        self.plan_renewed_at
     }
 
     /// Time since the order was given.
@@ -136,7 +136,7 @@
     pub fn snapshot(&self, now: Instant) -> Progress {
         Progress {
             age: self.age(now).into(),
-            plan_age: now.saturating_duration_since(self.renewed).into(),
+            plan_age: now.saturating_duration_since(self.plan_renewed_at).into(),
             ..self.progress.clone()
         }
     }
@@ -187,11 +187,11 @@
     }
 
     /// Adopts a plan if it supersedes the current one; returns whether it does.
-    pub fn apply_plan(&mut self, renewed: Instant, plan: &Plan) -> bool {
+    pub fn apply_plan(&mut self, plan_renewed_at: Instant, plan: &Plan) -> bool {
         let later = plan.supersedes(&self.progress.plan);
         if later {
             self.progress.plan = plan.clone();
-            self.renewed = renewed;
+            self.plan_renewed_at = plan_renewed_at;
         }
         if plan.step == Step::Back {
             self.refuse_ordered_revision();
@@ -221,12 +221,12 @@
     /// Adds the state to a hash, except for ages and renewals, which don't affect what a daemon does.
     pub fn hash_into(&self, hasher: &mut Xxh3) {
         let progress = &self.progress;
-        let (order, at) = (&progress.order, progress.position);
+        let (order, position) = (&progress.order, progress.position);
         hasher.update(order.service.as_str().as_bytes());
         hasher.update(order.revision.as_str().as_bytes());
         hasher.update(&order.duration.0.to_le_bytes());
-        hasher.update(&at.era.0.to_le_bytes());
-        hasher.update(&at.offset.0.to_le_bytes());
+        hasher.update(&position.era.0.to_le_bytes());
+        hasher.update(&position.offset.0.to_le_bytes());
         let verdict = progress.verdict.map_or(0, |verdict| verdict as u8 + 1);
         hasher.update(&[progress.plan.step as u8, verdict]);
         for refused in &progress.refused {
@@ -239,7 +239,7 @@
         let is_moved = received.position > self.progress.position;
         self.progress.position = self.progress.position.max(received.position);
         self.backdate(other.ordered_at);
-        let is_plan_new = self.apply_plan(other.renewed, &received.plan);
+        let is_plan_new = self.apply_plan(other.plan_renewed_at, &received.plan);
         let is_verdict_new = received
             .verdict
             .is_some_and(|verdict| self.set_verdict(verdict));
@@ -270,8 +270,8 @@
     }
 
     /// The order was withdrawn: its revision receives no more requests, unless there is a verdict.
-    fn withdraw(&mut self, at: Position) -> bool {
-        self.progress.position = at;
+    fn withdraw(&mut self, position: Position) -> bool {
+        self.progress.position = position;
         if self.progress.verdict.is_none() {
             let number = self.progress.plan.number + 1;
             self.progress.plan = Plan {
--- a/tests/crash_attribution.rs
+++ b/tests/crash_attribution.rs
@@ -138,9 +138,13 @@
         let running: Vec<u64> = (0..200).map(|run| id * 1_000 + run).collect();
         crashes.merge(now, &crash(id, &running));
     }
-    let told = crashes.snapshot(now, None);
-    assert_eq!(told.len(), MAX_CRASHES);
-    assert!(told.iter().all(|crash| crash.running.len() <= MAX_RUNNING));
+    let reports = crashes.snapshot(now, None);
+    assert_eq!(reports.len(), MAX_CRASHES);
+    assert!(
+        reports
+            .iter()
+            .all(|crash| crash.running.len() <= MAX_RUNNING)
+    );
     assert_eq!(quarantined(&crashes), [1]);
 }
 
