--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -34,11 +34,11 @@
 use serde::Serialize;
 use strum::{Display, EnumString, VariantNames};
 
-use crate::rollout::observed::{ExposureLimits, Observed};
-use crate::rollout::plan::{FULL_PERMILLE, Step};
-use crate::rollout::share::{
+use crate::rollout::exposure::{
     ALL_TIME, RAMP_TIME, REPORT_LAG, canary, is_within_exposure, promotion_time, ramp, to_f64,
 };
+use crate::rollout::observed::{ExposureLimits, Observed};
+use crate::rollout::plan::{FULL_PERMILLE, Step};
 
 /// Time within which the sidecars have reported on a step.
 const REPORT_DELAY: Duration = Duration::from_millis(300);
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -27,4 +27,4 @@
 pub mod stable;
 pub mod tracker;
 
-mod share;
+mod exposure;
