--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -49,8 +49,8 @@
     ///
     /// # Errors
     ///
-    /// [`Reason::Quarantined`] if the request has crashed targets; [`Reason::Overloaded`] if it must not run
-    /// beside another suspected request that is running.
+    /// [`Reason::Quarantined`] if the request is quarantined; [`Reason::Overloaded`] if it must be isolated
+    /// from a request that is running.
     pub fn begin(&self, run: Run) -> Result<RunGuard, Reason> {
         let quarantine = &self.board.quarantine;
         let assessment = quarantine.assessment(run.fingerprint);
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -38,7 +38,7 @@
     pub analysis: Analysis,
     /// Synchronization of the status with the platform.
     pub sync: Arc<PlatformSync>,
-    /// Time and era of the last synchronization.
+    /// Time and era of the last call to the platform.
     pub last_checked: Option<(Instant, Era)>,
     step: Step,
     step_since: Instant,
@@ -53,7 +53,7 @@
 pub struct PlatformSync {
     /// Whether a call to the platform is in progress.
     pub in_progress: AtomicBool,
-    /// Whether the platform has confirmed that there is no verdict.
+    /// Whether a call has succeeded, after which a stored verdict is known.
     pub confirmed: AtomicBool,
 }
 
