--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -79,10 +79,10 @@
         let untried = revisions.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
         let rules = self.board.rollouts.rules();
         let Some(rule) = rules.get(service) else {
-            let usual = roster.stable_revisions.get(service, Instant::now());
+            let stable = roster.stable_revisions.get(service, Instant::now());
             let staged = self.board.settings.exposure_share.is_some();
             let may_receive = |revision: &Option<Revision>| {
-                !staged || usual.is_none() || revision.is_none() || revision.as_ref() == usual
+                !staged || stable.is_none() || revision.is_none() || revision.as_ref() == stable
             };
             let eligible = untried.filter(|(_, revision)| may_receive(revision));
             return eligible.map(|(upstream, _)| upstream).collect();
@@ -93,7 +93,7 @@
             Some((upstream, side))
         });
         let sides: Vec<(&Arc<Upstream>, Side)> = sides.collect();
-        let draw = rule.draw(fraction(call), call.tried.len(), now);
+        let draw = rule.choose_side(fraction(call), call.tried.len(), now);
         let drawn = sides.iter().filter(|(_, side)| *side == draw);
         let drawn: Vec<&Arc<Upstream>> = drawn.map(|(upstream, _)| *upstream).collect();
         if !drawn.is_empty() || draw == Side::Old {
@@ -106,7 +106,7 @@
     /// Whether a call must be isolated because targets have crashed while running the same request.
     pub fn is_suspect(&self, call: &Call) -> bool {
         let fingerprint = call.metadata.fingerprint;
-        self.board.quarantine.standing(fingerprint).apart()
+        self.board.quarantine.assessment(fingerprint).must_isolate()
     }
 
     /// Selects one of `upstreams` by the configured policy and returns its index.
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -7,10 +7,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use slog::{debug, info};
+use snafu::ResultExt;
 use tokio::net::UdpSocket;
 
 use crate::board::Board;
-use crate::clock;
 use crate::configuration::relay::Relay;
 use crate::error::{ListenSnafu, Result};
 use crate::membership::datagram::{Datagram, Join, Message, Welcome};
@@ -20,11 +20,10 @@
 use crate::membership::roster::{Departed, Location, Roster};
 use crate::membership::timing::Timing;
 use crate::membership::view::{Effects, Send, View};
-use crate::rollout::usual::Usual;
+use crate::rollout::stable::Revisions;
 use crate::settings::{Delivery, Settings};
 use crate::units::{Incarnation, Millis, Revision, Service};
-use crate::wire;
-use snafu::ResultExt;
+use crate::{clock, wire};
 
 /// Ticks of the view in one probe period.
 const TICKS_PER_PERIOD: u64 = 5;
@@ -46,7 +45,7 @@
     /// When all known target crashes and rollouts were last sent to a peer.
     pub last_full_sync: Option<Instant>,
     /// Stable revision of each service.
-    stable_revisions: Usual,
+    stable_revisions: Revisions,
 }
 
 impl Membership {
@@ -69,7 +68,7 @@
             view,
             rng,
             last_full_sync: None,
-            stable_revisions: Usual::default(),
+            stable_revisions: Revisions::default(),
         });
         let membership = Self {
             board,
@@ -176,10 +175,10 @@
             digest: self.board.digest(),
             highest_version,
             slots,
-            crashes: self.board.quarantine.told(),
-            rollouts: self.board.rollouts.told(),
+            crashes: self.board.quarantine.snapshot(),
+            rollouts: self.board.rollouts.snapshot(),
             era: self.board.era(),
-            stable_revisions: guard.stable_revisions.told(),
+            stable_revisions: guard.stable_revisions.snapshot(),
         }
     }
 
@@ -241,7 +240,9 @@
             Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
             Message::Rollouts(told) => self.board.rollouts.merge(told),
             Message::Report(report) => {
-                self.board.rollouts.hear(datagram.from.peer, report.clone());
+                self.board
+                    .rollouts
+                    .add_report(datagram.from.peer, report.clone());
             }
             _ => {}
         }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -13,8 +13,8 @@
 use crate::membership::datagram::Message;
 use crate::membership::view::Send;
 use crate::quarantine::crash::Crash;
+use crate::rollout::counters::Report;
 use crate::rollout::progress::Progress;
-use crate::rollout::tally::Report;
 use crate::wire;
 
 /// Members that each daemon sends an update to. By calculation all but two in a hundred daemons receive it this
@@ -73,8 +73,8 @@
     /// the same.
     pub(super) fn full_sync(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
-        let crashes = self.board().quarantine.told();
-        let rollouts = self.board().rollouts.told();
+        let crashes = self.board().quarantine.snapshot();
+        let rollouts = self.board().rollouts.snapshot();
         let mut guard = self.state();
         let last = guard.last_full_sync;
         let too_soon = last.is_some_and(|last| now.saturating_duration_since(last) < SYNC_INTERVAL);
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -103,7 +103,7 @@
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
         let Directory { contacts, notes } = self.origin.directory(enough).await?;
         let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
-        self.board.quarantine.recall(&notes, now);
+        self.board.quarantine.restore(&notes, now);
         for (cause, note) in notes {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // A note that cannot be deleted is read again and has no effect.
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -1,4 +1,4 @@
-//! Where notes of requests in quarantine are kept: on the platform, or on its log.
+//! Persistent storage for records of quarantined requests: the platform or its log.
 
 use std::sync::Arc;
 
@@ -8,59 +8,64 @@
 use crate::configuration::origin::Origin;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::quarantine::note::Note;
+use crate::quarantine::record::Record;
 use crate::units::{Millis, Offset};
 
-/// Records of the log that a start looks at: each of the requests in quarantine has a few.
-const RECALLED: u64 = 256;
+/// Log records read at startup. Each quarantined request has a few.
+const MAX_READ_RECORDS: u64 = 256;
 
-/// Keeps notes for daemons that start when nobody else is left.
+/// Storage from which daemons restore the quarantine when no peer is left.
 #[derive(Debug, Clone)]
 pub enum Archive {
-    /// With the platform, which tells them together with its list of daemons.
+    /// The platform, which returns the records with its list of daemons.
     Platform(Arc<dyn Origin>),
-    /// As records of the log, for as long as it retains them.
+    /// A stream of the log, for as long as the log retains the records.
     Log(Log),
 }
 
-/// One record of the `quarantine` stream.
+/// A record of the `quarantine` stream.
 #[derive(Debug, Serialize, Deserialize)]
-struct Record {
-    /// What stays the same when the request is sent again.
+struct Entry {
+    /// Fingerprint of the request.
     cause: Fingerprint,
-    /// What holds of it; nothing once it may run again.
-    note: Option<Note>,
+    /// Crashes that the request caused; `None` once it is no longer quarantined.
+    #[serde(rename = "note")]
+    record: Option<Record>,
 }
 
 impl Archive {
-    /// Keeps a note of a request, in place of what was kept of it; drops that without one.
+    /// Replaces the stored record of a request, or deletes it if `record` is `None`.
     ///
     /// # Errors
     ///
     /// As [`Origin::note`] and [`Log::append`].
-    pub async fn note(&self, cause: Fingerprint, note: Option<&Note>) -> Result<()> {
+    pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.note(cause, note).await,
+            Self::Platform(origin) => origin.note(cause, record).await,
             Self::Log(log) => {
-                let note = note.cloned();
-                let record = Record { cause, note };
-                log.append(Stream::Quarantine, &record).await.map(|_| ())
+                let record = record.cloned();
+                let entry = Entry { cause, record };
+                log.append(Stream::Quarantine, &entry).await.map(|_| ())
             }
         }
     }
 
-    /// Notes that a start has to ask for; the platform tells its own unasked.
+    /// Records from the log. Empty for the platform, which returns its own with the list of daemons.
     ///
     /// # Errors
     ///
     /// As [`Log::read`].
-    pub async fn recall(&self) -> Result<Vec<(Fingerprint, Note)>> {
+    pub async fn load(&self) -> Result<Vec<(Fingerprint, Record)>> {
         let Self::Log(log) = self else {
             return Ok(Vec::new());
         };
         let bounds = log.bounds(Stream::Quarantine).await?;
-        let mut next = bounds.head.0.saturating_sub(RECALLED).max(bounds.first.0);
-        let mut notes = Vec::new();
+        let mut next = bounds
+            .head
+            .0
+            .saturating_sub(MAX_READ_RECORDS)
+            .max(bounds.first.0);
+        let mut records = Vec::new();
         while next < bounds.head.0 {
             let page = log
                 .read(Stream::Quarantine, Offset(next), Millis(0))
@@ -70,14 +75,14 @@
             };
             next = last.offset.0 + 1;
             for stored in &page.records {
-                // One that can't be read was not written by a daemon of this release.
-                let Ok(Record { cause, note }) = serde_json::from_str(&stored.value) else {
+                // Records that can't be parsed were not written by this release.
+                let Ok(Entry { cause, record }) = serde_json::from_str(&stored.value) else {
                     continue;
                 };
-                notes.retain(|(known, _)| *known != cause);
-                notes.extend(note.map(|note| (cause, note)));
+                records.retain(|(known, _)| *known != cause);
+                records.extend(record.map(|record| (cause, record)));
             }
         }
-        Ok(notes)
+        Ok(records)
     }
 }
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! What is known of a roll-out, merged alike on every daemon.
+//! State of a rollout, replicated on every daemon.
 
 use std::time::{Duration, Instant};
 
@@ -6,65 +6,65 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::configuration::origin::Position;
-use crate::rollout::order::{Notice, Order, Verdict};
+use crate::rollout::order::{Change, Order, Verdict};
 use crate::rollout::plan::{Plan, Step};
 use crate::units::{Millis, Offset, Revision};
 
-/// Orders of one service that are remembered: several more than an operator gives within the time in which
-/// they matter.
-const MOST_PAST: usize = 8;
-/// Revisions of one service that are remembered after they were rolled back.
-const MOST_REFUSED: usize = 32;
+/// Past orders of one service that are kept: several more than an operator gives while they matter.
+const MAX_PAST_ORDERS: usize = 8;
+/// Rolled-back revisions of one service that are kept.
+const MAX_REFUSED_REVISIONS: usize = 32;
 
-/// An order that another one has replaced.
+/// An order that a later one replaced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
-    /// What was ordered.
+pub struct PastOrder {
+    /// The replaced order.
     pub order: Order,
-    /// Where it stood.
+    /// Its offset on the platform.
     pub offset: Offset,
-    /// Whether its revision had got all requests.
+    /// Whether its revision had received all requests.
     pub completed: bool,
 }
 
-/// One roll-out as daemons tell each other of it.
+/// State of one rollout as daemons send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// What is ordered.
+    /// The current order.
     pub order: Order,
-    /// Where the order stands on the platform.
-    pub at: Position,
-    /// Time since it was given, when this was told.
+    /// Position of the order on the platform.
+    #[serde(rename = "at")]
+    pub position: Position,
+    /// Time since the order was given, at the time of sending.
     pub age: Millis,
-    /// What daemons go by.
+    /// The plan that daemons follow.
     pub plan: Plan,
-    /// Time since the plan was renewed, when this was told.
+    /// Time since the plan was renewed, at the time of sending.
     pub plan_age: Millis,
-    /// How it ended.
+    /// The verdict, if there is one.
     pub verdict: Option<Verdict>,
-    /// Revisions that were rolled back, sorted: they get no request, whatever is ordered.
+    /// Rolled-back revisions, sorted. They receive no requests, whatever is ordered.
     pub refused: Vec<Revision>,
-    /// Orders that were replaced, the last one last.
-    pub past: Vec<Past>,
+    /// Replaced orders, the latest last.
+    pub past: Vec<PastOrder>,
 }
 
-/// Progress as one daemon holds it.
+/// State of a rollout as one daemon holds it, with local times in place of ages.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct LocalProgress {
     progress: Progress,
     /// When the order was given.
-    given: Instant,
+    ordered_at: Instant,
     /// When the plan was renewed.
-    renewed: Instant,
+    plan_renewed_at: Instant,
 }
 
 impl Progress {
-    /// An order that was just given.
+    /// State of an order that was just given.
     #[must_use]
-    pub fn new(order: Order, at: Position) -> Self {
+    pub fn new(order: Order, position: Position) -> Self {
         Self {
             order,
-            at,
+            position,
             age: Millis(0),
             plan: Plan::default(),
             plan_age: Millis(0),
@@ -74,46 +74,46 @@
         }
     }
 
-    /// Whether the order's revision was rolled back.
+    /// Whether the ordered revision was rolled back.
     #[must_use]
     pub fn is_refused(&self) -> bool {
         self.refused.binary_search(&self.order.revision).is_ok()
     }
 
-    /// Revisions beside the order's that get no request, sorted: those that were rolled back, and those
-    /// that were being tried when another order took their place.
+    /// Revisions other than the ordered one that receive no requests, sorted: those that were rolled back,
+    /// and those whose rollout was replaced by another order before it completed.
     #[must_use]
-    pub fn barred(&self) -> Vec<Revision> {
-        let mut barred = self.refused.clone();
+    pub fn excluded_revisions(&self) -> Vec<Revision> {
+        let mut excluded = self.refused.clone();
         for past in &self.past {
             let revision = &past.order.revision;
-            match barred.binary_search(revision) {
-                Err(index) if !past.completed => barred.insert(index, revision.clone()),
-                // It was tried once more, and got all requests.
+            match excluded.binary_search(revision) {
+                Err(index) if !past.completed => excluded.insert(index, revision.clone()),
+                // A later order for this revision completed.
                 Ok(index) if past.completed && !self.refused.contains(revision) => {
-                    barred.remove(index);
+                    excluded.remove(index);
                 }
                 _ => {}
             }
         }
-        barred.retain(|revision| *revision != self.order.revision);
-        barred
+        excluded.retain(|revision| *revision != self.order.revision);
+        excluded
     }
 }
 
-impl Known {
-    /// What was told at `now`.
+impl LocalProgress {
+    /// A state that was received at `now`.
     #[must_use]
     pub fn new(now: Instant, progress: Progress) -> Self {
         let before = |age: Millis| now.checked_sub(age.duration()).unwrap_or(now);
         Self {
-            given: before(progress.age),
-            renewed: before(progress.plan_age),
+            ordered_at: before(progress.age),
+            plan_renewed_at: before(progress.plan_age),
             progress,
         }
     }
 
-    /// Its content; the ages in it are those at which it was learnt.
+    /// The state, with ages as of the time at which it was received.
     #[must_use]
     pub const fn progress(&self) -> &Progress {
         &self.progress
@@ -121,109 +121,112 @@
 
     /// When the plan was renewed.
     #[must_use]
-    pub const fn renewed(&self) -> Instant {
-        self.renewed
+    pub const fn plan_renewed_at(&self) -> Instant {
+        self.plan_renewed_at
     }
 
     /// Time since the order was given.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.given)
+        now.saturating_duration_since(self.ordered_at)
     }
 
-    /// What others are told at `now`.
+    /// The state with ages at `now`, for sending.
     #[must_use]
-    pub fn told(&self, now: Instant) -> Progress {
+    pub fn snapshot(&self, now: Instant) -> Progress {
         Progress {
             age: self.age(now).into(),
-            plan_age: now.saturating_duration_since(self.renewed).into(),
+            plan_age: now.saturating_duration_since(self.plan_renewed_at).into(),
             ..self.progress.clone()
         }
     }
 
-    /// Takes in what another daemon told of the same service; whether any of it was news.
+    /// Merges the state of another daemon for the same service; returns whether anything changed.
     pub fn merge(&mut self, now: Instant, other: &Progress) -> bool {
         let other = Self::new(now, other.clone());
         let refused = self.refuse_all(&other.progress.refused);
         if self.progress.order == other.progress.order {
-            return self.unite(&other) || refused;
+            return self.merge_same_order(&other) || refused;
         }
-        if other.progress.at <= self.progress.at {
+        if other.progress.position <= self.progress.position {
             return refused;
         }
         self.replace(other);
         true
     }
 
-    /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&mut self, now: Instant, notice: &Notice) -> bool {
-        if notice.at <= self.progress.at {
+    /// Applies a change read from the platform; returns whether anything changed.
+    pub fn apply_change(&mut self, now: Instant, change: &Change) -> bool {
+        if change.position <= self.progress.position {
             return false;
         }
-        let Some(order) = &notice.order else {
-            return self.withdraw(notice.at);
+        let Some(order) = &change.order else {
+            return self.withdraw(change.position);
         };
         if *order == self.progress.order {
-            self.progress.at = notice.at;
+            self.progress.position = change.position;
             return true;
         }
-        // Guards against a platform that comes back from an older copy: an order that was replaced
-        // stands there again until the operator has written the newer one once more. What it names would
-        // be tried anew. In a copy it stands where it stood.
-        let is_copy = self.progress.at.era < notice.at.era
+        // A platform that is restored from a backup has a replaced order again until the operator repeats the
+        // newer one. Following it would start its rollout anew. In a backup the order has the same offset as
+        // before.
+        let is_copy = self.progress.position.era < change.position.era
             && self
                 .progress
                 .past
                 .iter()
-                .any(|past| past.order == *order && past.offset == notice.at.offset);
+                .any(|past| past.order == *order && past.offset == change.position.offset);
         if is_copy {
             return false;
         }
-        self.replace(Self::new(now, Progress::new(order.clone(), notice.at)));
+        self.replace(Self::new(
+            now,
+            Progress::new(order.clone(), change.position),
+        ));
         true
     }
 
-    /// Goes by a plan that supersedes the one before; whether it does.
-    pub fn follow(&mut self, renewed: Instant, plan: &Plan) -> bool {
+    /// Adopts a plan if it supersedes the current one; returns whether it does.
+    pub fn apply_plan(&mut self, plan_renewed_at: Instant, plan: &Plan) -> bool {
         let later = plan.supersedes(&self.progress.plan);
         if later {
             self.progress.plan = plan.clone();
-            self.renewed = renewed;
+            self.plan_renewed_at = plan_renewed_at;
         }
         if plan.step == Step::Back {
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         later
     }
 
-    /// Notes the verdict; whether it was news.
-    pub fn conclude(&mut self, verdict: Verdict) -> bool {
+    /// Sets the verdict unless there is one; returns whether it was set.
+    pub fn set_verdict(&mut self, verdict: Verdict) -> bool {
         if self.progress.verdict.is_some() {
             return false;
         }
         self.progress.verdict = Some(verdict);
         if verdict == Verdict::RolledBack {
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         true
     }
 
-    /// Notes that the order is older than it seemed; whether that was news.
-    pub fn date_back(&mut self, given: Instant) -> bool {
-        let earlier = given < self.given;
-        self.given = self.given.min(given);
+    /// Moves the time of the order back if `ordered_at` is earlier; returns whether it is.
+    pub fn backdate(&mut self, ordered_at: Instant) -> bool {
+        let earlier = ordered_at < self.ordered_at;
+        self.ordered_at = self.ordered_at.min(ordered_at);
         earlier
     }
 
-    /// Adds what decides what a daemon does to a hash; ages and renewals don't.
-    pub fn add_to(&self, hasher: &mut Xxh3) {
+    /// Adds the state to a hash, except for ages and renewals, which don't affect what a daemon does.
+    pub fn hash_into(&self, hasher: &mut Xxh3) {
         let progress = &self.progress;
-        let (order, at) = (&progress.order, progress.at);
+        let (order, position) = (&progress.order, progress.position);
         hasher.update(order.service.as_str().as_bytes());
         hasher.update(order.revision.as_str().as_bytes());
         hasher.update(&order.duration.0.to_le_bytes());
-        hasher.update(&at.era.0.to_le_bytes());
-        hasher.update(&at.offset.0.to_le_bytes());
+        hasher.update(&position.era.0.to_le_bytes());
+        hasher.update(&position.offset.0.to_le_bytes());
         let verdict = progress.verdict.map_or(0, |verdict| verdict as u8 + 1);
         hasher.update(&[progress.plan.step as u8, verdict]);
         for refused in &progress.refused {
@@ -231,41 +234,44 @@
         }
     }
 
-    fn unite(&mut self, other: &Self) -> bool {
-        let theirs = &other.progress;
-        let placed = theirs.at > self.progress.at;
-        self.progress.at = self.progress.at.max(theirs.at);
-        self.date_back(other.given);
-        let followed = self.follow(other.renewed, &theirs.plan);
-        let concluded = theirs.verdict.is_some_and(|verdict| self.conclude(verdict));
-        placed || followed || concluded
+    fn merge_same_order(&mut self, other: &Self) -> bool {
+        let received = &other.progress;
+        let is_moved = received.position > self.progress.position;
+        self.progress.position = self.progress.position.max(received.position);
+        self.backdate(other.ordered_at);
+        let is_plan_new = self.apply_plan(other.plan_renewed_at, &received.plan);
+        let is_verdict_new = received
+            .verdict
+            .is_some_and(|verdict| self.set_verdict(verdict));
+        is_moved || is_plan_new || is_verdict_new
     }
 
-    /// Another order takes the place of this one.
+    /// Replaces the order by a later one.
     fn replace(&mut self, mut next: Self) {
         let mut past = std::mem::take(&mut self.progress.past);
-        past.push(Past {
+        past.push(PastOrder {
             order: self.progress.order.clone(),
-            offset: self.progress.at.offset,
+            offset: self.progress.position.offset,
             completed: self.progress.verdict == Some(Verdict::Completed),
         });
         past.extend(std::mem::take(&mut next.progress.past));
         past.dedup();
-        let surplus = past.len().saturating_sub(MOST_PAST);
-        past.drain(..surplus);
+        let excess = past.len().saturating_sub(MAX_PAST_ORDERS);
+        past.drain(..excess);
         next.progress.past = past;
         let refused = std::mem::take(&mut self.progress.refused);
         *self = next;
         self.refuse_all(&refused);
-        // A revision that was rolled back is not tried again under its name: it would meet callers anew.
+        // A revision that was rolled back is not tried again under the same name: callers would meet its
+        // faults again.
         if self.progress.is_refused() {
             self.progress.plan.step = Step::Back;
         }
     }
 
-    /// The order was taken away: what it names gets no more requests, unless it has got all of them.
-    fn withdraw(&mut self, at: Position) -> bool {
-        self.progress.at = at;
+    /// The order was withdrawn: its revision receives no more requests, unless there is a verdict.
+    fn withdraw(&mut self, position: Position) -> bool {
+        self.progress.position = position;
         if self.progress.verdict.is_none() {
             let number = self.progress.plan.number + 1;
             self.progress.plan = Plan {
@@ -273,31 +279,31 @@
                 step: Step::Back,
                 ..Plan::default()
             };
-            self.refuse();
+            self.refuse_ordered_revision();
         }
         true
     }
 
-    fn refuse(&mut self) {
+    fn refuse_ordered_revision(&mut self) {
         let revision = self.progress.order.revision.clone();
         self.refuse_all(&[revision]);
     }
 
-    /// Adds revisions to those that get no request; whether any was news.
+    /// Adds rolled-back revisions; returns whether any was not known.
     fn refuse_all(&mut self, revisions: &[Revision]) -> bool {
         let refused = &mut self.progress.refused;
-        let mut news = false;
+        let mut is_new = false;
         for revision in revisions {
             if let Err(index) = refused.binary_search(revision) {
                 refused.insert(index, revision.clone());
-                news = true;
+                is_new = true;
             }
         }
         let current = &self.progress.order.revision;
-        while refused.len() > MOST_REFUSED {
+        while refused.len() > MAX_REFUSED_REVISIONS {
             let other = refused.iter().position(|revision| revision != current);
             refused.remove(other.unwrap_or(0));
         }
-        news
+        is_new
     }
 }
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -1,4 +1,4 @@
-//! The roll-outs of one daemon, shared by its controllers and read on the path of a request.
+//! Rollout state of one daemon: updated by its controllers, read on the request path.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,38 +9,38 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::rollout::order::{Notice, Order, Verdict};
+use crate::rollout::counters::{Counters, Outcome, Report, RouteId};
+use crate::rollout::order::{Change, Order, Verdict};
 use crate::rollout::plan::Plan;
-use crate::rollout::progress::{Known, Progress};
+use crate::rollout::progress::{LocalProgress, Progress};
 use crate::rollout::rules::Rules;
-use crate::rollout::tally::{Outcome, Report, RouteId, Tally};
 use crate::units::Service;
 
-/// Services with a roll-out that are remembered; an order for a further one waits for the daemon's restart.
-const MOST: usize = 256;
-/// Reports that wait to be read, so that memory is bounded: those of a few hundred gates.
-const MOST_REPORTS: usize = 1_024;
+/// Most services with a rollout. An order for a further one is ignored until the daemon restarts.
+const MAX_SERVICES: usize = 256;
+/// Most unread reports, to bound memory: those of a few hundred sidecars.
+const MAX_REPORTS: usize = 1_024;
 
-/// What is known of roll-outs.
+/// The known rollouts.
 #[derive(Debug)]
 pub struct Rollouts {
-    /// Held for as long as it takes to merge, and never by a request.
+    /// Held while a change is merged; never taken by a request.
     state: Mutex<State>,
     rules: ArcSwap<Rules>,
     changes: watch::Sender<u64>,
-    /// Whether the co-located target's service has a roll-out that is not decided.
+    /// Whether the service of the co-located target has a rollout without a verdict.
     counting: AtomicBool,
     /// Held for a few instructions.
-    tally: Mutex<Tally>,
+    counters: Mutex<Counters>,
     reports: Mutex<Vec<(SocketAddr, Report)>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     /// Sorted by service.
-    known: Vec<Known>,
-    /// Services with something that has not been passed on yet.
-    news: Vec<Service>,
+    known: Vec<LocalProgress>,
+    /// Services with changes that have not been sent to peers.
+    updates: Vec<Service>,
     hash: u64,
 }
 
@@ -51,163 +51,167 @@
             rules: ArcSwap::default(),
             changes: watch::Sender::new(0),
             counting: AtomicBool::new(false),
-            tally: Mutex::new(Tally::new(rand::random())),
+            counters: Mutex::new(Counters::new(rand::random())),
             reports: Mutex::default(),
         }
     }
 }
 
 impl Rollouts {
-    /// The rules in force.
+    /// The current rules.
     #[must_use]
     pub fn rules(&self) -> Arc<Rules> {
         self.rules.load_full()
     }
 
-    /// What is known of each service.
+    /// States of all known rollouts.
     #[must_use]
-    pub fn known(&self) -> Vec<Known> {
+    pub fn list(&self) -> Vec<LocalProgress> {
         self.state().known.clone()
     }
 
-    /// What is known of one service.
+    /// State of one service's rollout.
     #[must_use]
-    pub fn get(&self, service: &Service) -> Option<Known> {
+    pub fn get(&self, service: &Service) -> Option<LocalProgress> {
         let state = self.state();
         let index = find(&state.known, service).ok()?;
         Some(state.known[index].clone())
     }
 
-    /// Takes in what was found on the platform; whether it was news.
-    pub fn notice(&self, notice: &Notice) -> bool {
+    /// Applies a change read from the platform; returns whether anything changed.
+    pub fn apply_change(&self, change: &Change) -> bool {
         let now = Instant::now();
-        self.change(&notice.service, |known| match (known, &notice.order) {
-            (Some(known), _) => known.notice(now, notice).then_some(None),
+        self.change(&change.service, |known| match (known, &change.order) {
+            (Some(known), _) => known.apply_change(now, change).then_some(None),
             (None, Some(order)) => {
-                let progress = Progress::new(order.clone(), notice.at);
-                Some(Some(Known::new(now, progress)))
+                let progress = Progress::new(order.clone(), change.position);
+                Some(Some(LocalProgress::new(now, progress)))
             }
-            // Nothing is known of it that could be taken away.
+            // No order is known that could be withdrawn.
             (None, None) => None,
         })
     }
 
-    /// Takes in what another daemon told.
-    pub fn merge(&self, told: &[Progress]) {
+    /// Merges the states received from another daemon.
+    pub fn merge(&self, received: &[Progress]) {
         let now = Instant::now();
-        for progress in told {
+        for progress in received {
             self.change(&progress.order.service, |known| match known {
                 Some(known) => known.merge(now, progress).then_some(None),
-                None => Some(Some(Known::new(now, progress.clone()))),
+                None => Some(Some(LocalProgress::new(now, progress.clone()))),
             });
         }
     }
 
-    /// Goes by a plan for an order; whether it supersedes the one before.
-    pub fn follow(&self, order: &Order, plan: &Plan) -> bool {
+    /// Adopts a plan for an order if it supersedes the current one; returns whether it does.
+    pub fn apply_plan(&self, order: &Order, plan: &Plan) -> bool {
         let now = Instant::now();
-        self.revise(order, |known| known.follow(now, plan))
+        self.update_order(order, |known| known.apply_plan(now, plan))
     }
 
-    /// Notes the verdict on an order; whether it was news.
-    pub fn conclude(&self, order: &Order, verdict: Verdict) -> bool {
-        self.revise(order, |known| known.conclude(verdict))
+    /// Sets the verdict on an order unless there is one; returns whether it was set.
+    pub fn set_verdict(&self, order: &Order, verdict: Verdict) -> bool {
+        self.update_order(order, |known| known.set_verdict(verdict))
     }
 
-    /// Notes when an order was given; whether that is earlier than it seemed.
-    pub fn date_back(&self, order: &Order, given: Instant) -> bool {
-        self.revise(order, |known| known.date_back(given))
+    /// Moves the time of an order back if `ordered_at` is earlier; returns whether it is.
+    pub fn backdate(&self, order: &Order, ordered_at: Instant) -> bool {
+        self.update_order(order, |known| known.backdate(ordered_at))
     }
 
-    /// The same for daemons that know the same; 0 for nothing.
+    /// Hash of all states, equal for daemons that know the same; 0 for none.
     #[must_use]
     pub fn hash(&self) -> u64 {
         self.state().hash
     }
 
-    /// Everything that is known.
+    /// All states, for sending.
     #[must_use]
-    pub fn told(&self) -> Vec<Progress> {
+    pub fn snapshot(&self) -> Vec<Progress> {
         let now = Instant::now();
         let state = self.state();
-        state.known.iter().map(|known| known.told(now)).collect()
+        state
+            .known
+            .iter()
+            .map(|known| known.snapshot(now))
+            .collect()
     }
 
-    /// What has not been passed on yet, which counts as passed on from now on.
+    /// Returns the changes that have not been sent to peers and marks them as sent.
     #[must_use]
-    pub fn take_news(&self) -> Vec<Progress> {
+    pub fn take_updates(&self) -> Vec<Progress> {
         let now = Instant::now();
         let mut state = self.state();
-        let news = std::mem::take(&mut state.news);
+        let updates = std::mem::take(&mut state.updates);
         let known = state.known.iter();
-        let new = known.filter(|known| news.contains(&known.progress().order.service));
-        new.map(|known| known.told(now)).collect()
+        let new = known.filter(|known| updates.contains(&known.progress().order.service));
+        new.map(|known| known.snapshot(now)).collect()
     }
 
-    /// Follows changes.
+    /// Subscribes to changes.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Has what the co-located target answers counted from now on, or no more.
-    pub fn count(&self, counting: bool) {
+    /// Starts or stops counting the responses of the co-located target. Starting resets the counters.
+    pub fn set_counting(&self, counting: bool) {
         let before = self.counting.swap(counting, Ordering::AcqRel);
         if counting && !before {
-            *self.tally() = Tally::new(rand::random());
+            *self.lock_counters() = Counters::new(rand::random());
         }
     }
 
-    /// Counts a request that is sent to the co-located target, where that is wanted.
-    pub fn arrive(&self) {
+    /// Counts a request that is sent to the co-located target, if counting is on.
+    pub fn count_request(&self) {
         if self.counting.load(Ordering::Acquire) {
-            self.tally().arrived += 1;
+            self.lock_counters().requests += 1;
         }
     }
 
-    /// Counts how the co-located target is done with a request, where that is wanted.
-    pub fn answer(&self, route: &str, outcome: Outcome) {
+    /// Counts the outcome of a request at the co-located target, if counting is on.
+    pub fn count_answer(&self, route: &str, outcome: Outcome) {
         if self.counting.load(Ordering::Acquire) {
-            self.tally().add(RouteId::of(route), outcome);
+            self.lock_counters().add(RouteId::of(route), outcome);
         }
     }
 
-    /// What has been counted.
+    /// A copy of the counters.
     #[must_use]
-    pub fn counted(&self) -> Tally {
-        self.tally().clone()
+    pub fn counters(&self) -> Counters {
+        self.lock_counters().clone()
     }
 
-    /// Keeps a gate's report until it is read.
-    pub fn hear(&self, peer: SocketAddr, report: Report) {
+    /// Keeps a sidecar's report until it is read, in place of an earlier one.
+    pub fn add_report(&self, peer: SocketAddr, report: Report) {
         let mut reports = self.reports();
-        // Each counts everything that the ones before it did.
+        // Counts are cumulative, so a report includes all earlier ones.
         reports.retain(|(known, _)| *known != peer);
-        if reports.len() < MOST_REPORTS {
+        if reports.len() < MAX_REPORTS {
             reports.push((peer, report));
         }
     }
 
-    /// The reports that have come since they were taken last.
+    /// Removes and returns the reports received since the last call.
     #[must_use]
     pub fn take_reports(&self) -> Vec<(SocketAddr, Report)> {
         std::mem::take(&mut *self.reports())
     }
 
-    /// Changes what is known of an order, if it is the current one.
-    fn revise(&self, order: &Order, revise: impl FnOnce(&mut Known) -> bool) -> bool {
+    /// Changes the state of an order if it is the current one of its service.
+    fn update_order(&self, order: &Order, update: impl FnOnce(&mut LocalProgress) -> bool) -> bool {
         self.change(&order.service, |known| {
             let known = known.filter(|known| known.progress().order == *order)?;
-            revise(known).then_some(None)
+            update(known).then_some(None)
         })
     }
 
-    /// Changes what is known of a service: something is returned when it is news, with what is known from
-    /// now on where nothing was.
+    /// Changes the state of a service. `change` returns `None` if nothing changed, and otherwise the new
+    /// state if the service had none.
     fn change(
         &self,
         service: &Service,
-        change: impl FnOnce(Option<&mut Known>) -> Option<Option<Known>>,
+        change: impl FnOnce(Option<&mut LocalProgress>) -> Option<Option<LocalProgress>>,
     ) -> bool {
         let mut state = self.state();
         let found = find(&state.known, service);
@@ -215,12 +219,12 @@
             return false;
         };
         if let (Err(index), Some(known)) = (found, added)
-            && state.known.len() < MOST
+            && state.known.len() < MAX_SERVICES
         {
             state.known.insert(index, known);
         }
-        if !state.news.contains(service) {
-            state.news.push(service.clone());
+        if !state.updates.contains(service) {
+            state.updates.push(service.clone());
         }
         state.hash = hash(&state.known);
         self.rules.store(Arc::new(Rules::of(&state.known)));
@@ -233,8 +237,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tally(&self) -> MutexGuard<'_, Tally> {
-        self.tally.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_counters(&self) -> MutexGuard<'_, Counters> {
+        self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn reports(&self) -> MutexGuard<'_, Vec<(SocketAddr, Report)>> {
@@ -242,18 +246,18 @@
     }
 }
 
-fn find(known: &[Known], service: &Service) -> Result<usize, usize> {
+fn find(known: &[LocalProgress], service: &Service) -> Result<usize, usize> {
     known.binary_search_by(|known| known.progress().order.service.cmp(service))
 }
 
-/// The same for equal knowledge; 0 for none.
-fn hash(known: &[Known]) -> u64 {
+/// Equal for equal states; 0 for none.
+fn hash(known: &[LocalProgress]) -> u64 {
     if known.is_empty() {
         return 0;
     }
     let mut hasher = Xxh3::new();
     for known in known {
-        known.add_to(&mut hasher);
+        known.hash_into(&mut hasher);
     }
     hasher.digest()
 }
