--- a/src/calls/gate.rs
+++ b/src/calls/gate.rs
@@ -2,7 +2,7 @@
 //!
 //! All work enters a target through the daemon beside it, so one process sees everything that is
 //! in flight there, bounds it, and can prove a refusal. A request with an idempotency key is guarded
-//! by [`Keys`], which hand it on to the [`Work`]; any other goes there at once.
+//! by [`Deduplicator`], which hand it on to the [`Work`]; any other goes there at once.
 
 use std::fmt;
 use std::str::FromStr;
@@ -18,7 +18,7 @@
 use crate::calls::origins::Origins;
 use crate::calls::outcome::{self, Reason};
 use crate::calls::work::{Received, Waited, Work};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::units::{Millis, Service};
 
 /// Header with a gate's [`Load`].
@@ -29,7 +29,7 @@
 pub struct Gate {
     board: Arc<Board>,
     work: Arc<Work>,
-    keys: Arc<Keys>,
+    keys: Arc<Deduplicator>,
     /// Held for a few instructions.
     origins: Mutex<Origins>,
 }
@@ -77,7 +77,7 @@
 impl Gate {
     /// A gate to whatever target the board names.
     #[must_use]
-    pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
+    pub fn new(board: Arc<Board>, keys: Arc<Deduplicator>) -> Self {
         let work = Arc::new(Work::new(Arc::clone(&board)));
         Self {
             board,
--- a/src/configuration/origin.rs
+++ b/src/configuration/control_plane.rs
@@ -1,6 +1,6 @@
 //! Where the configuration comes from when a platform keeps it, and where daemons are listed.
 //!
-//! A daemon without an [`Origin`] folds the operators' own edits from the [`log`](crate::configuration::log).
+//! A daemon without an [`ControlPlane`] folds the operators' own edits from the [`log`](crate::configuration::log).
 //! With one, the platform has accepted and ordered the versions already: the daemon only reads
 //! the newest and follows. Delivery between daemons is the same for both.
 
@@ -38,7 +38,7 @@
 
 /// What a read of the platform found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found {
+pub struct Changes {
     /// Versions that were not read before, the highest one last.
     pub releases: Vec<Release>,
     /// Orders to roll out a revision that were not read before, the last one last.
@@ -70,14 +70,14 @@
 }
 
 /// The platform, as a daemon needs it.
-pub trait Origin: Debug + Send + Sync {
+pub trait ControlPlane: Debug + Send + Sync {
     /// Reads the newest version.
-    fn newest(&self) -> BoxFuture<'_, Result<Found>>;
+    fn newest(&self) -> BoxFuture<'_, Result<Changes>>;
 
     /// Reads what follows `from`; waits up to `wait` for it.
     ///
     /// Fails with [`Error::Rewound`](crate::Error::Rewound) in a later era than that of `from`.
-    fn follow(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Found>>;
+    fn follow(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Changes>>;
 
     /// Follows the eras of the platform, as its answers tell them.
     fn eras(&self) -> watch::Receiver<Era>;
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -69,7 +69,7 @@
     /// The receiver needs another base: what it holds is named.
     Need(Digest),
     /// The content that was asked for.
-    Update(Packed),
+    Update(CompressedUpdate),
     /// Too many transfers at once; ask again after the given time.
     Busy(Millis),
 }
@@ -79,9 +79,9 @@
 /// Guards against slow links: a version that brings many routes is sent on four times by each daemon of
 /// the tree, and the last daemons would have it seconds after the first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed(Vec<u8>);
+pub struct CompressedUpdate(Vec<u8>);
 
-impl Packed {
+impl CompressedUpdate {
     /// Compresses an update.
     #[must_use]
     pub fn new(update: &Update) -> Self {
--- a/src/configuration/fetches.rs
+++ b/src/configuration/fetches.rs
@@ -25,7 +25,7 @@
 impl Fetches {
     /// Begins a fetch from `peer` at `now`, which ends when the returned value is dropped; `None` where those
     /// under way are enough.
-    pub fn begin(&self, peer: SocketAddr, now: Instant) -> Option<Ticket<'_>> {
+    pub fn begin(&self, peer: SocketAddr, now: Instant) -> Option<InFlight<'_>> {
         let mut under_way = self.under_way();
         let asked = under_way.iter().any(|fetch| fetch.peer == peer);
         let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.began) < HEDGE;
@@ -33,7 +33,7 @@
             return None;
         }
         under_way.push(Fetch { peer, began: now });
-        Some(Ticket {
+        Some(InFlight {
             fetches: self,
             peer,
         })
@@ -46,12 +46,12 @@
 
 /// A fetch that is under way.
 #[derive(Debug)]
-pub struct Ticket<'a> {
+pub struct InFlight<'a> {
     fetches: &'a Fetches,
     peer: SocketAddr,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let mut under_way = self.fetches.under_way();
         under_way.retain(|fetch| fetch.peer != self.peer);
--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::configuration::origin::Position;
+use crate::configuration::control_plane::Position;
 use crate::units::{Millis, Version};
 
 /// Parts of the time in which a version has to be in force, in percent.
--- a/src/configuration/fit.rs
+++ b/src/configuration/normalize.rs
@@ -9,11 +9,11 @@
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
-//! use jackdawpulley::configuration::fit::fit;
+//! use jackdawpulley::configuration::normalize::normalize;
 //!
 //! let mut document = Document::default();
 //! document.bounds.max_head = 4_096;
-//! let (document, faults) = fit(document);
+//! let (document, faults) = normalize(document);
 //! assert_eq!(document.bounds.max_head, 8_192);
 //! assert_eq!(faults.len(), 1);
 //! ```
@@ -31,7 +31,7 @@
 
 /// Brings a document within bounds; says what was changed. Its resources are sorted.
 #[must_use]
-pub fn fit(document: Document) -> (Document, Vec<Fault>) {
+pub fn normalize(document: Document) -> (Document, Vec<Fault>) {
     let mut document = document.sorted();
     let mut faults = Vec::new();
     drop_repeated_groups(&mut document, &mut faults);
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -11,10 +11,10 @@
 
 use crate::board::Board;
 use crate::configuration::check;
-use crate::configuration::config::Store;
-use crate::configuration::fold::{Proposal, Record, Verdict};
 use crate::configuration::log::{Log, Stream};
 use crate::configuration::reader::Reader;
+use crate::configuration::replica::{Proposal, Record, Verdict};
+use crate::configuration::store::Store;
 use crate::error::{Error, Result};
 use crate::units::{EditId, Millis, Offset, Version};
 
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -11,15 +11,15 @@
 
 use crate::backoff::Backoff;
 use crate::board::Board;
-use crate::configuration::config::{Store, Way};
+use crate::configuration::control_plane::{ControlPlane, Release};
 use crate::configuration::exchange::{Body, Update};
 use crate::configuration::fault::Fault;
-use crate::configuration::fit::fit;
-use crate::configuration::fold::Record;
 use crate::configuration::freshness::Limits;
 use crate::configuration::log::{Log, Stream};
-use crate::configuration::origin::{Origin, Release};
+use crate::configuration::normalize::normalize;
 use crate::configuration::relay::{jitter, order};
+use crate::configuration::replica::Record;
+use crate::configuration::store::{Channel, Store};
 use crate::error::{Error, Result};
 use crate::membership::member::Stage;
 use crate::rollout::order::Notice;
@@ -70,7 +70,7 @@
     /// The operators' edits.
     Log(Log),
     /// Versions that the platform has accepted.
-    Origin(Arc<dyn Origin>),
+    ControlPlane(Arc<dyn ControlPlane>),
 }
 
 impl Reader {
@@ -91,7 +91,7 @@
         let mut lost = false;
         let mut on_duty = false;
         let mut backoff = PAUSES;
-        if matches!(self.source, Source::Origin(_)) {
+        if matches!(self.source, Source::ControlPlane(_)) {
             // Until then the joiner reads, for itself.
             let mut stages = self.board.stages();
             let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
@@ -110,7 +110,7 @@
                 Source::Log(_) => WAIT.min(self.board.settings.checkpoint_ms),
                 // Short against the time in which a version has to be in force, since a connection that
                 // has gone silent shows only by the lack of an answer.
-                Source::Origin(_) => Limits::within(self.board.settings.apply_ms).wait,
+                Source::ControlPlane(_) => Limits::within(self.board.settings.apply_ms).wait,
             };
             let began = Instant::now();
             if let Err(error) = self.turn(wait).await {
@@ -148,7 +148,7 @@
     pub async fn turn(&self, wait: Millis) -> Result<Offset> {
         let log = match &self.source {
             Source::Log(log) => log,
-            Source::Origin(origin) => return self.follow(origin.as_ref(), wait).await,
+            Source::ControlPlane(origin) => return self.follow(origin.as_ref(), wait).await,
         };
         let from = self.store.next();
         match log.read(Stream::Config, from, wait).await {
@@ -166,7 +166,7 @@
     }
 
     /// Takes the newest version of an origin that can be taken, or what follows the latest watermark.
-    async fn follow(&self, origin: &dyn Origin, wait: Millis) -> Result<Offset> {
+    async fn follow(&self, origin: &dyn ControlPlane, wait: Millis) -> Result<Offset> {
         let from = self.board.freshness.latest().next;
         let mut began = Instant::now();
         let found = match from {
@@ -210,13 +210,13 @@
             if version <= self.board.digest().version {
                 return;
             }
-            let (document, faults) = fit(document);
+            let (document, faults) = normalize(document);
             let update = Update {
                 version,
                 body: Body::Whole(document),
                 accepted: Vec::new(),
             };
-            if self.store.accept(update, Way::Read).is_ok() {
+            if self.store.accept(update, Channel::Read).is_ok() {
                 self.note_fit(version, &faults);
                 return;
             }
--- a/src/configuration/floor.rs
+++ b/src/configuration/readiness.rs
@@ -5,15 +5,15 @@
 //! version of several peers in different data centres, who also remember what its address ran.
 //!
 //! ```
-//! use jackdawpulley::configuration::floor::Floor;
+//! use jackdawpulley::configuration::readiness::Requirement;
 //! use jackdawpulley::units::{DataCentre, Version};
 //!
-//! let mut floor = Floor::default();
-//! floor.heard(&DataCentre::from("eros"), Version(4), Version(0));
-//! assert!(!floor.met_by_peers(Version(4), 2), "one data centre is not enough of two");
-//! floor.heard(&DataCentre::from("olympia"), Version(6), Version(0));
-//! assert!(!floor.met_by_peers(Version(4), 2));
-//! assert!(floor.met_by_peers(Version(6), 2));
+//! let mut requirement = Requirement::default();
+//! requirement.heard(&DataCentre::from("eros"), Version(4), Version(0));
+//! assert!(!requirement.met_by_peers(Version(4), 2), "one data centre is not enough of two");
+//! requirement.heard(&DataCentre::from("olympia"), Version(6), Version(0));
+//! assert!(!requirement.met_by_peers(Version(4), 2));
+//! assert!(requirement.met_by_peers(Version(6), 2));
 //! ```
 
 use crate::units::{DataCentre, Offset, Version};
@@ -23,14 +23,14 @@
 
 /// What a starting daemon has learnt.
 #[derive(Debug, Default)]
-pub struct Floor {
+pub struct Requirement {
     /// Data centres that have spoken, sorted.
     voices: Vec<DataCentre>,
     version: Version,
     head: Option<Offset>,
 }
 
-impl Floor {
+impl Requirement {
     /// Notes a peer's version, and the version that this address is known to have run.
     pub fn heard(&mut self, data_centre: &DataCentre, version: Version, ran: Version) {
         if let Err(index) = self.voices.binary_search(data_centre) {
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -16,9 +16,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::board::Board;
-use crate::configuration::config::{Store, Way};
-use crate::configuration::exchange::{Digest, Packed, Pull, Reply};
+use crate::configuration::exchange::{CompressedUpdate, Digest, Pull, Reply};
 use crate::configuration::fetches::Fetches;
+use crate::configuration::store::{Channel, Store};
 use crate::error::Result;
 use crate::membership::member::{Health, Member};
 use crate::peer::Links;
@@ -103,13 +103,13 @@
         let Reply::Update(packed) = reply else {
             return Reply::Have(self.board.digest());
         };
-        match self.accept(&packed, Way::Push) {
+        match self.accept(&packed, Channel::Push) {
             Ok(digest) => Reply::Have(digest),
             Err(_) => Reply::Need(self.board.digest()),
         }
     }
 
-    fn accept(&self, packed: &Packed, way: Way) -> Result<Digest> {
+    fn accept(&self, packed: &CompressedUpdate, way: Channel) -> Result<Digest> {
         self.store.accept(packed.unpack()?, way)
     }
 
@@ -155,7 +155,7 @@
         let mut have = self.board.digest().version;
         for _ in 0..PULL_TRIES {
             match self.links.send(peer, PULL, &Pull { have }).await? {
-                Reply::Update(packed) => match self.accept(&packed, Way::Pull) {
+                Reply::Update(packed) => match self.accept(&packed, Channel::Pull) {
                     Ok(digest) => {
                         self.pulled.store(true, Ordering::Release);
                         return Ok(digest);
--- a/src/configuration/fold.rs
+++ b/src/configuration/replica.rs
@@ -7,13 +7,13 @@
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
-//! use jackdawpulley::configuration::fold::{Base, Content, Edit, Fold, Record, Verdict};
+//! use jackdawpulley::configuration::replica::{Base, Content, Edit, Record, Replica, Verdict};
 //! use jackdawpulley::units::{Offset, Version};
 //!
-//! let mut fold = Fold::new();
+//! let mut replica = Replica::new();
 //! let content = Content::Whole(Document::default());
 //! let edit = Edit { id: "e1".into(), base: Base::Version(Version(0)), content };
-//! let verdict = fold.apply(Offset(0), &Record::Edit(edit));
+//! let verdict = replica.apply(Offset(0), &Record::Edit(edit));
 //! assert_eq!(verdict, Verdict::Accepted { version: Version(1) });
 //! ```
 
@@ -135,7 +135,7 @@
 
 /// The state reached so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fold {
+pub struct Replica {
     state: Checkpoint,
     /// First offset that was still there when records were found missing.
     gap: Option<Offset>,
@@ -143,13 +143,13 @@
     blind: Offset,
 }
 
-impl Default for Fold {
+impl Default for Replica {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Fold {
+impl Replica {
     /// A fold that has seen nothing and starts at offset zero.
     #[must_use]
     pub fn new() -> Self {
--- a/src/configuration/config.rs
+++ b/src/configuration/store.rs
@@ -14,11 +14,11 @@
 use crate::configuration::check;
 use crate::configuration::delta::Delta;
 use crate::configuration::document::Document;
-use crate::configuration::exchange::{Body, Digest, Packed, Reply, Update};
-use crate::configuration::fold::{
-    Base, Checkpoint, Content, Edit, Fold, Proposal, Record, Verdict,
-};
+use crate::configuration::exchange::{Body, CompressedUpdate, Digest, Reply, Update};
 use crate::configuration::log::Stored;
+use crate::configuration::replica::{
+    Base, Checkpoint, Content, Edit, Proposal, Record, Replica, Verdict,
+};
 use crate::error::{Error, Result};
 use crate::settings::Delivery;
 use crate::units::{EditId, Offset, Version};
@@ -32,7 +32,7 @@
 /// How a version reaches a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Way {
+pub enum Channel {
     /// Read from the log or the platform.
     Read,
     /// Sent by a peer.
@@ -50,7 +50,7 @@
 
 #[derive(Debug)]
 struct State {
-    fold: Fold,
+    fold: Replica,
     /// Documents that were in force, oldest first, the current one last.
     history: Vec<Past>,
     /// Encoded updates to the current version, by the version they start from.
@@ -73,7 +73,7 @@
 
 /// Content for a peer, encoded.
 #[derive(Debug, Clone)]
-pub struct Parcel {
+pub struct EncodedUpdate {
     /// A [`Reply::Update`].
     pub reply: Bytes,
     /// Whether it is a whole document.
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let state = State {
-            fold: Fold::new(),
+            fold: Replica::new(),
             history: Vec::new(),
             encoded: Vec::new(),
             checkpoint_seen: Instant::now(),
@@ -173,7 +173,7 @@
                 _ => {}
             }
         }
-        self.publish(&mut state, Way::Read);
+        self.publish(&mut state, Channel::Read);
     }
 
     /// Takes an update that came by a way.
@@ -182,7 +182,7 @@
     ///
     /// [`Error::Delta`] when it starts from a version that is not in force here, or does not lead
     /// to what it promises; [`Error::Faults`] when its document contradicts itself.
-    pub fn accept(&self, update: Update, way: Way) -> Result<Digest> {
+    pub fn accept(&self, update: Update, way: Channel) -> Result<Digest> {
         let mut state = self.state();
         let Update {
             version,
@@ -215,23 +215,23 @@
 
     /// Content that leads a peer from `have` to what is in force.
     #[must_use]
-    pub fn parcel(&self, have: Version) -> Parcel {
+    pub fn parcel(&self, have: Version) -> EncodedUpdate {
         let mut state = self.state();
         if let Some(done) = state.encoded.iter().find(|encoded| encoded.base == have) {
-            return Parcel {
+            return EncodedUpdate {
                 reply: done.reply.clone(),
                 whole: done.whole,
             };
         }
         let update = state.update(have, self.board.settings.delivery);
         let whole = matches!(update.body, Body::Whole(_));
-        let reply = wire::encode(&Reply::Update(Packed::new(&update)));
+        let reply = wire::encode(&Reply::Update(CompressedUpdate::new(&update)));
         state.encoded.push(Encoded {
             base: have,
             reply: reply.clone(),
             whole,
         });
-        Parcel { reply, whole }
+        EncodedUpdate { reply, whole }
     }
 
     /// The version in force before the current one: what peers most likely hold.
@@ -242,7 +242,7 @@
         index.map_or(Version(0), |index| state.history[index].version)
     }
 
-    fn publish(&self, state: &mut State, way: Way) {
+    fn publish(&self, state: &mut State, way: Channel) {
         let version = state.fold.version();
         if version <= self.board.digest().version {
             return;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -16,16 +16,16 @@
 use crate::calls::entry::Entry;
 use crate::calls::gate::Gate;
 use crate::calls::http_server::{self, Phase};
-use crate::configuration::config::Store;
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::document::Bounds;
 use crate::configuration::log::Log;
-use crate::configuration::origin::Origin;
 use crate::configuration::publish::Publisher;
 use crate::configuration::reader::{Reader, Source};
 use crate::configuration::relay::Relay;
+use crate::configuration::store::Store;
 use crate::error::{ListenSnafu, Result};
 use crate::extension::{Extension, Face, Handles};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::announce::Desk;
 use crate::membership::contacts::Contacts;
 use crate::membership::greeting::Greeting;
@@ -152,7 +152,7 @@
     let membership = Membership::open(Arc::clone(&board), Arc::clone(&relay)).await?;
     let membership = Arc::new(membership);
     let reader = Arc::new(Reader::new(Arc::clone(&board), Arc::clone(&store), source));
-    let keys = Arc::new(Keys::new(
+    let keys = Arc::new(Deduplicator::new(
         Arc::clone(&board),
         Arc::clone(&links),
         log.clone(),
@@ -228,7 +228,7 @@
 fn spawn_keepers(
     board: &Arc<Board>,
     membership: &Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
+    origin: Option<Arc<dyn ControlPlane>>,
     archive: Archive,
 ) {
     if let Some(origin) = &origin {
@@ -252,7 +252,7 @@
     board: &Arc<Board>,
     publisher: Publisher,
     gate: &Arc<Gate>,
-    keys: &Arc<Keys>,
+    keys: &Arc<Deduplicator>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
         board: Arc::clone(board),
@@ -264,7 +264,7 @@
 }
 
 /// The log, which stays closed where a platform keeps the configuration, and what readers read.
-fn sources(board: &Board, origin: Option<&Arc<dyn Origin>>) -> (Log, Source) {
+fn sources(board: &Board, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
     let (address, meter) = (board.settings.log_addr, Arc::clone(&board.meter));
     match origin {
         None => {
@@ -273,7 +273,7 @@
         }
         Some(origin) => (
             Log::closed(address, meter),
-            Source::Origin(Arc::clone(origin)),
+            Source::ControlPlane(Arc::clone(origin)),
         ),
     }
 }
--- a/src/extension.rs
+++ b/src/extension.rs
@@ -7,7 +7,7 @@
 
 use crate::board::Board;
 use crate::calls::dialect::Dialect;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::membership::announce::Desk;
 use crate::membership::member::Stage;
 use crate::settings::Settings;
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub struct Extension {
     /// Where the configuration comes from, in place of the log.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// How callers and targets spell their headers.
     pub dialect: Dialect,
     /// Reads the settings again: none when they have not changed since they were read last.
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/deduplicator.rs
@@ -16,25 +16,26 @@
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
 use crate::idempotency::claim::Claims;
-use crate::idempotency::gates::{self, Heritage};
 use crate::idempotency::keys::{
-    Answer, Handed, Holder, Memory, Own, Ownership, Peer, Standing, State, ownership, proven,
+    Answer, HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership,
+    proven,
 };
-use crate::idempotency::keys::{Legacy, Note, Noted, Taken};
+use crate::idempotency::keys::{Handoff, HandoffAck, Intent, IntentAck};
 use crate::idempotency::replay::{keep, response};
+use crate::idempotency::sidecars::{self, Heritage};
 use crate::peer::Links;
 use crate::units::{CallKey, Millis, Service};
 
-/// Path of a [`Note`].
-pub const NOTE: &str = "/control/note";
-/// Path of a [`Legacy`].
-pub const LEGACY: &str = "/control/legacy";
-/// Keys in one [`Legacy`].
-const LEGACY_PART: usize = 1_000;
+/// Path of a [`Intent`].
+pub const INTENT_PATH: &str = "/control/note";
+/// Path of a [`Handoff`].
+pub const HANDOFF_PATH: &str = "/control/legacy";
+/// Keys in one [`Handoff`].
+const KEYS_PER_HANDOFF: usize = 1_000;
 
 /// The keys of one gate.
 #[derive(Debug)]
-pub struct Keys {
+pub struct Deduplicator {
     board: Arc<Board>,
     links: Arc<Links>,
     log: Log,
@@ -53,7 +54,7 @@
     heritage: Heritage,
 }
 
-impl Keys {
+impl Deduplicator {
     /// An empty memory.
     #[must_use]
     pub fn new(board: Arc<Board>, links: Arc<Links>, log: Log) -> Self {
@@ -87,7 +88,7 @@
 
     /// Answers another gate that is about to run a key; nothing once this one has handed over.
     #[must_use]
-    pub fn note(&self, note: &Note) -> Option<Noted> {
+    pub fn note(&self, note: &Intent) -> Option<IntentAck> {
         if self.closed.load(Ordering::Acquire) {
             return None;
         }
@@ -96,7 +97,7 @@
         let known = self.memory().note(Instant::now(), &note.key, note.holder);
         let lived = self.lived.load(Ordering::Acquire);
         let age = Millis::from(self.born.elapsed());
-        Some(Noted { known, age, lived })
+        Some(IntentAck { known, age, lived })
     }
 
     /// Runs a request unless its key has run, or may have.
@@ -224,14 +225,14 @@
     /// Makes sure that nobody else ran the key, and that this run will be known.
     async fn prove(&self, received: &Received, key: &CallKey) -> Result<(), Reason> {
         let (service, leaving) = (received.service(), received.leaving());
-        let own = Own {
+        let own = LocalSidecar {
             address: self.board.settings.identity(),
             age: self.born.elapsed(),
             lived: self.lived.load(Ordering::Acquire),
         };
         let span = self.board.settings.key_memory_ms.duration();
         let peers = self.peers(service, leaving);
-        let note = Note {
+        let note = Intent {
             key: key.clone(),
             holder: self.holder(),
         };
@@ -253,9 +254,13 @@
         }
     }
 
-    async fn tell_one(&self, witnesses: &[SocketAddr], note: &Note) -> Result<(), Reason> {
+    async fn tell_one(&self, witnesses: &[SocketAddr], note: &Intent) -> Result<(), Reason> {
         for witness in witnesses {
-            match self.links.send::<_, Noted>(*witness, NOTE, note).await {
+            match self
+                .links
+                .send::<_, IntentAck>(*witness, INTENT_PATH, note)
+                .await
+            {
                 Ok(noted) if noted.known => return Err(Reason::KeyInDoubt),
                 Ok(_) => return Ok(()),
                 Err(_) => {}
@@ -264,9 +269,18 @@
         Err(Reason::NoWitness)
     }
 
-    async fn tell_all(&self, survivors: &[SocketAddr], note: &Note) -> Result<Vec<Noted>, Reason> {
+    async fn tell_all(
+        &self,
+        survivors: &[SocketAddr],
+        note: &Intent,
+    ) -> Result<Vec<IntentAck>, Reason> {
         let asking = survivors.iter().map(|peer| async move {
-            (*peer, self.links.send::<_, Noted>(*peer, NOTE, note).await)
+            (
+                *peer,
+                self.links
+                    .send::<_, IntentAck>(*peer, INTENT_PATH, note)
+                    .await,
+            )
         });
         let mut answers = Vec::new();
         for (peer, answer) in join_all(asking).await {
@@ -297,9 +311,9 @@
         let peers = self.peers(&service, &[]);
         let stay = peers
             .iter()
-            .filter(|peer| peer.standing == Standing::Serving);
+            .filter(|peer| peer.standing == Liveness::Serving);
         let stay: Vec<SocketAddr> = stay.map(|peer| peer.address).collect();
-        for part in keys.chunks(LEGACY_PART) {
+        for part in keys.chunks(KEYS_PER_HANDOFF) {
             if !self.bequeath(&stay, part, false).await {
                 return false;
             }
@@ -307,21 +321,22 @@
         !stay.is_empty() && self.bequeath(&stay, &[], true).await
     }
 
-    async fn bequeath(&self, stay: &[SocketAddr], keys: &[Handed], complete: bool) -> bool {
-        let legacy = Legacy {
+    async fn bequeath(&self, stay: &[SocketAddr], keys: &[HandoffKey], complete: bool) -> bool {
+        let legacy = Handoff {
             from: self.holder(),
             keys: keys.to_vec(),
             complete,
         };
-        let sending = stay
-            .iter()
-            .map(|peer| self.links.send::<_, Taken>(*peer, LEGACY, &legacy));
+        let sending = stay.iter().map(|peer| {
+            self.links
+                .send::<_, HandoffAck>(*peer, HANDOFF_PATH, &legacy)
+        });
         join_all(sending).await.iter().all(crate::Result::is_ok)
     }
 
     /// Takes what a leaving gate remembered.
     #[must_use]
-    pub fn inherit(&self, legacy: &Legacy) -> Taken {
+    pub fn inherit(&self, legacy: &Handoff) -> HandoffAck {
         let now = Instant::now();
         let mut memory = self.memory();
         for handed in &legacy.keys {
@@ -331,12 +346,12 @@
         if legacy.complete {
             self.heritage.took_over(legacy.from.gate);
         }
-        Taken
+        HandoffAck
     }
 
     fn peers(&self, service: &Service, leaving: &[SocketAddr]) -> Vec<Peer> {
         let me = self.board.settings.identity();
-        gates::others(&self.board.roster(), service, me, leaving, Instant::now())
+        sidecars::others(&self.board.roster(), service, me, leaving, Instant::now())
     }
 
     fn memory(&self) -> MutexGuard<'_, Memory> {
@@ -353,7 +368,7 @@
 
 /// A run of a key; it is in doubt when dropped before its end.
 struct Run {
-    keys: Arc<Keys>,
+    keys: Arc<Deduplicator>,
     key: CallKey,
     settled: bool,
 }
--- a/src/idempotency/keys.rs
+++ b/src/idempotency/keys.rs
@@ -56,7 +56,7 @@
 
 /// A key that a leaving gate hands over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct HandoffKey {
     /// The key.
     pub key: CallKey,
     /// Gate that ran it, or was about to.
@@ -65,7 +65,7 @@
 
 /// Asks a gate to note that a key is about to run elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct Intent {
     /// The key, with its service.
     pub key: CallKey,
     /// Gate that wants to run it.
@@ -74,22 +74,22 @@
 
 /// What a leaving gate remembers, for those who stay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct Handoff {
     /// The gate that leaves.
     pub from: Holder,
     /// Its keys, or a part of them.
-    pub keys: Vec<Handed>,
+    pub keys: Vec<HandoffKey>,
     /// Whether every part has been taken by all.
     pub complete: bool,
 }
 
-/// Answer to a [`Legacy`].
+/// Answer to a [`Handoff`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken;
+pub struct HandoffAck;
 
-/// Answer to a [`Note`].
+/// Answer to a [`Intent`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Noted {
+pub struct IntentAck {
     /// Whether the key may have run, here or at another gate.
     pub known: bool,
     /// Time for which the answerer has remembered keys.
@@ -189,9 +189,9 @@
 
     /// Everything remembered, for whoever follows a gate that leaves as `me`.
     #[must_use]
-    pub fn hand_over(&self, now: Instant, me: Holder) -> Vec<Handed> {
+    pub fn hand_over(&self, now: Instant, me: Holder) -> Vec<HandoffKey> {
         let kept = self.keys.iter().filter(|kept| kept.until > now);
-        let hand = |kept: &Remembered| Handed {
+        let hand = |kept: &Remembered| HandoffKey {
             key: kept.key.clone(),
             holder: match kept.state {
                 State::Noted(holder) => holder,
@@ -221,12 +221,12 @@
     /// Its address.
     pub address: SocketAddr,
     /// Whether it is there.
-    pub standing: Standing,
+    pub standing: Liveness,
 }
 
 /// Whether a gate is there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// It takes calls.
     Serving,
     /// It takes no more calls, but still knows what it ran.
@@ -237,7 +237,7 @@
 
 /// What a gate knows of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalSidecar {
     /// Its address.
     pub address: SocketAddr,
     /// Time for which it has remembered keys.
@@ -268,32 +268,32 @@
 
 /// Decides what a gate may do with `key`, when keys are remembered for `span`.
 #[must_use]
-pub fn ownership(key: &CallKey, own: Own, peers: &[Peer], span: Duration) -> Ownership {
+pub fn ownership(key: &CallKey, own: LocalSidecar, peers: &[Peer], span: Duration) -> Ownership {
     let mine = rank(key, own.address);
     let above = |peer: &&Peer| rank(key, peer.address) > mine;
     let recent = |peer: &Peer| match peer.standing {
-        Standing::Serving => false,
-        Standing::Leaving => true,
-        Standing::Lost(ago) => ago < span,
+        Liveness::Serving => false,
+        Liveness::Leaving => true,
+        Liveness::Lost(ago) => ago < span,
     };
     if peers
         .iter()
         .filter(above)
-        .any(|peer| peer.standing == Standing::Serving)
+        .any(|peer| peer.standing == Liveness::Serving)
     {
         return Ownership::Moved;
     }
-    let lost = |peer: &&Peer| matches!(peer.standing, Standing::Lost(ago) if ago < span);
+    let lost = |peer: &&Peer| matches!(peer.standing, Liveness::Lost(ago) if ago < span);
     let young = own.age < span;
     let earlier_life = usize::from(young && own.lived);
     let losses = peers.iter().filter(lost).count() + earlier_life;
     let mut live: Vec<&Peer> = peers
         .iter()
-        .filter(|peer| !matches!(peer.standing, Standing::Lost(_)))
+        .filter(|peer| !matches!(peer.standing, Liveness::Lost(_)))
         .collect();
     // Those who leave are the last to be asked for a note.
     live.sort_by_key(|peer| {
-        let leaving = peer.standing == Standing::Leaving;
+        let leaving = peer.standing == Liveness::Leaving;
         (leaving, std::cmp::Reverse(rank(key, peer.address)))
     });
     let live: Vec<SocketAddr> = live.into_iter().map(|peer| peer.address).collect();
@@ -321,7 +321,7 @@
 
 /// Whether the answers of all survivors prove that nobody ran the key.
 #[must_use]
-pub fn proven(own: Own, losses: usize, answers: &[Noted], span: Duration) -> bool {
+pub fn proven(own: LocalSidecar, losses: usize, answers: &[IntentAck], span: Duration) -> bool {
     let old = |age: Millis| age.duration() >= span;
     // A gate that was lost and came back answers like any other, but its notes are gone.
     let returned = answers
--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -7,6 +7,6 @@
 pub mod ledger;
 
 pub(crate) mod claim;
-pub(crate) mod gates;
-pub(crate) mod guard;
+pub(crate) mod deduplicator;
 pub(crate) mod replay;
+pub(crate) mod sidecars;
--- a/src/idempotency/gates.rs
+++ b/src/idempotency/sidecars.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use crate::idempotency::keys::{Peer, Standing};
+use crate::idempotency::keys::{Liveness, Peer};
 use crate::membership::member::{Health, Member};
 use crate::membership::roster::Roster;
 use crate::units::Service;
@@ -31,9 +31,9 @@
             let open = member.offer.as_ref().is_some_and(|offer| offer.open);
             let serving = open && member.stage.takes_calls() && !leaving.contains(&member.peer);
             let standing = if serving {
-                Standing::Serving
+                Liveness::Serving
             } else {
-                Standing::Leaving
+                Liveness::Leaving
             };
             Peer {
                 address: member.peer,
@@ -48,7 +48,7 @@
         let ago = now.saturating_duration_since(departed.since);
         Peer {
             address: departed.member.peer,
-            standing: Standing::Lost(ago),
+            standing: Liveness::Lost(ago),
         }
     });
     live.chain(lost).collect()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
-//! use jackdawpulley::configuration::fold::{Base, Content, Edit, Fold, Record, Verdict};
+//! use jackdawpulley::configuration::replica::{Base, Content, Edit, Record, Replica, Verdict};
 //! use jackdawpulley::units::{Offset, Version};
 //!
 //! let text = br#"{
@@ -35,9 +35,9 @@
 //!     base: Base::Version(Version(0)),
 //!     content: Content::Whole(document.clone()),
 //! });
-//! let mut fold = Fold::new();
-//! assert_eq!(fold.apply(Offset(0), &edit("a")), Verdict::Accepted { version: Version(1) });
-//! assert_eq!(fold.apply(Offset(1), &edit("b")), Verdict::Conflict { current: Version(1) });
+//! let mut replica = Replica::new();
+//! assert_eq!(replica.apply(Offset(0), &edit("a")), Verdict::Accepted { version: Version(1) });
+//! assert_eq!(replica.apply(Offset(1), &edit("b")), Verdict::Conflict { current: Version(1) });
 //! # Ok::<(), jackdawpulley::Error>(())
 //! ```
 //!
--- a/src/membership/greeting.rs
+++ b/src/membership/greeting.rs
@@ -8,10 +8,10 @@
 use tokio::sync::mpsc;
 
 use crate::board::Board;
-use crate::configuration::floor::Floor;
+use crate::configuration::readiness::Requirement;
 use crate::configuration::relay::Relay;
 use crate::error::Result;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::datagram::{Join, Welcome};
 use crate::membership::greeters::{GREETERS, Listed, greeters};
 use crate::membership::member::{Health, Member};
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Heard {
     /// The configuration that it has to reach.
-    pub floor: Floor,
+    pub floor: Requirement,
     /// Peers that have welcomed it.
     pub welcomes: usize,
     /// The last entry of an earlier daemon at this address.
@@ -53,7 +53,7 @@
     /// Fetches content.
     pub relay: Arc<Relay>,
     /// Remembers keys.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
 }
 
 impl Greeting {
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -11,11 +11,11 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::config::Store;
-use crate::configuration::floor::Floor;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::reader::Reader;
+use crate::configuration::readiness::Requirement;
 use crate::configuration::relay::jitter;
+use crate::configuration::store::Store;
 use crate::error::Result;
 use crate::membership::announce::Desk;
 use crate::membership::contacts::{Contacts, RENEWAL};
@@ -61,7 +61,7 @@
     /// The log's list of contacts.
     pub contacts: Contacts,
     /// The platform, where it keeps the configuration and lists daemons.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// What is kept of requests in quarantine.
     pub archive: Archive,
     /// Finds the target of a daemon that was killed.
@@ -311,7 +311,7 @@
     }
 
     /// Reads the log to its head; `false` while it is away.
-    async fn read_log(&self, floor: &mut Floor) -> bool {
+    async fn read_log(&self, floor: &mut Requirement) -> bool {
         loop {
             let Ok(head) = self.reader.turn(Millis(0)).await else {
                 return false;
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -8,7 +8,7 @@
 
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::origin::{Contact, Directory, Origin};
+use crate::configuration::control_plane::{Contact, ControlPlane, Directory};
 use crate::error::Result;
 use crate::membership::greeters::Listed;
 use crate::units::Millis;
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone)]
 pub struct Listing {
     board: Arc<Board>,
-    origin: Arc<dyn Origin>,
+    origin: Arc<dyn ControlPlane>,
 }
 
 impl Listing {
     /// The list of `origin`, for the daemon of `board`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
+    pub const fn new(board: Arc<Board>, origin: Arc<dyn ControlPlane>) -> Self {
         Self { board, origin }
     }
 
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::directory`] and [`Origin::list`].
+    /// As [`ControlPlane::directory`] and [`ControlPlane::list`].
     pub async fn consult(&self) -> Result<Listed> {
         let contacts = self.read(ENOUGH).await?;
         if contacts.len() >= ENOUGH {
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::list`].
+    /// As [`ControlPlane::list`].
     pub async fn list(&self) -> Result<()> {
         // It may be done although no answer comes.
         self.board.set_listed();
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::unlist`].
+    /// As [`ControlPlane::unlist`].
     pub async fn leave(&self) -> Result<()> {
         if self.board.is_listed() {
             self.origin.unlist(&self.contact()).await?;
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -11,7 +11,7 @@
 
 use crate::configuration::delta::Delta;
 use crate::configuration::document::Document;
-use crate::configuration::fold::{Base, Proposal};
+use crate::configuration::replica::{Base, Proposal};
 use crate::error::{DocumentSnafu, Error, FileSnafu, Result};
 use crate::http_client::Client;
 use crate::membership::member::Member;
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -16,10 +16,10 @@
 use crate::calls::gate::Gate;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
-use crate::configuration::fold::Proposal;
 use crate::configuration::publish::Publisher;
+use crate::configuration::replica::Proposal;
 use crate::error::{Error, Result};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::member::Member;
 use crate::operation::state::{Brief, Dump};
 use crate::rollout::progress::Progress;
@@ -83,7 +83,7 @@
     /// Read for the state dump.
     pub gate: Arc<Gate>,
     /// Read for the state dump.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Renders metrics.
     pub metrics: Option<PrometheusHandle>,
 }
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -8,7 +8,7 @@
 use crate::board::{Board, Target};
 use crate::calls::gate::Gate;
 use crate::configuration::reader;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::member::{Health, Member, Stage};
 use crate::membership::roster::{Roster, Upstream};
 use crate::quarantine::evidence::Verdicts;
@@ -143,7 +143,7 @@
 impl Dump {
     /// Reads a daemon.
     #[must_use]
-    pub fn of(board: &Board, gate: &Gate, keys: &Keys) -> Self {
+    pub fn of(board: &Board, gate: &Gate, keys: &Deduplicator) -> Self {
         let now = Instant::now();
         let config = board.config();
         let roster = board.roster();
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -22,8 +22,8 @@
 use crate::configuration::exchange::{Pull, Reply};
 use crate::configuration::relay::{PULL, PUSH, Relay};
 use crate::error::{Error, FrameSnafu, ListenSnafu, Result};
-use crate::idempotency::guard::{Keys, LEGACY, NOTE};
-use crate::idempotency::keys::{Legacy, Note};
+use crate::idempotency::deduplicator::{Deduplicator, HANDOFF_PATH, INTENT_PATH};
+use crate::idempotency::keys::{Handoff, Intent};
 use crate::membership::datagram::Join;
 use crate::membership::probe::Membership;
 use crate::peer::counted::Counted;
@@ -46,7 +46,7 @@
     /// Takes calls.
     pub gate: Arc<Gate>,
     /// Takes notes of keys.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Takes and serves content.
     pub relay: Arc<Relay>,
     /// Lets joiners in.
@@ -140,9 +140,9 @@
             JOIN => Ok(wire::encode(
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
-            NOTE => self.note(&wire::decode::<Note>(body)?),
-            LEGACY => Ok(wire::encode(
-                &self.keys.inherit(&wire::decode::<Legacy>(body)?),
+            INTENT_PATH => self.note(&wire::decode::<Intent>(body)?),
+            HANDOFF_PATH => Ok(wire::encode(
+                &self.keys.inherit(&wire::decode::<Handoff>(body)?),
             )),
             _ => FrameSnafu {
                 reason: format!("nothing is served at {path}"),
@@ -151,7 +151,7 @@
         }
     }
 
-    fn note(&self, note: &Note) -> Result<Bytes> {
+    fn note(&self, note: &Intent) -> Result<Bytes> {
         let reason = "this gate has handed its keys over".to_owned();
         let noted = self.keys.note(note);
         noted
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::log::{Log, Stream};
-use crate::configuration::origin::Origin;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::note::Note;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub enum Archive {
     /// With the platform, which tells them together with its list of daemons.
-    Platform(Arc<dyn Origin>),
+    Platform(Arc<dyn ControlPlane>),
     /// As records of the log, for as long as it retains them.
     Log(Log),
 }
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::note`] and [`Log::append`].
+    /// As [`ControlPlane::note`] and [`Log::append`].
     pub async fn note(&self, cause: Fingerprint, note: Option<&Note>) -> Result<()> {
         match self {
             Self::Platform(origin) => origin.note(cause, note).await,
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -14,7 +14,7 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::membership::member::{Health, Stage};
 use crate::membership::probe::Membership;
 use crate::quarantine::inspect;
@@ -50,7 +50,7 @@
 pub struct Controller {
     board: Arc<Board>,
     membership: Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
+    origin: Option<Arc<dyn ControlPlane>>,
     limits: Limits,
     /// Sorted by service.
     duties: Vec<Duty>,
@@ -63,7 +63,7 @@
     pub fn new(
         board: &Arc<Board>,
         membership: &Arc<Membership>,
-        origin: Option<Arc<dyn Origin>>,
+        origin: Option<Arc<dyn ControlPlane>>,
     ) -> Self {
         Self {
             limits: board.settings.exposure(),
@@ -349,7 +349,7 @@
 /// Tells the platform how a roll-out stands, and takes what stands there.
 async fn tell(
     board: &Board,
-    origin: &dyn Origin,
+    origin: &dyn ControlPlane,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -4,7 +4,7 @@
 use snafu::{Snafu, ensure};
 use strum::{Display, EnumString, VariantNames};
 
-use crate::configuration::origin::Position;
+use crate::configuration::control_plane::Position;
 use crate::membership::announce::MAX_REVISION;
 use crate::units::{Millis, Revision, Service};
 
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::configuration::origin::Position;
+use crate::configuration::control_plane::Position;
 use crate::rollout::order::{Notice, Order, Verdict};
 use crate::rollout::plan::{Plan, Step};
 use crate::units::{Millis, Offset, Revision};
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -12,10 +12,10 @@
 
 use crate::board::Board;
 use crate::calls::http_server::Phase;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::extension::Reread;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::listing::Listing;
 use crate::membership::member::{Health, Stage};
 use crate::membership::probe::Membership;
@@ -51,11 +51,11 @@
     /// Tells the others.
     pub membership: Arc<Membership>,
     /// Hands its keys over.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Ends the callers' connections.
     pub phases: watch::Sender<Phase>,
     /// The platform, where daemons are listed.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// Reads changed settings.
     pub reread: Option<Reread>,
 }
--- a/tests/fit.rs
+++ b/tests/fit.rs
@@ -5,7 +5,7 @@
 use common::{fixed, group, numbered, route};
 use jackdawpulley::configuration::check;
 use jackdawpulley::configuration::document::{Document, Share};
-use jackdawpulley::configuration::fit::fit;
+use jackdawpulley::configuration::normalize::normalize;
 use jackdawpulley::units::Millis;
 use proptest::prelude::*;
 
@@ -24,7 +24,7 @@
 #[test]
 fn fitting_one_stays() {
     let before = numbered(3);
-    let (after, faults) = fit(before.clone());
+    let (after, faults) = normalize(before.clone());
     assert_eq!(after, before.sorted());
     assert_eq!(faults, []);
 }
@@ -39,7 +39,7 @@
         route(&"é".repeat(100), "/d", "shelf"),
         route("twin", "/a", "shelf"),
     ];
-    let (fitted, faults) = fit(document);
+    let (fitted, faults) = normalize(document);
     let mut paths: Vec<&str> = fitted.routes.iter().map(|r| r.path.as_str()).collect();
     paths.sort_unstable();
     assert_eq!(paths, ["/a", "/b", "/c", "/d"]);
@@ -52,12 +52,12 @@
 fn weights_keep_their_shares() {
     let mut document = numbered(1);
     document.routes[0].split = split(&[u32::MAX, u32::MAX, 0, 1]);
-    let (fitted, _) = fit(document.clone());
+    let (fitted, _) = normalize(document.clone());
     let weights: Vec<u32> = fitted.routes[0].split.iter().map(|s| s.weight).collect();
     assert_eq!(weights[0], weights[1]);
     assert_eq!((weights[2], weights[3]), (0, 1));
     document.routes[0].split = split(&[0, 0]);
-    let (fitted, _) = fit(document);
+    let (fitted, _) = normalize(document);
     assert_eq!(fitted.routes[0].split, split(&[1, 1]));
 }
 
@@ -70,7 +70,7 @@
     let mut never = route("never", "/y", "shelf");
     never.timeout_ms = Millis(0);
     document.routes.push(never);
-    let (fitted, faults) = fit(document);
+    let (fitted, faults) = normalize(document);
     assert_eq!(faults, []);
     assert_eq!(check::document(&fitted).len(), 3);
 }
@@ -100,9 +100,9 @@
             route.split = split(weights);
             document.routes.push(route);
         }
-        let (fitted, _) = fit(document);
+        let (fitted, _) = normalize(document);
         prop_assert_eq!(check::document(&fitted), []);
-        let (again, faults) = fit(fitted.clone());
+        let (again, faults) = normalize(fitted.clone());
         prop_assert_eq!(again, fitted);
         prop_assert_eq!(faults, []);
     }
--- a/tests/floor.rs
+++ b/tests/floor.rs
@@ -1,6 +1,6 @@
 //! The floor of a daemon that has just started.
 
-use jackdawpulley::configuration::floor::Floor;
+use jackdawpulley::configuration::readiness::Requirement;
 use jackdawpulley::units::{DataCentre, Offset, Version};
 
 fn eros() -> DataCentre {
@@ -11,7 +11,7 @@
 /// of them has seen version 9 on its probes. Serving version 7 would take its callers back.
 #[test]
 fn own_earlier_version_binds() {
-    let mut floor = Floor::default();
+    let mut floor = Requirement::default();
     floor.heard(&eros(), Version(7), Version(9));
     floor.read_head(Offset(7));
     assert!(!floor.met_by_log(Version(7), Offset(7)));
@@ -21,7 +21,7 @@
 
 #[test]
 fn first_head_counts() {
-    let mut floor = Floor::default();
+    let mut floor = Requirement::default();
     assert!(!floor.met_by_log(Version(3), Offset(3)));
     floor.read_head(Offset(5));
     floor.read_head(Offset(8));
@@ -31,7 +31,7 @@
 
 #[test]
 fn lone_data_centre_is_enough() {
-    let mut floor = Floor::default();
+    let mut floor = Requirement::default();
     assert!(!floor.met_by_peers(Version(0), 1), "nobody has spoken");
     floor.heard(&eros(), Version(2), Version(0));
     assert!(floor.met_by_peers(Version(2), 1));
--- a/tests/fold.rs
+++ b/tests/fold.rs
@@ -7,7 +7,9 @@
 use common::{faulty, fixed, numbered};
 use jackdawpulley::configuration::delta::Delta;
 use jackdawpulley::configuration::document::Document;
-use jackdawpulley::configuration::fold::{Base, Checkpoint, Content, Edit, Fold, Record, Verdict};
+use jackdawpulley::configuration::replica::{
+    Base, Checkpoint, Content, Edit, Record, Replica, Verdict,
+};
 use jackdawpulley::units::{EditId, Offset, Version};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -93,7 +95,7 @@
 struct Log {
     first: u64,
     records: Vec<Record>,
-    folds: Vec<Fold>,
+    folds: Vec<Replica>,
     /// Register after each record, by offset.
     truth: Vec<(Version, Arc<Document>)>,
 }
@@ -157,7 +159,7 @@
         Log {
             first: 0,
             records: Vec::new(),
-            folds: vec![Fold::new(); FOLDS],
+            folds: vec![Replica::new(); FOLDS],
             truth: Vec::new(),
         }
     }
@@ -203,7 +205,7 @@
             }
             Step::Expire { count } => log.first = (log.first + count).min(log.head()),
             Step::Read { by, count } => log.read(by, count),
-            Step::Restart { by } => log.folds[by] = Fold::new(),
+            Step::Restart { by } => log.folds[by] = Replica::new(),
             Step::Adopt { by, from } => {
                 let source = &log.folds[from];
                 let (version, document) = (source.version(), Arc::clone(source.document()));
@@ -243,7 +245,7 @@
 
 #[test]
 fn racing_edits_have_one_winner() {
-    let mut fold = Fold::new();
+    let mut fold = Replica::new();
     let first = fold.apply(Offset(0), &edit("a", 0, 1));
     let second = fold.apply(Offset(1), &edit("b", 0, 2));
     assert_eq!(
@@ -265,7 +267,7 @@
 /// somebody else had won, against its own edit.
 #[test]
 fn repeated_append_keeps_its_verdict() {
-    let mut fold = Fold::new();
+    let mut fold = Replica::new();
     let first = fold.apply(Offset(0), &edit("a", 0, 1));
     let again = fold.apply(Offset(1), &edit("a", 0, 1));
     assert_eq!(first, again);
@@ -277,7 +279,7 @@
 /// documents under two versions.
 #[test]
 fn gapped_fold_judges_nothing() {
-    let mut fold = Fold::new();
+    let mut fold = Replica::new();
     fold.apply(Offset(0), &edit("a", 0, 1));
     fold.expire(Offset(5));
     assert_eq!(fold.apply(Offset(5), &edit("c", 1, 3)), Verdict::Gap);
@@ -294,7 +296,7 @@
         document: Arc::new(numbered(1)),
         recent: Vec::new(),
     };
-    let mut newcomer = Fold::new();
+    let mut newcomer = Replica::new();
     newcomer.expire(Offset(4));
     assert_eq!(
         newcomer.apply(Offset(4), &Record::Checkpoint(stale.clone())),
@@ -321,9 +323,9 @@
 /// else had won.
 #[test]
 fn adopted_edit_is_known() {
-    let mut reader = Fold::new();
+    let mut reader = Replica::new();
     reader.apply(Offset(0), &edit("mine", 0, 1));
-    let mut publisher = Fold::new();
+    let mut publisher = Replica::new();
     let accepted = reader.accepted_since(publisher.version());
     publisher.adopt(reader.version(), Arc::clone(reader.document()), accepted);
     let again = publisher.apply(Offset(1), &edit("mine", 0, 1));
@@ -345,7 +347,7 @@
         base: Base::Head(Offset(7)),
         content: Content::Whole(numbered(7)),
     };
-    let mut fold = Fold::new();
+    let mut fold = Replica::new();
     fold.adopt(Version(8), Arc::new(numbered(7)), Vec::new());
     let verdict = fold.apply(Offset(8), &Record::Edit(forced));
     assert_eq!(
@@ -358,7 +360,7 @@
 
 #[test]
 fn forced_edit_closes_a_gap() {
-    let mut fold = Fold::new();
+    let mut fold = Replica::new();
     fold.expire(Offset(9));
     let forced = Edit {
         id: "f".into(),
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
+use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::configuration::freshness::{Freshness, Limits, Report};
-use jackdawpulley::configuration::origin::Position;
 use jackdawpulley::units::{Era, Millis, Offset};
 use proptest::prelude::*;
 
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -6,9 +6,10 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::idempotency::keys::Noted;
+use jackdawpulley::idempotency::keys::IntentAck;
 use jackdawpulley::idempotency::keys::{
-    Handed, Holder, Memory, Own, Ownership, Peer, Standing, State, ownership, proven, rank,
+    HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership, proven,
+    rank,
 };
 use jackdawpulley::units::{CallKey, Millis};
 use proptest::prelude::*;
@@ -115,7 +116,7 @@
     fn may_run(&mut self, gate: usize, key: &CallKey) -> bool {
         let me = &self.gates[gate];
         let age = self.now - me.born;
-        let own = Own {
+        let own = LocalSidecar {
             address: address(gate),
             age,
             lived: me.lived,
@@ -132,7 +133,7 @@
                 .first()
                 .is_none_or(|w| !self.note(*w, key, gate).known),
             Ownership::Ask { survivors, losses } => {
-                let answers: Vec<Noted> = survivors
+                let answers: Vec<IntentAck> = survivors
                     .iter()
                     .map(|peer| self.note(*peer, key, gate))
                     .collect();
@@ -142,12 +143,12 @@
         }
     }
 
-    fn standing(&self, index: usize) -> Standing {
+    fn standing(&self, index: usize) -> Liveness {
         let gate = &self.gates[index];
         match gate.lost {
-            Some(lost) => Standing::Lost(self.now - lost),
-            None if gate.draining => Standing::Leaving,
-            None => Standing::Serving,
+            Some(lost) => Liveness::Lost(self.now - lost),
+            None if gate.draining => Liveness::Leaving,
+            None => Liveness::Serving,
         }
     }
 
@@ -159,10 +160,10 @@
             gate: address(index),
             life: self.gates[index].life,
         };
-        let handed: Vec<Handed> = self.gates[index].memory.hand_over(self.now, me);
+        let handed: Vec<HandoffKey> = self.gates[index].memory.hand_over(self.now, me);
         let mut taken = false;
         for other in 0..GATES {
-            if other != index && self.standing(other) == Standing::Serving {
+            if other != index && self.standing(other) == Liveness::Serving {
                 taken = true;
                 for key in &handed {
                     let memory = &mut self.gates[other].memory;
@@ -175,7 +176,7 @@
     }
 
     /// Has a gate note the key.
-    fn note(&mut self, peer: SocketAddr, key: &CallKey, holder: usize) -> Noted {
+    fn note(&mut self, peer: SocketAddr, key: &CallKey, holder: usize) -> IntentAck {
         let index = (0..GATES)
             .find(|&index| address(index) == peer)
             .expect("a gate");
@@ -186,7 +187,7 @@
         let now = self.now;
         let gate = &mut self.gates[index];
         let known = gate.memory.note(now, key, holder);
-        Noted {
+        IntentAck {
             known,
             age: Millis::from(now - gate.born),
             lived: gate.lived,
@@ -247,7 +248,7 @@
         .max_by_key(|&g| rank(&key, address(g)))
         .expect("there are gates");
     for gate in 0..GATES {
-        let own = Own {
+        let own = LocalSidecar {
             address: address(gate),
             age: 2 * SPAN,
             lived: false,
@@ -256,7 +257,7 @@
             .filter(|&other| other != gate)
             .map(|other| Peer {
                 address: address(other),
-                standing: Standing::Serving,
+                standing: Liveness::Serving,
             })
             .collect();
         let decision = ownership(&key, own, &peers, SPAN);
@@ -269,7 +270,7 @@
     let key = CallKey("k".into());
     let mut gates: Vec<usize> = (0..GATES).collect();
     gates.sort_by_key(|&gate| std::cmp::Reverse(rank(&key, address(gate))));
-    let own = Own {
+    let own = LocalSidecar {
         address: address(gates[2]),
         age: 2 * SPAN,
         lived: false,
@@ -278,10 +279,10 @@
         address: address(gates[index]),
         standing,
     };
-    let lost = Standing::Lost(Duration::from_secs(1));
-    let both = [peer(0, lost), peer(1, lost), peer(3, Standing::Serving)];
+    let lost = Liveness::Lost(Duration::from_secs(1));
+    let both = [peer(0, lost), peer(1, lost), peer(3, Liveness::Serving)];
     assert_eq!(ownership(&key, own, &both, SPAN), Ownership::Doubt);
-    let one = [peer(0, lost), peer(3, Standing::Serving)];
+    let one = [peer(0, lost), peer(3, Liveness::Serving)];
     assert_eq!(
         ownership(&key, own, &one, SPAN),
         Ownership::Ask {
@@ -296,14 +297,14 @@
 #[test]
 fn lone_gate_after_losses_refuses() {
     let key = CallKey("k".into());
-    let own = Own {
+    let own = LocalSidecar {
         address: address(0),
         age: 2 * SPAN,
         lived: false,
     };
     let gone = |index, ago| Peer {
         address: address(index),
-        standing: Standing::Lost(ago),
+        standing: Liveness::Lost(ago),
     };
     let lower = (1..GATES).find(|&g| rank(&key, address(g)) < rank(&key, address(0)));
     let lower = lower.expect("not the lowest of all");
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
+use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::configuration::exchange::Digest;
 use jackdawpulley::configuration::freshness::Report;
-use jackdawpulley::configuration::origin::Position;
 use jackdawpulley::membership::member::{Health, Member, Stage};
 use jackdawpulley::membership::timing::Timing;
 use jackdawpulley::membership::view::{Effects, Send, View};
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::configuration::origin::Position;
+use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::membership::member::{Health, Member, Offer, Stage};
 use jackdawpulley::membership::roster::{Departed, Roster};
 use jackdawpulley::rollout::decision::{Cause, decide};
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -5,8 +5,8 @@
 use common::{fixed, numbered, route};
 use jackdawpulley::calls::handover::Handover;
 use jackdawpulley::configuration::delta::Delta;
-use jackdawpulley::configuration::exchange::{Body, Packed, Pull, Reply, Update};
-use jackdawpulley::idempotency::keys::Note;
+use jackdawpulley::configuration::exchange::{Body, CompressedUpdate, Pull, Reply, Update};
+use jackdawpulley::idempotency::keys::Intent;
 use jackdawpulley::membership::datagram::{Datagram, Join};
 use jackdawpulley::units::Version;
 use jackdawpulley::wire;
@@ -21,7 +21,7 @@
     let _ = wire::decode::<Update>(bytes);
     let _ = wire::decode::<Pull>(bytes);
     let _ = wire::decode::<Join>(bytes);
-    let _ = wire::decode::<Note>(bytes);
+    let _ = wire::decode::<Intent>(bytes);
     let _ = wire::decode::<Handover>(bytes);
 }
 
@@ -40,7 +40,7 @@
         let update = |body| Update { version: Version(2), body, accepted: Vec::new() };
         let changes = update(Body::Delta { base: Version(1), delta });
         let whole = update(Body::Whole(document));
-        let packed = |update| wire::encode(&Reply::Update(Packed::new(update)));
+        let packed = |update| wire::encode(&Reply::Update(CompressedUpdate::new(update)));
         let plain = [wire::encode(&changes), wire::encode(&whole)];
         for frame in plain.into_iter().chain([packed(&changes), packed(&whole)]) {
             let mut bytes = frame.to_vec();
@@ -72,7 +72,7 @@
 fn hostile_size_is_refused() {
     let mut bytes = u32::MAX.to_le_bytes().to_vec();
     bytes.extend([0; 20]);
-    let packed: Packed = wire::decode(&wire::encode(&bytes)).expect("it has the shape");
+    let packed: CompressedUpdate = wire::decode(&wire::encode(&bytes)).expect("it has the shape");
     assert!(packed.unpack().is_err());
 }
 
@@ -93,7 +93,7 @@
         body: Body::Whole(document.sorted()),
         accepted: Vec::new(),
     };
-    let (plain, packed) = (wire::encode(&update).len(), Packed::new(&update));
+    let (plain, packed) = (wire::encode(&update).len(), CompressedUpdate::new(&update));
     let small = wire::encode(&Reply::Update(packed.clone())).len();
     assert!(small * 2 < plain, "{small} of {plain}");
     assert_eq!(packed.unpack().expect("it is whole"), update);
--- a/trial/src/rig/publish.rs
+++ b/trial/src/rig/publish.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 use jackdawpulley::configuration::document::Document;
-use jackdawpulley::configuration::fold::{Base, Proposal};
+use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
 use serde_json::Value;
 
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -8,7 +8,7 @@
 use jackdaw_trial::rig::fleet::{get, until};
 use jackdaw_trial::rig::watch::Watch;
 use jackdaw_trial::stand_in::log::{Faults, Mode};
-use jackdawpulley::configuration::fold::{Base, Proposal};
+use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
 use rustix::process::Signal;
 use serde_json::Value;
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -8,7 +8,7 @@
 use common::{document, fleet, places};
 use jackdaw_trial::rig::fleet::{Fleet, get};
 use jackdaw_trial::stand_in::log::{Faults, Mode};
-use jackdawpulley::configuration::fold::{Base, Proposal};
+use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
 use serde_json::Value;
 use todc_utils::linearizability::WGLChecker;
