--- a/src/board.rs
+++ b/src/board.rs
@@ -28,7 +28,7 @@
 use crate::rollout::shared::Rollouts;
 use crate::settings::Settings;
 use crate::telemetry::Meter;
-use crate::units::{Birth, Era, Instance, Millis, Revision, Slots, Version};
+use crate::units::{Birth, Generation, Instance, Millis, Revision, Slots, Version};
 
 /// Lines a second that requests may cause, so that an overload is not made worse by being logged.
 const LINES: u32 = 40;
@@ -132,7 +132,7 @@
     in_flight: AtomicU64,
     versions: watch::Sender<Version>,
     /// Highest era of the platform that is known.
-    eras: watch::Sender<Era>,
+    eras: watch::Sender<Generation>,
     rosters: watch::Sender<u64>,
     stages: watch::Sender<Stage>,
     /// Whether a planned stop waits no longer.
@@ -161,7 +161,7 @@
             listed: AtomicBool::new(false),
             in_flight: AtomicU64::new(0),
             versions: watch::Sender::new(Version(0)),
-            eras: watch::Sender::new(Era(0)),
+            eras: watch::Sender::new(Generation(0)),
             rosters: watch::Sender::new(0),
             stages: watch::Sender::new(Stage::Starting),
             cut: watch::Sender::new(false),
@@ -208,12 +208,12 @@
 
     /// Highest era of the platform that is known.
     #[must_use]
-    pub fn era(&self) -> Era {
+    pub fn era(&self) -> Generation {
         *self.eras.borrow()
     }
 
     /// Notes an era that the platform or another daemon has told.
-    pub fn note_era(&self, era: Era) {
+    pub fn note_era(&self, era: Generation) {
         self.eras.send_if_modified(|known| {
             let later = era > *known;
             *known = era.max(*known);
@@ -223,7 +223,7 @@
 
     /// Follows the eras of the platform: in each, what was written to it before may be gone.
     #[must_use]
-    pub fn eras(&self) -> watch::Receiver<Era> {
+    pub fn eras(&self) -> watch::Receiver<Generation> {
         self.eras.subscribe()
     }
 
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -21,7 +21,7 @@
 use crate::membership::roster::Upstream;
 use crate::peer::Failure;
 use crate::quarantine::fingerprint::{Content, Fingerprint};
-use crate::units::{CallKey, Millis, Service};
+use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
@@ -107,7 +107,7 @@
         let prompt = began + plan.route.latency_ms.unwrap_or(timeout).duration();
         let group = Arc::clone(plan.group(draw));
         // Callers of different services may choose the same key.
-        let scoped = |key| CallKey(format!("{}/{key}", group.service));
+        let scoped = |key| IdempotencyKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
         let handover = Handover {
             id: id.to_owned(),
--- a/src/calls/choice.rs
+++ b/src/calls/choice.rs
@@ -18,7 +18,7 @@
 use crate::idempotency::keys;
 use crate::membership::roster::{Roster, Upstream};
 use crate::rollout::rules::Side;
-use crate::units::{CallKey, Revision};
+use crate::units::{IdempotencyKey, Revision};
 
 /// Chooses among the upstreams of a board.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     pub fn choose(&self, call: &Call) -> Option<Arc<Upstream>> {
         let roster = self.board.roster();
         let fresh = self.eligible(&roster, call);
-        let by_key = |key: &CallKey| {
+        let by_key = |key: &IdempotencyKey| {
             let indices = 0..fresh.len();
             indices.max_by_key(|index| keys::rank(key, fresh[*index].peer))
         };
@@ -63,7 +63,7 @@
         } else if self.is_suspect(call) {
             // Guards against a request that ends several targets at the same moment, as its repeats come
             // in at several daemons: all of them go to one gate, which runs one at a time.
-            by_key(&CallKey(call.handover.fingerprint.to_string()))
+            by_key(&IdempotencyKey(call.handover.fingerprint.to_string()))
         } else {
             let typical = self.experience.typical(&call.plan.route.name);
             self.best(&fresh, call, &typical, Instant::now())
--- a/src/calls/handover.rs
+++ b/src/calls/handover.rs
@@ -12,7 +12,7 @@
 use crate::configuration::document::Guard;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::units::{CallKey, Millis, Priority, Service};
+use crate::units::{IdempotencyKey, Millis, Priority, Service};
 use crate::wire;
 
 /// Header that carries a [`Handover`].
@@ -53,7 +53,7 @@
     /// Whether running it twice does no harm.
     pub repeatable: bool,
     /// The caller's idempotency key.
-    pub key: Option<CallKey>,
+    pub key: Option<IdempotencyKey>,
     /// What keeps the key from running twice.
     pub guard: Guard,
     /// Gates that have told the entry themselves that they take no more calls.
--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -16,7 +16,7 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::note::Note;
 use crate::rollout::order::{Notice, Order, Status};
-use crate::units::{DataCentre, Era, Millis, Offset, Version};
+use crate::units::{DataCentre, Generation, Millis, Offset, Version};
 
 /// A version that the platform has accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Era of the platform in which the offset holds: in a later one it may be another record's.
-    pub era: Era,
+    pub era: Generation,
     /// Offset of the next record.
     pub offset: Offset,
 }
@@ -80,7 +80,7 @@
     fn follow(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Changes>>;
 
     /// Follows the eras of the platform, as its answers tell them.
-    fn eras(&self) -> watch::Receiver<Era>;
+    fn generations(&self) -> watch::Receiver<Generation>;
 
     /// Lists a daemon, in place of what was listed for its address.
     fn list<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -42,7 +42,7 @@
 use crate::settings::Settings;
 use crate::stop::Stopping;
 use crate::telemetry;
-use crate::units::{Era, Millis};
+use crate::units::{Generation, Millis};
 
 pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
 
@@ -232,14 +232,14 @@
     archive: Archive,
 ) {
     if let Some(origin) = &origin {
-        tokio::spawn(follow_eras(Arc::clone(board), origin.eras()));
+        tokio::spawn(follow_eras(Arc::clone(board), origin.generations()));
     }
     tokio::spawn(Controller::new(board, membership, origin).run());
     tokio::spawn(Keeper::new(board, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
-async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Era>) {
+async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Generation>) {
     while eras.changed().await.is_ok() {
         let era = *eras.borrow_and_update();
         info!(board.logger, "platform in another era"; "era" => era.0);
--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -18,7 +18,7 @@
 use crate::error::{Error, Result};
 use crate::idempotency::keys::Holder;
 use crate::idempotency::ledger::{Batch, Claim, Entry, Ledger};
-use crate::units::{CallKey, Millis, Offset, Service};
+use crate::units::{IdempotencyKey, Millis, Offset, Service};
 
 /// Allowance for clocks that differ between hosts, in milliseconds.
 const SKEW_MS: u64 = 30_000;
@@ -70,7 +70,7 @@
     ///
     /// [`Reason::LogAway`] when the log did not take the claim: the key may not run;
     /// [`Reason::KeyInDoubt`] when another claim came first.
-    pub async fn claim(&self, key: &CallKey) -> Result<Claim, Reason> {
+    pub async fn claim(&self, key: &IdempotencyKey) -> Result<Claim, Reason> {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let claim = Claim {
             key: key.clone(),
--- a/src/idempotency/deduplicator.rs
+++ b/src/idempotency/deduplicator.rs
@@ -24,7 +24,7 @@
 use crate::idempotency::replay::{keep, response};
 use crate::idempotency::sidecars::{self, Heritage};
 use crate::peer::Links;
-use crate::units::{CallKey, Millis, Service};
+use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Path of a [`Intent`].
 pub const INTENT_PATH: &str = "/control/note";
@@ -107,7 +107,7 @@
     /// Why there is no answer.
     pub async fn guard(
         self: &Arc<Self>,
-        key: CallKey,
+        key: IdempotencyKey,
         received: Received,
         work: &Arc<Work>,
     ) -> Result<Response<Body>, Reason> {
@@ -146,7 +146,7 @@
 
     async fn run_noted(
         &self,
-        key: &CallKey,
+        key: &IdempotencyKey,
         received: Received,
         work: &Work,
     ) -> Result<Response<Body>, Reason> {
@@ -156,7 +156,7 @@
 
     async fn run_claimed(
         &self,
-        key: &CallKey,
+        key: &IdempotencyKey,
         received: Received,
         work: &Work,
     ) -> Result<Response<Body>, Reason> {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn begin(&self, key: &CallKey) -> Result<Begin, Reason> {
+    fn begin(&self, key: &IdempotencyKey) -> Result<Begin, Reason> {
         let now = Instant::now();
         let mut memory = self.memory();
         match memory.recall(now, key) {
@@ -223,7 +223,7 @@
     }
 
     /// Makes sure that nobody else ran the key, and that this run will be known.
-    async fn prove(&self, received: &Received, key: &CallKey) -> Result<(), Reason> {
+    async fn prove(&self, received: &Received, key: &IdempotencyKey) -> Result<(), Reason> {
         let (service, leaving) = (received.service(), received.leaving());
         let own = LocalSidecar {
             address: self.board.settings.identity(),
@@ -369,7 +369,7 @@
 /// A run of a key; it is in doubt when dropped before its end.
 struct Run {
     keys: Arc<Deduplicator>,
-    key: CallKey,
+    key: IdempotencyKey,
     settled: bool,
 }
 
--- a/src/idempotency/keys.rs
+++ b/src/idempotency/keys.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::units::{CallKey, Millis};
+use crate::units::{IdempotencyKey, Millis};
 
 /// Losses among the gates of a service that its notes survive.
 const LOSSES_SURVIVED: usize = 1;
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoffKey {
     /// The key.
-    pub key: CallKey,
+    pub key: IdempotencyKey,
     /// Gate that ran it, or was about to.
     pub holder: Holder,
 }
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     /// The key, with its service.
-    pub key: CallKey,
+    pub key: IdempotencyKey,
     /// Gate that wants to run it.
     pub holder: Holder,
 }
@@ -100,7 +100,7 @@
 
 #[derive(Debug)]
 struct Remembered {
-    key: CallKey,
+    key: IdempotencyKey,
     state: State,
     until: Instant,
 }
@@ -139,14 +139,14 @@
 
     /// What is remembered of `key`.
     #[must_use]
-    pub fn recall(&self, now: Instant, key: &CallKey) -> Option<&State> {
+    pub fn recall(&self, now: Instant, key: &IdempotencyKey) -> Option<&State> {
         let index = self.find(key).ok()?;
         let found = &self.keys[index];
         (found.until > now || found.state == State::Running).then_some(&found.state)
     }
 
     /// Remembers `state` for `key`, in place of anything earlier.
-    pub fn remember(&mut self, now: Instant, key: &CallKey, state: State) {
+    pub fn remember(&mut self, now: Instant, key: &IdempotencyKey, state: State) {
         self.sweep(now);
         let until = now + self.span;
         match self.find(key) {
@@ -168,14 +168,14 @@
     }
 
     /// Forgets `key`: it has provably not run.
-    pub fn forget(&mut self, key: &CallKey) {
+    pub fn forget(&mut self, key: &IdempotencyKey) {
         if let Ok(index) = self.find(key) {
             self.keys.remove(index);
         }
     }
 
     /// Notes that `holder` is about to run `key`; `true` when it may have run elsewhere.
-    pub fn note(&mut self, now: Instant, key: &CallKey, holder: Holder) -> bool {
+    pub fn note(&mut self, now: Instant, key: &IdempotencyKey, holder: Holder) -> bool {
         // Guards against a holder that ran the key, was killed and came back at its address: to
         // itself its note would look like its own next try. Its new life is another holder.
         match self.recall(now, key) {
@@ -201,7 +201,7 @@
         kept.map(hand).collect()
     }
 
-    fn find(&self, key: &CallKey) -> Result<usize, usize> {
+    fn find(&self, key: &IdempotencyKey) -> Result<usize, usize> {
         self.keys
             .binary_search_by(|remembered| remembered.key.cmp(key))
     }
@@ -268,7 +268,12 @@
 
 /// Decides what a gate may do with `key`, when keys are remembered for `span`.
 #[must_use]
-pub fn ownership(key: &CallKey, own: LocalSidecar, peers: &[Peer], span: Duration) -> Ownership {
+pub fn ownership(
+    key: &IdempotencyKey,
+    own: LocalSidecar,
+    peers: &[Peer],
+    span: Duration,
+) -> Ownership {
     let mine = rank(key, own.address);
     let above = |peer: &&Peer| rank(key, peer.address) > mine;
     let recent = |peer: &Peer| match peer.standing {
@@ -338,6 +343,6 @@
 
 /// Rendezvous rank of a gate for a key; the highest holds it.
 #[must_use]
-pub fn rank(key: &CallKey, peer: SocketAddr) -> u64 {
+pub fn rank(key: &IdempotencyKey, peer: SocketAddr) -> u64 {
     xxh3_64(format!("{key}@{peer}").as_bytes())
 }
--- a/src/idempotency/ledger.rs
+++ b/src/idempotency/ledger.rs
@@ -20,13 +20,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::idempotency::keys::Holder;
-use crate::units::{CallKey, Offset};
+use crate::units::{IdempotencyKey, Offset};
 
 /// One wish to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The key, with its service.
-    pub key: CallKey,
+    pub key: IdempotencyKey,
     /// Gate that wants to run it.
     pub holder: Holder,
     /// Number of the claim at its gate.
@@ -96,7 +96,7 @@
 
     /// The claim that holds a key.
     #[must_use]
-    pub fn holder(&self, key: &CallKey) -> Option<&Claim> {
+    pub fn holder(&self, key: &IdempotencyKey) -> Option<&Claim> {
         let index = self.find(key).ok()?;
         Some(&self.held[index].claim)
     }
@@ -138,7 +138,7 @@
         self.held.retain(|held| held.at_ms >= at_ms);
     }
 
-    fn find(&self, key: &CallKey) -> Result<usize, usize> {
+    fn find(&self, key: &IdempotencyKey) -> Result<usize, usize> {
         self.held.binary_search_by(|held| held.claim.key.cmp(key))
     }
 }
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -12,7 +12,7 @@
 use crate::quarantine::crash::Crash;
 use crate::rollout::progress::Progress;
 use crate::rollout::tally::Report;
-use crate::units::{Era, Revision, Service, Slots, Version};
+use crate::units::{Generation, Revision, Service, Slots, Version};
 
 /// A membership datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     /// Up to where the platform was read, with nothing newer than that; none before the first read.
     pub watermark: Option<freshness::Report>,
     /// Highest era of the platform that the sender knows.
-    pub era: Era,
+    pub era: Generation,
     /// Hash of what the sender knows of requests that end targets and of roll-outs; 0 for nothing.
     pub evidence: u64,
     /// What it is about.
@@ -88,7 +88,7 @@
     /// Roll-outs that the answerer knows of.
     pub rollouts: Vec<Progress>,
     /// Highest era of the platform that the answerer knows.
-    pub era: Era,
+    pub era: Generation,
     /// Revisions that get requests without an order.
     pub usual: Vec<(Service, Revision)>,
 }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -22,7 +22,7 @@
 use crate::membership::member::{Health, Member, Offer, Stage};
 use crate::membership::rounds::Rounds;
 use crate::membership::timing::Timing;
-use crate::units::{DataCentre, Era, Incarnation, Slots, Version};
+use crate::units::{DataCentre, Generation, Incarnation, Slots, Version};
 use crate::wire;
 
 /// Daemons that probe a silent one on another's behalf.
@@ -78,7 +78,7 @@
     me: Member,
     digest: Digest,
     watermark: Option<Report>,
-    era: Era,
+    era: Generation,
     evidence: u64,
     entries: Entries,
     pending: Vec<Pending>,
@@ -97,7 +97,7 @@
             me,
             digest: Digest::default(),
             watermark: None,
-            era: Era(0),
+            era: Generation(0),
             evidence: 0,
             entries: Entries::default(),
             pending: Vec::new(),
@@ -144,7 +144,7 @@
     }
 
     /// Sets the highest era of the platform that its own daemon knows.
-    pub const fn set_era(&mut self, era: Era) {
+    pub const fn set_era(&mut self, era: Generation) {
         self.era = era;
     }
 
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -15,7 +15,7 @@
 use crate::rollout::progress::Progress;
 use crate::settings::Settings;
 use crate::telemetry::Reading;
-use crate::units::{DataCentre, Era, Millis, Revision, Service, Version};
+use crate::units::{DataCentre, Generation, Millis, Revision, Service, Version};
 
 /// Most members and upstreams that a dump names.
 const MOST: usize = 500;
@@ -56,7 +56,7 @@
     /// Revisions that are rolled out, or were.
     pub rollouts: Vec<Progress>,
     /// Highest era of the platform that is known.
-    pub era: Era,
+    pub era: Generation,
     /// Control bytes.
     pub control: Reading,
     /// Members that are not gone.
--- a/src/rollout/duty.rs
+++ b/src/rollout/duty.rs
@@ -16,7 +16,7 @@
 use crate::rollout::progress::Known;
 use crate::rollout::tally::Report;
 use crate::rollout::test::Test;
-use crate::units::{CallKey, Era, Revision, Service};
+use crate::units::{Generation, IdempotencyKey, Revision, Service};
 
 /// Time between two looks at a roll-out that is under way.
 pub const TICK: Duration = Duration::from_millis(250);
@@ -39,7 +39,7 @@
     /// What is going on with the platform about it.
     pub asked: Arc<Asked>,
     /// When the platform was asked last, and in which era.
-    pub checked: Option<(Instant, Era)>,
+    pub checked: Option<(Instant, Generation)>,
     step: Step,
     since: Instant,
     /// When requests were counted last: those of new targets and of old ones that had been reported.
@@ -187,7 +187,7 @@
 /// Daemons in rendezvous order for a service.
 #[must_use]
 pub fn ranked<'a>(service: &Service, members: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
-    let key = CallKey(service.to_string());
+    let key = IdempotencyKey(service.to_string());
     let mut peers: Vec<SocketAddr> = members.map(|member| member.peer).collect();
     peers.sort_by_cached_key(|peer| Reverse(keys::rank(&key, *peer)));
     peers
--- a/src/units.rs
+++ b/src/units.rs
@@ -115,7 +115,7 @@
 
 number! {
     /// How often the platform's store has come back from an older copy; 0 where it does not tell.
-    Era, u64
+    Generation, u64
 }
 
 text! {
@@ -145,7 +145,7 @@
 
 text! {
     /// Value of a caller's `Idempotency-Key` header.
-    CallKey
+    IdempotencyKey
 }
 
 impl Service {
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -7,12 +7,12 @@
 use common::fixed;
 use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::configuration::freshness::{Freshness, Limits, Report};
-use jackdawpulley::units::{Era, Millis, Offset};
+use jackdawpulley::units::{Generation, Millis, Offset};
 use proptest::prelude::*;
 
 fn position(era: u64, offset: u64) -> Position {
     Position {
-        era: Era(era),
+        era: Generation(era),
         offset: Offset(offset),
     }
 }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -11,7 +11,7 @@
     HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership, proven,
     rank,
 };
-use jackdawpulley::units::{CallKey, Millis};
+use jackdawpulley::units::{IdempotencyKey, Millis};
 use proptest::prelude::*;
 
 const SPAN: Duration = Duration::from_mins(2);
@@ -94,7 +94,7 @@
     }
 
     fn call(&mut self, gate: usize, number: usize, dies: bool) {
-        let key = CallKey(format!("key-{number}"));
+        let key = IdempotencyKey(format!("key-{number}"));
         if self.gates[gate].lost.is_some()
             || self.gates[gate].draining
             || self.gates[gate].memory.recall(self.now, &key).is_some()
@@ -113,7 +113,7 @@
         }
     }
 
-    fn may_run(&mut self, gate: usize, key: &CallKey) -> bool {
+    fn may_run(&mut self, gate: usize, key: &IdempotencyKey) -> bool {
         let me = &self.gates[gate];
         let age = self.now - me.born;
         let own = LocalSidecar {
@@ -176,7 +176,7 @@
     }
 
     /// Has a gate note the key.
-    fn note(&mut self, peer: SocketAddr, key: &CallKey, holder: usize) -> IntentAck {
+    fn note(&mut self, peer: SocketAddr, key: &IdempotencyKey, holder: usize) -> IntentAck {
         let index = (0..GATES)
             .find(|&index| address(index) == peer)
             .expect("a gate");
@@ -243,7 +243,7 @@
 
 #[test]
 fn highest_rank_holds_the_key() {
-    let key = CallKey("k".into());
+    let key = IdempotencyKey("k".into());
     let holder = (0..GATES)
         .max_by_key(|&g| rank(&key, address(g)))
         .expect("there are gates");
@@ -267,7 +267,7 @@
 
 #[test]
 fn two_losses_leave_doubt() {
-    let key = CallKey("k".into());
+    let key = IdempotencyKey("k".into());
     let mut gates: Vec<usize> = (0..GATES).collect();
     gates.sort_by_key(|&gate| std::cmp::Reverse(rank(&key, address(gate))));
     let own = LocalSidecar {
@@ -296,7 +296,7 @@
 /// reach both sides with the same key. The lone gate refuses, since nobody could note the key.
 #[test]
 fn lone_gate_after_losses_refuses() {
-    let key = CallKey("k".into());
+    let key = IdempotencyKey("k".into());
     let own = LocalSidecar {
         address: address(0),
         age: 2 * SPAN,
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -5,13 +5,13 @@
 use common::fixed;
 use jackdawpulley::idempotency::keys::Holder;
 use jackdawpulley::idempotency::ledger::{Claim, Entry, Ledger};
-use jackdawpulley::units::{CallKey, Offset};
+use jackdawpulley::units::{IdempotencyKey, Offset};
 use proptest::prelude::*;
 
 fn claim(key: u8, gate: u16, number: u64) -> Claim {
     let gate = ([127, 0, 0, 1], gate).into();
     Claim {
-        key: CallKey(format!("till/{key}")),
+        key: IdempotencyKey(format!("till/{key}")),
         holder: Holder { gate, life: 1 },
         number,
     }
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -12,7 +12,7 @@
 use jackdawpulley::membership::member::{Health, Member, Stage};
 use jackdawpulley::membership::timing::Timing;
 use jackdawpulley::membership::view::{Effects, Send, View};
-use jackdawpulley::units::{DataCentre, Era, Incarnation, Millis, Offset, Version};
+use jackdawpulley::units::{DataCentre, Generation, Incarnation, Millis, Offset, Version};
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -373,7 +373,7 @@
     let watermark = Report {
         age: Millis(5),
         next: Position {
-            era: Era(0),
+            era: Generation(0),
             offset: Offset(9),
         },
     };
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -21,7 +21,7 @@
 use jackdawpulley::rollout::test::Test;
 use jackdawpulley::rollout::usual::Usual;
 use jackdawpulley::units::{
-    DataCentre, Era, Incarnation, Millis, Offset, Revision, Service, Slots,
+    DataCentre, Generation, Incarnation, Millis, Offset, Revision, Service, Slots,
 };
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
 
 fn at(era: u64, offset: u64) -> Position {
     Position {
-        era: Era(era),
+        era: Generation(era),
         offset: Offset(offset),
     }
 }
