--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -31,7 +31,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Era of the platform in which the offset holds: in a later one it may be another record's.
-    pub era: Generation,
+    #[serde(rename = "era")]
+    pub generation: Generation,
     /// Offset of the next record.
     pub offset: Offset,
 }
@@ -72,21 +73,21 @@
 /// The platform, as a daemon needs it.
 pub trait ControlPlane: Debug + Send + Sync {
     /// Reads the newest version.
-    fn newest(&self) -> BoxFuture<'_, Result<Changes>>;
+    fn read_newest(&self) -> BoxFuture<'_, Result<Changes>>;
 
     /// Reads what follows `from`; waits up to `wait` for it.
     ///
     /// Fails with [`Error::Rewound`](crate::Error::Rewound) in a later era than that of `from`.
-    fn follow(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Changes>>;
+    fn read_from(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Changes>>;
 
     /// Follows the eras of the platform, as its answers tell them.
     fn generations(&self) -> watch::Receiver<Generation>;
 
     /// Lists a daemon, in place of what was listed for its address.
-    fn list<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
+    fn register<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
 
     /// Takes a daemon off the list.
-    fn unlist<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
+    fn deregister<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
 
     /// Daemons that are listed, `enough` of them or all there are, some of which may be gone; and the
     /// requests in quarantine, which come with them, so that a start asks no more often.
@@ -95,11 +96,19 @@
     /// Tells the operator how a roll-out stands, unless there is a verdict already; what stands now.
     ///
     /// The first verdict on an order counts, whoever tells it and however often.
-    fn tell<'a>(&'a self, order: &'a Order, status: Status) -> BoxFuture<'a, Result<Status>>;
+    fn report_status<'a>(
+        &'a self,
+        order: &'a Order,
+        status: Status,
+    ) -> BoxFuture<'a, Result<Status>>;
 
     /// Notes when a roll-out began, in Unix milliseconds, unless that is noted already; what is noted now.
-    fn note_begin<'a>(&'a self, order: &'a Order, begin_ms: u64) -> BoxFuture<'a, Result<u64>>;
+    fn record_start<'a>(&'a self, order: &'a Order, begin_ms: u64) -> BoxFuture<'a, Result<u64>>;
 
     /// Notes a request in quarantine, in place of what was noted of it; drops that note without one.
-    fn note<'a>(&'a self, cause: Fingerprint, note: Option<&'a Note>) -> BoxFuture<'a, Result<()>>;
+    fn set_quarantine_note<'a>(
+        &'a self,
+        cause: Fingerprint,
+        note: Option<&'a Note>,
+    ) -> BoxFuture<'a, Result<()>>;
 }
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// [`Error::Frame`](crate::Error::Frame) for anything else, or for more than a frame may hold.
-    pub fn unpack(&self) -> Result<Update> {
+    pub fn decompress(&self) -> Result<Update> {
         let broken = |reason: String| FrameSnafu { reason }.build();
         let (size, packed) =
             block::uncompressed_size(&self.0).map_err(|error| broken(error.to_string()))?;
--- a/src/configuration/fetches.rs
+++ b/src/configuration/fetches.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 /// Time after which another peer is asked as well: many times what a fetch takes.
-const HEDGE: Duration = Duration::from_millis(250);
+const HEDGE_DELAY: Duration = Duration::from_millis(250);
 /// Fetches under way at the same time.
-const MOST: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 
 /// The fetches of one daemon.
 #[derive(Debug, Default)]
@@ -19,27 +19,30 @@
 #[derive(Debug, Clone, Copy)]
 struct Fetch {
     peer: SocketAddr,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Fetches {
     /// Begins a fetch from `peer` at `now`, which ends when the returned value is dropped; `None` where those
     /// under way are enough.
-    pub fn begin(&self, peer: SocketAddr, now: Instant) -> Option<InFlight<'_>> {
-        let mut under_way = self.under_way();
+    pub fn try_begin(&self, peer: SocketAddr, now: Instant) -> Option<InFlight<'_>> {
+        let mut under_way = self.in_flight();
         let asked = under_way.iter().any(|fetch| fetch.peer == peer);
-        let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.began) < HEDGE;
-        if asked || under_way.len() >= MOST || under_way.iter().any(recent) {
+        let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.started_at) < HEDGE_DELAY;
+        if asked || under_way.len() >= MAX_IN_FLIGHT || under_way.iter().any(recent) {
             return None;
         }
-        under_way.push(Fetch { peer, began: now });
+        under_way.push(Fetch {
+            peer,
+            started_at: now,
+        });
         Some(InFlight {
             fetches: self,
             peer,
         })
     }
 
-    fn under_way(&self) -> MutexGuard<'_, Vec<Fetch>> {
+    fn in_flight(&self) -> MutexGuard<'_, Vec<Fetch>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -53,7 +56,7 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        let mut under_way = self.fetches.under_way();
+        let mut under_way = self.fetches.in_flight();
         under_way.retain(|fetch| fetch.peer != self.peer);
     }
 }
--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -97,7 +97,7 @@
 pub struct Freshness {
     watermark: watch::Sender<Watermark>,
     /// Newest version that was read, in force or not.
-    offered: AtomicU64,
+    received: AtomicU64,
 }
 
 impl Freshness {
@@ -115,17 +115,17 @@
 
     /// Newest version that this daemon has read from the platform, in force or not.
     #[must_use]
-    pub fn offered(&self) -> Version {
-        Version(self.offered.load(Ordering::Relaxed))
+    pub fn received(&self) -> Version {
+        Version(self.received.load(Ordering::Relaxed))
     }
 
     /// Notes a version that the platform holds, before it is checked.
-    pub fn note_offer(&self, version: Version) {
-        self.offered.fetch_max(version.0, Ordering::Relaxed);
+    pub fn note_received(&self, version: Version) {
+        self.received.fetch_max(version.0, Ordering::Relaxed);
     }
 
     /// Notes a read of this daemon that goes on at `next`, as of a time where that was the end.
-    pub fn note_read(&self, next: Position, as_of: Option<Instant>) {
+    pub fn record_read(&self, next: Position, as_of: Option<Instant>) {
         self.watermark.send_modify(|latest| {
             *latest = Watermark {
                 as_of: latest.as_of.max(as_of),
@@ -139,7 +139,7 @@
     /// its sender knows nothing else of what stands before that (`complete`).
     ///
     /// Guards against an order that only its reader knows: whoever read on after it would never find it.
-    pub fn note_report(&self, report: &Report, complete: bool, now: Instant) {
+    pub fn merge_report(&self, report: &Report, complete: bool, now: Instant) {
         let as_of = now.checked_sub(report.age.duration());
         self.watermark.send_if_modified(|latest| {
             let later = as_of > latest.as_of;
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -55,7 +55,7 @@
         }
         let deadline = Instant::now() + patience;
         let id = proposal.id.clone();
-        let record = Record::Edit(self.store.prepare(proposal));
+        let record = Record::Edit(self.store.build_edit(proposal));
         while Instant::now() < deadline {
             if let Some(verdict) = self.known(&id)? {
                 return Ok(verdict);
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -170,8 +170,8 @@
         let from = self.board.freshness.latest().next;
         let mut began = Instant::now();
         let found = match from {
-            Some(from) => origin.follow(from, wait).await,
-            None => origin.newest().await,
+            Some(from) => origin.read_from(from, wait).await,
+            None => origin.read_newest().await,
         };
         let found = match found {
             // The newest version is kept whatever else was dropped. After a platform came back from
@@ -179,7 +179,7 @@
             // the records that were written again before it.
             Err(Error::Expired { .. } | Error::Rewound) => {
                 began = Instant::now();
-                origin.newest().await?
+                origin.read_newest().await?
             }
             found => found?,
         };
@@ -196,7 +196,7 @@
             began
         };
         let as_of = Some(as_of).filter(|_| found.at_end);
-        self.board.freshness.note_read(found.next, as_of);
+        self.board.freshness.record_read(found.next, as_of);
         Ok(found.next.offset)
     }
 
@@ -206,7 +206,7 @@
     /// and again, and a valid version beside it would wait.
     fn take_newest(&self, releases: Vec<Release>) {
         for Release { version, document } in releases.into_iter().rev() {
-            self.board.freshness.note_offer(version);
+            self.board.freshness.note_received(version);
             if version <= self.board.digest().version {
                 return;
             }
@@ -241,7 +241,7 @@
         };
         info!(self.board.logger, "order to roll out"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
-            "era" => notice.at.era.0, "offset" => notice.at.offset.0);
+            "era" => notice.at.generation.0, "offset" => notice.at.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -110,7 +110,7 @@
     }
 
     fn accept(&self, packed: &CompressedUpdate, way: Channel) -> Result<Digest> {
-        self.store.accept(packed.unpack()?, way)
+        self.store.accept(packed.decompress()?, way)
     }
 
     /// Answers a request for content; whole documents only a few at a time.
@@ -119,7 +119,7 @@
         if digest.version <= pull.have {
             return wire::encode(&Reply::Have(digest));
         }
-        let parcel = self.store.parcel(pull.have);
+        let parcel = self.store.encoded_update(pull.have);
         if !parcel.whole {
             return parcel.reply;
         }
@@ -140,7 +140,7 @@
     /// As [`Links::send`], or what is wrong with the content.
     pub async fn pull(&self, peer: SocketAddr) -> Result<Digest> {
         let began = Instant::now();
-        let Some(_ticket) = self.fetches.begin(peer, began) else {
+        let Some(_ticket) = self.fetches.try_begin(peer, began) else {
             return Ok(self.board.digest());
         };
         let result = self.fetch(peer).await;
@@ -180,7 +180,7 @@
             .first()
             .filter(|root| outside && **root != settings.identity());
         receivers.extend(root);
-        let parcel = self.store.parcel(self.store.previous());
+        let parcel = self.store.encoded_update(self.store.previous_version());
         for peer in receivers {
             let relay = Arc::clone(self);
             let (reply, order) = (parcel.reply.clone(), order.clone());
@@ -207,10 +207,10 @@
         if let Reply::Need(digest) = answer
             && digest.version < self.board.digest().version
         {
-            let parcel = self.store.parcel(digest.version);
+            let parcel = self.store.encoded_update(digest.version);
             let answer: Reply = self.links.exchange(peer, PUSH, parcel.reply).await?;
             if let Reply::Need(_) = answer {
-                let whole = self.store.parcel(Version(0));
+                let whole = self.store.encoded_update(Version(0));
                 let _: Reply = self.links.exchange(peer, PUSH, whole.reply).await?;
             }
         }
--- a/src/configuration/replica.rs
+++ b/src/configuration/replica.rs
@@ -140,7 +140,7 @@
     /// First offset that was still there when records were found missing.
     gap: Option<Offset>,
     /// End of the records that were missed, or could not be judged.
-    blind: Offset,
+    unjudged_end: Offset,
 }
 
 impl Default for Replica {
@@ -162,7 +162,7 @@
         Self {
             state,
             gap: None,
-            blind: Offset(0),
+            unjudged_end: Offset(0),
         }
     }
 
@@ -172,7 +172,7 @@
         Self {
             state: checkpoint,
             gap: None,
-            blind: Offset(0),
+            unjudged_end: Offset(0),
         }
     }
 
@@ -202,7 +202,7 @@
 
     /// Whether records are missing before the next one.
     #[must_use]
-    pub const fn gapped(&self) -> bool {
+    pub const fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
@@ -224,24 +224,24 @@
         }
         self.expire(offset);
         match record {
-            Record::Checkpoint(checkpoint) => self.checkpointed(offset, checkpoint),
+            Record::Checkpoint(checkpoint) => self.apply_checkpoint(offset, checkpoint),
             // Guards against expired records: an edit accepted among them may have moved the
             // version, so judging a later edit by the old one could accept what every full reader
             // refused. A gapped fold judges only an edit over a head that it has seen all since.
-            Record::Edit(edit) if self.gapped() && !self.sees_since(edit.base) => {
+            Record::Edit(edit) if self.has_gap() && !self.has_all_since(edit.base) => {
                 self.state.next = offset.next();
-                self.blind = offset.next();
+                self.unjudged_end = offset.next();
                 Verdict::Gap
             }
             Record::Edit(edit) => {
                 self.state.next = offset.next();
-                self.judge(offset, edit)
+                self.evaluate(offset, edit)
             }
         }
     }
 
     /// Passes over the record at `offset`, which is not one of ours.
-    pub fn pass(&mut self, offset: Offset) -> Verdict {
+    pub fn skip(&mut self, offset: Offset) -> Verdict {
         if offset >= self.state.next {
             self.expire(offset);
             self.state.next = offset.next();
@@ -253,7 +253,7 @@
     pub fn expire(&mut self, first: Offset) {
         if first > self.state.next {
             self.gap = Some(first);
-            self.blind = first;
+            self.unjudged_end = first;
             self.state.next = first;
         }
     }
@@ -288,7 +288,7 @@
         for Accepted { id, version } in accepted {
             if self.verdict(&id).is_none() {
                 let verdict = Verdict::Accepted { version };
-                self.remember(Decision { id, verdict });
+                self.record_decision(Decision { id, verdict });
             }
         }
         self.state.version = version;
@@ -305,7 +305,7 @@
         true
     }
 
-    fn checkpointed(&mut self, offset: Offset, checkpoint: &Checkpoint) -> Verdict {
+    fn apply_checkpoint(&mut self, offset: Offset, checkpoint: &Checkpoint) -> Verdict {
         self.state.next = offset.next();
         let Some(first) = self.gap else {
             return Verdict::Skipped;
@@ -321,7 +321,7 @@
         Verdict::Restored
     }
 
-    fn judge(&mut self, offset: Offset, edit: &Edit) -> Verdict {
+    fn evaluate(&mut self, offset: Offset, edit: &Edit) -> Verdict {
         // Guards against a repeated append: a publisher whose answer was lost appends the edit
         // again. The second record must be a no-op and give the first one's verdict.
         if let Some(known) = self.verdict(&edit.id) {
@@ -338,22 +338,22 @@
             Err(verdict) => verdict,
         };
         let id = edit.id.clone();
-        self.remember(Decision {
+        self.record_decision(Decision {
             id,
             verdict: verdict.clone(),
         });
         verdict
     }
 
-    fn remember(&mut self, decision: Decision) {
+    fn record_decision(&mut self, decision: Decision) {
         if self.state.recent.len() == RECENT_EDITS {
             self.state.recent.remove(0);
         }
         self.state.recent.push(decision);
     }
 
-    fn sees_since(&self, base: Base) -> bool {
-        matches!(base, Base::Head(head) if head >= self.blind)
+    fn has_all_since(&self, base: Base) -> bool {
+        matches!(base, Base::Head(head) if head >= self.unjudged_end)
     }
 
     /// The document that the edit puts in force, or why it does not.
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -27,7 +27,7 @@
 /// Earlier versions that deltas can start from; whoever is further behind takes the whole document.
 ///
 /// A document of some hundred routes takes about half a megabyte of memory.
-const HISTORY: usize = 4;
+const MAX_HISTORY: usize = 4;
 
 /// How a version reaches a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -52,20 +52,20 @@
 struct State {
     fold: Replica,
     /// Documents that were in force, oldest first, the current one last.
-    history: Vec<Past>,
+    history: Vec<HistoryEntry>,
     /// Encoded updates to the current version, by the version they start from.
-    encoded: Vec<Encoded>,
+    encoded: Vec<CachedUpdate>,
     checkpoint_seen: Instant,
 }
 
 #[derive(Debug)]
-struct Past {
+struct HistoryEntry {
     version: Version,
     document: Arc<Document>,
 }
 
 #[derive(Debug)]
-struct Encoded {
+struct CachedUpdate {
     base: Version,
     reply: Bytes,
     whole: bool,
@@ -106,14 +106,14 @@
     #[must_use]
     pub fn checkpoint(&self) -> Option<Checkpoint> {
         let state = self.state();
-        let known = !state.fold.gapped() && state.fold.version() > Version(0);
+        let known = !state.fold.has_gap() && state.fold.version() > Version(0);
         known.then(|| state.fold.checkpoint().clone())
     }
 
     /// Whether records are missing.
     #[must_use]
     pub fn gapped(&self) -> bool {
-        self.state().fold.gapped()
+        self.state().fold.has_gap()
     }
 
     /// Time since a checkpoint was read from the log.
@@ -130,7 +130,7 @@
 
     /// The edit for a proposal, in the fewest bytes.
     #[must_use]
-    pub fn prepare(&self, proposal: Proposal) -> Edit {
+    pub fn build_edit(&self, proposal: Proposal) -> Edit {
         let state = self.state();
         let Proposal { id, base, document } = proposal;
         let document = document.sorted();
@@ -173,7 +173,7 @@
                 _ => {}
             }
         }
-        self.publish(&mut state, Channel::Read);
+        self.activate(&mut state, Channel::Read);
     }
 
     /// Takes an update that came by a way.
@@ -209,13 +209,13 @@
             return Err(Error::Faults { faults });
         }
         state.fold.adopt(version, Arc::new(document), accepted);
-        self.publish(&mut state, way);
+        self.activate(&mut state, way);
         Ok(self.board.digest())
     }
 
     /// Content that leads a peer from `have` to what is in force.
     #[must_use]
-    pub fn parcel(&self, have: Version) -> EncodedUpdate {
+    pub fn encoded_update(&self, have: Version) -> EncodedUpdate {
         let mut state = self.state();
         if let Some(done) = state.encoded.iter().find(|encoded| encoded.base == have) {
             return EncodedUpdate {
@@ -226,7 +226,7 @@
         let update = state.update(have, self.board.settings.delivery);
         let whole = matches!(update.body, Body::Whole(_));
         let reply = wire::encode(&Reply::Update(CompressedUpdate::new(&update)));
-        state.encoded.push(Encoded {
+        state.encoded.push(CachedUpdate {
             base: have,
             reply: reply.clone(),
             whole,
@@ -236,24 +236,24 @@
 
     /// The version in force before the current one: what peers most likely hold.
     #[must_use]
-    pub fn previous(&self) -> Version {
+    pub fn previous_version(&self) -> Version {
         let state = self.state();
         let index = state.history.len().checked_sub(2);
         index.map_or(Version(0), |index| state.history[index].version)
     }
 
-    fn publish(&self, state: &mut State, way: Channel) {
+    fn activate(&self, state: &mut State, way: Channel) {
         let version = state.fold.version();
         if version <= self.board.digest().version {
             return;
         }
         let document = Arc::clone(state.fold.document());
         state.encoded.clear();
-        state.history.push(Past {
+        state.history.push(HistoryEntry {
             version,
             document: Arc::clone(&document),
         });
-        if state.history.len() > HISTORY {
+        if state.history.len() > MAX_HISTORY {
             state.history.remove(0);
         }
         if self.board.install(Snapshot::compile(version, document)) {
@@ -278,7 +278,7 @@
             }
             // Something foreign on the stream: it takes an offset and changes nothing, in every
             // fold alike.
-            Err(_) => self.fold.pass(stored.offset),
+            Err(_) => self.fold.skip(stored.offset),
         }
     }
 
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// As [`ControlPlane::directory`] and [`ControlPlane::list`].
+    /// As [`ControlPlane::directory`] and [`ControlPlane::register`].
     pub async fn consult(&self) -> Result<Listed> {
         let contacts = self.read(ENOUGH).await?;
         if contacts.len() >= ENOUGH {
@@ -64,11 +64,11 @@
     ///
     /// # Errors
     ///
-    /// As [`ControlPlane::list`].
+    /// As [`ControlPlane::register`].
     pub async fn list(&self) -> Result<()> {
         // It may be done although no answer comes.
         self.board.set_listed();
-        self.origin.list(&self.contact()).await
+        self.origin.register(&self.contact()).await
     }
 
     /// Reads everybody who is listed, and lists this daemon where too few of them are members.
@@ -91,10 +91,10 @@
     ///
     /// # Errors
     ///
-    /// As [`ControlPlane::unlist`].
+    /// As [`ControlPlane::deregister`].
     pub async fn leave(&self) -> Result<()> {
         if self.board.is_listed() {
-            self.origin.unlist(&self.contact()).await?;
+            self.origin.deregister(&self.contact()).await?;
         }
         Ok(())
     }
@@ -107,7 +107,7 @@
         for (cause, note) in notes {
             if note.age(now) >= Millis(FORGOTTEN * memory.0) {
                 // One that stays is read once more, and counts for nothing.
-                let _ = self.origin.note(cause, None).await;
+                let _ = self.origin.set_quarantine_note(cause, None).await;
             }
         }
         Ok(contacts)
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -80,7 +80,7 @@
         if let Some(report) = &datagram.watermark {
             let complete = datagram.evidence == self.evidence();
             let now = Instant::now();
-            self.board().freshness.note_report(report, complete, now);
+            self.board().freshness.merge_report(report, complete, now);
         }
     }
 }
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -188,7 +188,7 @@
     fn gauge(&self) {
         let control = self.board.meter.read();
         metrics::gauge!("jackdaw_config_version").set(self.board.digest().version.0 as f64);
-        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.offered().0 as f64);
+        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.received().0 as f64);
         metrics::gauge!("jackdaw_members").set(self.board.roster().members.len() as f64);
         metrics::gauge!("jackdaw_in_flight").set(self.board.in_flight() as f64);
         metrics::counter!("jackdaw_control_bytes_total", "to" => "peers")
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -155,7 +155,7 @@
             stage: board.stage(),
             version: config.digest.version,
             hash: format!("{:016x}", config.digest.hash),
-            offered: board.freshness.offered(),
+            offered: board.freshness.received(),
             watermark_ms: board.freshness.age(now),
             routes: config.table.len(),
             reads_log: reader::duty(board).is_some(),
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -170,7 +170,7 @@
         // Guards against a platform that comes back from an older copy: an order that was replaced
         // stands there again until the operator has written the newer one once more. What it names would
         // be tried anew. In a copy it stands where it stood.
-        let is_copy = self.progress.at.era < notice.at.era
+        let is_copy = self.progress.at.generation < notice.at.generation
             && self
                 .progress
                 .past
@@ -222,7 +222,7 @@
         hasher.update(order.service.as_str().as_bytes());
         hasher.update(order.revision.as_str().as_bytes());
         hasher.update(&order.duration.0.to_le_bytes());
-        hasher.update(&at.era.0.to_le_bytes());
+        hasher.update(&at.generation.0.to_le_bytes());
         hasher.update(&at.offset.0.to_le_bytes());
         let verdict = progress.verdict.map_or(0, |verdict| verdict as u8 + 1);
         hasher.update(&[progress.plan.step as u8, verdict]);
--- a/tests/fetches.rs
+++ b/tests/fetches.rs
@@ -13,11 +13,11 @@
 fn one_is_enough() {
     let fetches = Fetches::default();
     let now = Instant::now();
-    let first = fetches.begin(peer(1), now);
+    let first = fetches.try_begin(peer(1), now);
     assert!(first.is_some());
-    assert!(fetches.begin(peer(2), now).is_none());
+    assert!(fetches.try_begin(peer(2), now).is_none());
     drop(first);
-    assert!(fetches.begin(peer(2), now).is_some());
+    assert!(fetches.try_begin(peer(2), now).is_some());
 }
 
 /// Guards against a peer that never answers and keeps all others from being asked.
@@ -25,10 +25,10 @@
 fn silent_peer() {
     let fetches = Fetches::default();
     let began = Instant::now();
-    let _silent = fetches.begin(peer(1), began).expect("nobody was asked");
+    let _silent = fetches.try_begin(peer(1), began).expect("nobody was asked");
     let later = began + Duration::from_millis(300);
-    assert!(fetches.begin(peer(1), later).is_none(), "it was asked");
-    assert!(fetches.begin(peer(2), later).is_some());
+    assert!(fetches.try_begin(peer(1), later).is_none(), "it was asked");
+    assert!(fetches.try_begin(peer(2), later).is_some());
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let began = Instant::now();
     let at = |number| began + Duration::from_secs(number);
     let tickets: Vec<_> = (1..=20)
-        .map(|number| fetches.begin(peer(number), at(u64::from(number))))
+        .map(|number| fetches.try_begin(peer(number), at(u64::from(number))))
         .collect();
     assert_eq!(tickets.iter().flatten().count(), 8);
 }
--- a/tests/fold.rs
+++ b/tests/fold.rs
@@ -198,7 +198,7 @@
             }
             Step::Checkpoint { by } => {
                 let fold = &log.folds[by];
-                if !fold.gapped() {
+                if !fold.has_gap() {
                     let checkpoint = Record::Checkpoint(fold.checkpoint().clone());
                     log.append(checkpoint);
                 }
@@ -220,7 +220,7 @@
         for fold in log
             .folds
             .iter()
-            .filter(|fold| !fold.gapped() && fold.next().0 > 0)
+            .filter(|fold| !fold.has_gap() && fold.next().0 > 0)
         {
             let truth = &log.truth[usize::try_from(fold.next().0 - 1).expect("small")];
             assert_eq!((fold.version(), fold.document()), (truth.0, &truth.1));
@@ -302,7 +302,7 @@
         newcomer.apply(Offset(4), &Record::Checkpoint(stale.clone())),
         Verdict::Skipped
     );
-    assert!(newcomer.gapped());
+    assert!(newcomer.has_gap());
     let fresh = Checkpoint {
         next: Offset(4),
         version: Version(3),
@@ -374,5 +374,5 @@
             version: Version(10)
         }
     );
-    assert!(!fold.gapped());
+    assert!(!fold.has_gap());
 }
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -12,7 +12,7 @@
 
 fn position(era: u64, offset: u64) -> Position {
     Position {
-        era: Generation(era),
+        generation: Generation(era),
         offset: Offset(offset),
     }
 }
@@ -29,10 +29,10 @@
     let freshness = Freshness::default();
     let now = Instant::now();
     assert_eq!(freshness.age(now), None);
-    freshness.note_report(&report(70, 4), true, now);
-    freshness.note_report(&report(90, 4), true, now);
+    freshness.merge_report(&report(70, 4), true, now);
+    freshness.merge_report(&report(90, 4), true, now);
     assert_eq!(freshness.age(now), Some(Millis(70)));
-    freshness.note_read(position(0, 5), Some(now));
+    freshness.record_read(position(0, 5), Some(now));
     assert_eq!(freshness.age(now), Some(Millis(0)));
     assert!(freshness.latest().own);
 }
@@ -42,8 +42,8 @@
 fn part_of_the_records() {
     let freshness = Freshness::default();
     let now = Instant::now();
-    freshness.note_read(position(0, 5), Some(now));
-    freshness.note_read(position(0, 9), None);
+    freshness.record_read(position(0, 5), Some(now));
+    freshness.record_read(position(0, 9), None);
     let latest = freshness.latest();
     assert_eq!(latest.as_of, Some(now));
     assert_eq!(latest.next, Some(position(0, 9)));
@@ -54,8 +54,8 @@
 fn unknown_order() {
     let freshness = Freshness::default();
     let now = Instant::now();
-    freshness.note_report(&report(50, 4), true, now);
-    freshness.note_report(&report(20, 5), false, now);
+    freshness.merge_report(&report(50, 4), true, now);
+    freshness.merge_report(&report(20, 5), false, now);
     assert_eq!(freshness.age(now), Some(Millis(20)));
     assert_eq!(freshness.latest().next, Some(position(0, 4)));
 }
@@ -65,8 +65,8 @@
 fn earlier_era() {
     let freshness = Freshness::default();
     let now = Instant::now();
-    freshness.note_read(position(1, 3), Some(now));
-    freshness.note_report(&report(0, 9), true, now + Duration::from_secs(1));
+    freshness.record_read(position(1, 3), Some(now));
+    freshness.merge_report(&report(0, 9), true, now + Duration::from_secs(1));
     assert_eq!(freshness.latest().next, Some(position(1, 3)));
 }
 
@@ -74,13 +74,13 @@
 fn age_travels() {
     let freshness = Freshness::default();
     let now = Instant::now();
-    freshness.note_read(position(0, 4), Some(now));
+    freshness.record_read(position(0, 4), Some(now));
     let sent = freshness
         .latest()
         .report(now + Duration::from_millis(70))
         .expect("it was read");
     let (receiver, later) = (Freshness::default(), now + Duration::from_secs(5));
-    receiver.note_report(&sent, true, later);
+    receiver.merge_report(&sent, true, later);
     assert_eq!(receiver.age(later), Some(Millis(70)));
     assert!(!receiver.latest().own);
 }
@@ -90,8 +90,8 @@
 fn hostile_age() {
     let freshness = Freshness::default();
     let now = Instant::now();
-    freshness.note_report(&report(u64::MAX, u64::MAX), false, now);
-    freshness.note_report(&report(10, 4), true, now);
+    freshness.merge_report(&report(u64::MAX, u64::MAX), false, now);
+    freshness.merge_report(&report(10, 4), true, now);
     assert_eq!(freshness.age(now), Some(Millis(10)));
 }
 
@@ -113,7 +113,7 @@
         let now = Instant::now();
         let freshness = Freshness::default();
         for (age, offset) in &ages {
-            freshness.note_report(&report(*age, *offset), true, now);
+            freshness.merge_report(&report(*age, *offset), true, now);
         }
         let youngest = ages.iter().map(|(age, _)| *age).min().map(Millis);
         let furthest = ages.iter().map(|(_, offset)| position(0, *offset)).max();
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -373,7 +373,7 @@
     let watermark = Report {
         age: Millis(5),
         next: Position {
-            era: Generation(0),
+            generation: Generation(0),
             offset: Offset(9),
         },
     };
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -41,7 +41,7 @@
 
 fn at(era: u64, offset: u64) -> Position {
     Position {
-        era: Generation(era),
+        generation: Generation(era),
         offset: Offset(offset),
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -16,7 +16,7 @@
 fn survive(bytes: &[u8]) {
     let _ = wire::decode::<Datagram>(bytes);
     if let Ok(Reply::Update(packed)) = wire::decode::<Reply>(bytes) {
-        let _ = packed.unpack();
+        let _ = packed.decompress();
     }
     let _ = wire::decode::<Update>(bytes);
     let _ = wire::decode::<Pull>(bytes);
@@ -73,7 +73,7 @@
     let mut bytes = u32::MAX.to_le_bytes().to_vec();
     bytes.extend([0; 20]);
     let packed: CompressedUpdate = wire::decode(&wire::encode(&bytes)).expect("it has the shape");
-    assert!(packed.unpack().is_err());
+    assert!(packed.decompress().is_err());
 }
 
 /// A version brings 1,400 routes, and every daemon of the tree sends it on four times, over links of
@@ -96,7 +96,7 @@
     let (plain, packed) = (wire::encode(&update).len(), CompressedUpdate::new(&update));
     let small = wire::encode(&Reply::Update(packed.clone())).len();
     assert!(small * 2 < plain, "{small} of {plain}");
-    assert_eq!(packed.unpack().expect("it is whole"), update);
+    assert_eq!(packed.decompress().expect("it is whole"), update);
 }
 
 #[test]
