--- a/src/configuration/check.rs
+++ b/src/configuration/check.rs
@@ -11,7 +11,7 @@
 use crate::error::{DocumentSnafu, Error, Result};
 
 /// Longest name of a resource, in bytes.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Most resources of one kind in a document.
 pub const MAX_RESOURCES: usize = 10_000;
 /// Longest time-out of a route, in milliseconds.
@@ -19,7 +19,7 @@
 /// Most attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 10;
 /// Smallest bound on a head: what the HTTP server needs, in bytes.
-pub const MIN_HEAD: u32 = 8_192;
+pub const MIN_HEAD_BYTES: u32 = 8_192;
 const MAX_PERCENT: u8 = 100;
 
 impl Document {
@@ -43,9 +43,9 @@
 /// Finds every fault of `document`.
 #[must_use]
 pub fn document(document: &Document) -> Vec<Fault> {
-    let mut check = Check {
+    let mut check = Checker {
         faults: Vec::new(),
-        twins: twins(&document.routes),
+        twins: duplicate_routes(&document.routes),
     };
     check.names("routes", document.routes.iter().map(|r| r.name.as_str()));
     check.names("groups", document.groups.iter().map(|g| g.name.as_str()));
@@ -65,7 +65,7 @@
 
 /// Routes that match the same requests as an earlier one, each with the first of those; sorted.
 #[must_use]
-pub fn twins(routes: &[Route]) -> Vec<(usize, usize)> {
+pub fn duplicate_routes(routes: &[Route]) -> Vec<(usize, usize)> {
     let key = |route: &Route| {
         (
             route.host.as_deref().map(authority::normalized),
@@ -85,12 +85,12 @@
     twins
 }
 
-struct Check {
+struct Checker {
     faults: Vec<Fault>,
     twins: Vec<(usize, usize)>,
 }
 
-impl Check {
+impl Checker {
     fn require(&mut self, holds: bool, path: String, problem: String, remedy: &str) {
         if !holds {
             self.faults.push(Fault {
@@ -105,7 +105,7 @@
         let mut seen: Vec<&str> = Vec::new();
         for (index, name) in names.enumerate() {
             let path = format!("{kind}[{index}].name");
-            let fits = !name.is_empty() && name.len() <= MAX_NAME;
+            let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
             let problem = format!("the name has {} bytes", name.len());
             self.require(fits, path.clone(), problem, "use 1 to 128 bytes");
             match seen.binary_search(&name) {
@@ -210,7 +210,7 @@
 
     fn bounds(&mut self, bounds: &Bounds) {
         let at = |field: &str| format!("bounds.{field}");
-        let fits = bounds.max_head >= MIN_HEAD;
+        let fits = bounds.max_head >= MIN_HEAD_BYTES;
         let problem = format!("{} bytes", bounds.max_head);
         self.require(fits, at("max_head"), problem, "use 8192 or more");
         for (field, span) in [("head_ms", bounds.head_ms), ("idle_ms", bounds.idle_ms)] {
--- a/src/configuration/log.rs
+++ b/src/configuration/log.rs
@@ -19,11 +19,11 @@
 use crate::units::{Millis, Offset, Service};
 
 /// Time for an answer, beside the time that a read may wait.
-const PATIENCE: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most records in one page.
-const PAGE: usize = 64;
+const MAX_PAGE_RECORDS: usize = 64;
 /// Estimate for the heads of a request and its answer, in bytes.
-const HEADS: usize = 260;
+const ESTIMATED_HEADER_BYTES: usize = 260;
 
 /// Streams that the system keeps on the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -112,11 +112,13 @@
     ///
     /// [`Error::Log`] when no answer came: the record may or may not be there.
     pub async fn append<T: Serialize>(&self, stream: Stream, record: &T) -> Result<Offset> {
-        let text = serde_json::to_vec(record).map_err(|e| self.failed(&e.to_string()))?;
+        let text = serde_json::to_vec(record).map_err(|e| self.log_error(&e.to_string()))?;
         let path = format!("/streams/{stream}");
-        let (status, body) = self.exchange(Method::POST, &path, text, PATIENCE).await?;
+        let (status, body) = self
+            .exchange(Method::POST, &path, text, RESPONSE_TIMEOUT)
+            .await?;
         if status != StatusCode::CREATED {
-            return Err(self.failed(&format!("append answered {status}")));
+            return Err(self.log_error(&format!("append answered {status}")));
         }
         let appended: Appended = self.parse(&body)?;
         Ok(appended.offset)
@@ -128,8 +130,8 @@
     ///
     /// [`Error::Expired`] when `from` is no longer there, [`Error::Log`] when no answer came.
     pub async fn read(&self, stream: Stream, from: Offset, wait: Millis) -> Result<Page> {
-        let path = format!("/streams/{stream}?from={from}&limit={PAGE}&wait_ms={wait}");
-        let patience = PATIENCE + wait.duration();
+        let path = format!("/streams/{stream}?from={from}&limit={MAX_PAGE_RECORDS}&wait_ms={wait}");
+        let patience = RESPONSE_TIMEOUT + wait.duration();
         let (status, body) = self
             .exchange(Method::GET, &path, Vec::new(), patience)
             .await?;
@@ -139,7 +141,7 @@
                 let page: Page = self.parse(&body)?;
                 Err(Error::Expired { first: page.first })
             }
-            other => Err(self.failed(&format!("read answered {other}"))),
+            other => Err(self.log_error(&format!("read answered {other}"))),
         }
     }
 
@@ -160,23 +162,23 @@
         patience: Duration,
     ) -> Result<(StatusCode, Vec<u8>)> {
         if self.closed {
-            return Err(self.failed("the platform keeps the configuration: publish it there"));
+            return Err(self.log_error("the platform keeps the configuration: publish it there"));
         }
-        self.meter.log(HEADS + body.len());
+        self.meter.log(ESTIMATED_HEADER_BYTES + body.len());
         let answer = self
             .http
             .exchange(self.address, method, path, body, patience)
             .await;
-        let answer = answer.map_err(|reason| self.failed(&reason))?;
+        let answer = answer.map_err(|reason| self.log_error(&reason))?;
         self.meter.log(answer.body.len());
         Ok((answer.status, answer.body))
     }
 
     fn parse<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T> {
-        serde_json::from_slice(body).map_err(|e| self.failed(&e.to_string()))
+        serde_json::from_slice(body).map_err(|e| self.log_error(&e.to_string()))
     }
 
-    fn failed(&self, reason: &str) -> Error {
+    fn log_error(&self, reason: &str) -> Error {
         Error::Log {
             log: self.address,
             reason: reason.to_owned(),
--- a/src/configuration/normalize.rs
+++ b/src/configuration/normalize.rs
@@ -21,30 +21,32 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::authority;
-use crate::configuration::check::{MAX_ATTEMPTS, MAX_NAME, MAX_TIMEOUT_MS, MIN_HEAD, twins};
+use crate::configuration::check::{
+    MAX_ATTEMPTS, MAX_NAME_BYTES, MAX_TIMEOUT_MS, MIN_HEAD_BYTES, duplicate_routes,
+};
 use crate::configuration::document::{Bounds, Document, Retry, Route, Share};
 use crate::configuration::fault::Fault;
 use crate::units::Millis;
 
 /// Bytes that are kept of a name that is too long; a hash of all of it follows.
-const KEPT_NAME: usize = 96;
+const KEPT_NAME_BYTES: usize = 96;
 
 /// Brings a document within bounds; says what was changed. Its resources are sorted.
 #[must_use]
 pub fn normalize(document: Document) -> (Document, Vec<Fault>) {
     let mut document = document.sorted();
     let mut faults = Vec::new();
-    drop_repeated_groups(&mut document, &mut faults);
+    drop_duplicate_groups(&mut document, &mut faults);
     for route in &mut document.routes {
         route.host = route.host.take().map(|host| authority::normalized(&host));
-        fit_split(route, &mut faults);
+        normalize_split(route, &mut faults);
     }
-    drop_twins(&mut document.routes, &mut faults);
-    rename(&mut document.routes, &mut faults);
+    drop_duplicate_routes(&mut document.routes, &mut faults);
+    normalize_names(&mut document.routes, &mut faults);
     for retry in &mut document.retries {
-        fit_attempts(retry, &mut faults);
+        normalize_attempts(retry, &mut faults);
     }
-    fit_bounds(&mut document.bounds, &mut faults);
+    normalize_bounds(&mut document.bounds, &mut faults);
     (document.sorted(), faults)
 }
 
@@ -56,7 +58,7 @@
     }
 }
 
-fn drop_repeated_groups(document: &mut Document, faults: &mut Vec<Fault>) {
+fn drop_duplicate_groups(document: &mut Document, faults: &mut Vec<Fault>) {
     document.groups.dedup_by(|later, first| {
         let repeated = later.name == first.name;
         if repeated {
@@ -68,7 +70,7 @@
 }
 
 /// Has a split's weights add up to a number above 0 that fits.
-fn fit_split(route: &mut Route, faults: &mut Vec<Fault>) {
+fn normalize_split(route: &mut Route, faults: &mut Vec<Fault>) {
     let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
     if route.split.is_empty() || (1..=u64::from(u32::MAX)).contains(&total) {
         return;
@@ -80,12 +82,12 @@
         route.split.iter_mut().for_each(|part| part.weight = 1);
     } else {
         faults.push(fault(path, problem, "the weights are scaled down"));
-        scale(&mut route.split, total);
+        scale_weights(&mut route.split, total);
     }
 }
 
 /// Scales weights that add up to `total` down to a sum that fits.
-fn scale(split: &mut [Share], total: u64) {
+fn scale_weights(split: &mut [Share], total: u64) {
     // A part that is rounded up to 1 still fits below this.
     let largest = u64::from(u32::MAX / 2);
     for part in split.iter_mut().filter(|part| part.weight > 0) {
@@ -95,8 +97,8 @@
 }
 
 /// Drops routes that match the same requests as an earlier one.
-fn drop_twins(routes: &mut Vec<Route>, faults: &mut Vec<Fault>) {
-    let twins = twins(routes);
+fn drop_duplicate_routes(routes: &mut Vec<Route>, faults: &mut Vec<Fault>) {
+    let twins = duplicate_routes(routes);
     for (later, first) in &twins {
         let path = format!("routes[{:?}]", routes[*later].name);
         let problem = format!("it matches the same requests as {:?}", routes[*first].name);
@@ -112,15 +114,15 @@
 }
 
 /// Gives each route a name of its own that fits. They are sorted by name.
-fn rename(routes: &mut [Route], faults: &mut Vec<Fault>) {
+fn normalize_names(routes: &mut [Route], faults: &mut Vec<Fault>) {
     let mut taken: Vec<String> = Vec::with_capacity(routes.len());
     for route in routes {
-        let mut name = short(&route.name);
+        let mut name = normalize_name(&route.name);
         let mut count = 1;
         let place = loop {
             let Err(place) = taken.binary_search(&name) else {
                 count += 1;
-                name = format!("{}#{count}", short(&route.name));
+                name = format!("{}#{count}", normalize_name(&route.name));
                 continue;
             };
             break place;
@@ -139,18 +141,18 @@
 }
 
 /// A name that fits.
-fn short(name: &str) -> String {
+fn normalize_name(name: &str) -> String {
     if name.is_empty() {
         return "unnamed".to_owned();
     }
-    if name.len() <= MAX_NAME {
+    if name.len() <= MAX_NAME_BYTES {
         return name.to_owned();
     }
-    let kept = name.floor_char_boundary(KEPT_NAME);
+    let kept = name.floor_char_boundary(KEPT_NAME_BYTES);
     format!("{}#{:016x}", &name[..kept], xxh3_64(name.as_bytes()))
 }
 
-fn fit_attempts(retry: &mut Retry, faults: &mut Vec<Fault>) {
+fn normalize_attempts(retry: &mut Retry, faults: &mut Vec<Fault>) {
     if retry.attempts > MAX_ATTEMPTS {
         let path = format!("retries[{:?}].attempts", retry.name);
         let problem = format!("{} attempts", retry.attempts);
@@ -159,11 +161,11 @@
     }
 }
 
-fn fit_bounds(bounds: &mut Bounds, faults: &mut Vec<Fault>) {
-    if bounds.max_head < MIN_HEAD {
+fn normalize_bounds(bounds: &mut Bounds, faults: &mut Vec<Fault>) {
+    if bounds.max_head < MIN_HEAD_BYTES {
         let problem = format!("{} bytes", bounds.max_head);
         faults.push(fault("bounds.max_head".into(), problem, "8192 are taken"));
-        bounds.max_head = MIN_HEAD;
+        bounds.max_head = MIN_HEAD_BYTES;
     }
     let times = [
         ("bounds.head_ms", &mut bounds.head_ms),
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -19,7 +19,7 @@
 use crate::units::{EditId, Millis, Offset, Version};
 
 /// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Publishes edits on behalf of operators.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
         let id = proposal.id.clone();
         let record = Record::Edit(self.store.build_edit(proposal));
         while Instant::now() < deadline {
-            if let Some(verdict) = self.known(&id)? {
+            if let Some(verdict) = self.verdict(&id)? {
                 return Ok(verdict);
             }
             // Without an offset the append may still have taken effect, also later on.
@@ -69,10 +69,10 @@
                     None
                 }
             };
-            if let Some(version) = self.follow(&id, offset, deadline).await? {
+            if let Some(version) = self.await_verdict(&id, offset, deadline).await? {
                 return Ok(version);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         Err(Error::Undecided { id })
     }
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// As [`publish`](Self::publish).
-    pub fn known(&self, id: &EditId) -> Result<Option<Version>> {
+    pub fn verdict(&self, id: &EditId) -> Result<Option<Version>> {
         match self.store.verdict(id) {
             Some(Verdict::Accepted { version }) => {
                 info!(self.board.logger, "edit in force"; "edit" => %id, "version" => version.0);
@@ -104,7 +104,7 @@
     }
 
     /// Reads the log up to `offset`, or to its head, looking for the edit.
-    async fn follow(
+    async fn await_verdict(
         &self,
         id: &EditId,
         offset: Option<Offset>,
@@ -114,7 +114,7 @@
             let Ok(head) = self.reader.turn(Millis(0)).await else {
                 return Ok(None);
             };
-            if let Some(version) = self.known(id)? {
+            if let Some(version) = self.verdict(id)? {
                 return Ok(Some(version));
             }
             let next = self.store.next();
--- a/src/configuration/readiness.rs
+++ b/src/configuration/readiness.rs
@@ -9,38 +9,38 @@
 //! use jackdawpulley::units::{DataCentre, Version};
 //!
 //! let mut requirement = Requirement::default();
-//! requirement.heard(&DataCentre::from("eros"), Version(4), Version(0));
-//! assert!(!requirement.met_by_peers(Version(4), 2), "one data centre is not enough of two");
-//! requirement.heard(&DataCentre::from("olympia"), Version(6), Version(0));
-//! assert!(!requirement.met_by_peers(Version(4), 2));
-//! assert!(requirement.met_by_peers(Version(6), 2));
+//! requirement.add_peer(&DataCentre::from("eros"), Version(4), Version(0));
+//! assert!(!requirement.is_met_by_peers(Version(4), 2), "one data centre is not enough of two");
+//! requirement.add_peer(&DataCentre::from("olympia"), Version(6), Version(0));
+//! assert!(!requirement.is_met_by_peers(Version(4), 2));
+//! assert!(requirement.is_met_by_peers(Version(6), 2));
 //! ```
 
 use crate::units::{DataCentre, Offset, Version};
 
 /// Data centres that must be heard without the log, when there are that many.
-const VOICES: usize = 2;
+const MIN_DATA_CENTRES: usize = 2;
 
 /// What a starting daemon has learnt.
 #[derive(Debug, Default)]
 pub struct Requirement {
     /// Data centres that have spoken, sorted.
-    voices: Vec<DataCentre>,
+    data_centres: Vec<DataCentre>,
     version: Version,
     head: Option<Offset>,
 }
 
 impl Requirement {
     /// Notes a peer's version, and the version that this address is known to have run.
-    pub fn heard(&mut self, data_centre: &DataCentre, version: Version, ran: Version) {
-        if let Err(index) = self.voices.binary_search(data_centre) {
-            self.voices.insert(index, data_centre.clone());
+    pub fn add_peer(&mut self, data_centre: &DataCentre, version: Version, ran: Version) {
+        if let Err(index) = self.data_centres.binary_search(data_centre) {
+            self.data_centres.insert(index, data_centre.clone());
         }
         self.version = self.version.max(version).max(ran);
     }
 
     /// Notes where the log ended when it was first read.
-    pub fn read_head(&mut self, head: Offset) {
+    pub fn set_log_head(&mut self, head: Offset) {
         self.head.get_or_insert(head);
     }
 
@@ -52,13 +52,15 @@
 
     /// Whether the log's head has been folded, and with it every version of any peer.
     #[must_use]
-    pub fn met_by_log(&self, have: Version, next: Offset) -> bool {
+    pub fn is_met_by_log(&self, have: Version, next: Offset) -> bool {
         self.head.is_some_and(|head| next >= head) && have >= self.version
     }
 
     /// Whether the peers that have spoken are enough, `known` data centres being there.
     #[must_use]
-    pub fn met_by_peers(&self, have: Version, known: usize) -> bool {
-        !self.voices.is_empty() && self.voices.len() >= known.min(VOICES) && have >= self.version
+    pub fn is_met_by_peers(&self, have: Version, known: usize) -> bool {
+        !self.data_centres.is_empty()
+            && self.data_centres.len() >= known.min(MIN_DATA_CENTRES)
+            && have >= self.version
     }
 }
--- a/src/membership/greeting.rs
+++ b/src/membership/greeting.rs
@@ -106,7 +106,7 @@
         let greeter = greeter.map(|m| m.data_centre.clone()).unwrap_or_default();
         heard
             .floor
-            .heard(&greeter, welcome.digest.version, welcome.ran);
+            .add_peer(&greeter, welcome.digest.version, welcome.ran);
         heard.slots = welcome.slots.or(heard.slots);
         self.board.note_era(welcome.era);
         self.board.quarantine.merge(&welcome.crashes);
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -137,7 +137,7 @@
             // Peers have the targets that this daemon's callers need, and remember what its own
             // target offered.
             let early = heard.welcomes == 0 && (!told || round.is_open()) && !late;
-            let peers = (told || late) && heard.floor.met_by_peers(have, self.data_centres());
+            let peers = (told || late) && heard.floor.is_met_by_peers(have, self.data_centres());
             if known && !early && (read || peers) {
                 break;
             }
@@ -291,11 +291,11 @@
             let floor = &mut heard.floor;
             let log_read = self.read_log(floor).await;
             let have = self.board.digest().version;
-            if log_read && floor.met_by_log(have, self.store.next()) {
+            if log_read && floor.is_met_by_log(have, self.store.next()) {
                 return;
             }
             let patient = began.elapsed() < self.board.settings.log_patience_ms.duration();
-            if !log_read && !patient && floor.met_by_peers(have, self.data_centres()) {
+            if !log_read && !patient && floor.is_met_by_peers(have, self.data_centres()) {
                 warn!(self.board.logger, "the log is away, peers decide"; "version" => have.0);
                 return;
             }
@@ -316,7 +316,7 @@
             let Ok(head) = self.reader.turn(Millis(0)).await else {
                 return false;
             };
-            floor.read_head(head);
+            floor.set_log_head(head);
             if self.store.next() >= head {
                 return true;
             }
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -217,7 +217,7 @@
 
     fn look_up(&self, id: &str) -> Answer {
         let id = EditId::from(id);
-        match self.publisher.known(&id) {
+        match self.publisher.verdict(&id) {
             Ok(Some(version)) => answer(&id, Ok(version)),
             Ok(None) => answer(&id, Err(Error::Undecided { id: id.clone() })),
             Err(error) => answer(&id, Err(error)),
--- a/tests/floor.rs
+++ b/tests/floor.rs
@@ -12,28 +12,28 @@
 #[test]
 fn own_earlier_version_binds() {
     let mut floor = Requirement::default();
-    floor.heard(&eros(), Version(7), Version(9));
-    floor.read_head(Offset(7));
-    assert!(!floor.met_by_log(Version(7), Offset(7)));
-    assert!(!floor.met_by_peers(Version(7), 1));
-    assert!(floor.met_by_log(Version(9), Offset(9)));
+    floor.add_peer(&eros(), Version(7), Version(9));
+    floor.set_log_head(Offset(7));
+    assert!(!floor.is_met_by_log(Version(7), Offset(7)));
+    assert!(!floor.is_met_by_peers(Version(7), 1));
+    assert!(floor.is_met_by_log(Version(9), Offset(9)));
 }
 
 #[test]
 fn first_head_counts() {
     let mut floor = Requirement::default();
-    assert!(!floor.met_by_log(Version(3), Offset(3)));
-    floor.read_head(Offset(5));
-    floor.read_head(Offset(8));
-    assert!(!floor.met_by_log(Version(3), Offset(4)));
-    assert!(floor.met_by_log(Version(3), Offset(5)));
+    assert!(!floor.is_met_by_log(Version(3), Offset(3)));
+    floor.set_log_head(Offset(5));
+    floor.set_log_head(Offset(8));
+    assert!(!floor.is_met_by_log(Version(3), Offset(4)));
+    assert!(floor.is_met_by_log(Version(3), Offset(5)));
 }
 
 #[test]
 fn lone_data_centre_is_enough() {
     let mut floor = Requirement::default();
-    assert!(!floor.met_by_peers(Version(0), 1), "nobody has spoken");
-    floor.heard(&eros(), Version(2), Version(0));
-    assert!(floor.met_by_peers(Version(2), 1));
-    assert!(!floor.met_by_peers(Version(2), 2));
+    assert!(!floor.is_met_by_peers(Version(0), 1), "nobody has spoken");
+    floor.add_peer(&eros(), Version(2), Version(0));
+    assert!(floor.is_met_by_peers(Version(2), 1));
+    assert!(!floor.is_met_by_peers(Version(2), 2));
 }
