--- a/src/configuration/check.rs
+++ b/src/configuration/check.rs
@@ -45,7 +45,7 @@
 pub fn document(document: &Document) -> Vec<Fault> {
     let mut check = Checker {
         faults: Vec::new(),
-        twins: duplicate_routes(&document.routes),
+        duplicates: duplicate_routes(&document.routes),
     };
     check.names("routes", document.routes.iter().map(|r| r.name.as_str()));
     check.names("groups", document.groups.iter().map(|g| g.name.as_str()));
@@ -87,7 +87,7 @@
 
 struct Checker {
     faults: Vec<Fault>,
-    twins: Vec<(usize, usize)>,
+    duplicates: Vec<(usize, usize)>,
 }
 
 impl Checker {
@@ -180,9 +180,9 @@
                 "leave out scheme, port and path",
             );
         }
-        let twin = self.twins.binary_search_by_key(&index, |twin| twin.0);
+        let twin = self.duplicates.binary_search_by_key(&index, |twin| twin.0);
         if let Ok(place) = twin {
-            let first = &document.routes[self.twins[place].1];
+            let first = &document.routes[self.duplicates[place].1];
             let problem = format!("matches the same requests as {:?}", first.name);
             self.require(false, at("path"), problem, "remove one of the two");
         }
--- a/src/configuration/log.rs
+++ b/src/configuration/log.rs
@@ -82,7 +82,7 @@
     address: SocketAddr,
     http: http_client::Client,
     meter: Arc<Meter>,
-    closed: bool,
+    disabled: bool,
 }
 
 impl Log {
@@ -93,15 +93,15 @@
             address,
             http: http_client::Client::new(),
             meter,
-            closed: false,
+            disabled: false,
         }
     }
 
     /// A log that takes part in nothing: the platform keeps the configuration itself.
     #[must_use]
-    pub fn closed(address: SocketAddr, meter: Arc<Meter>) -> Self {
+    pub fn disabled(address: SocketAddr, meter: Arc<Meter>) -> Self {
         Self {
-            closed: true,
+            disabled: true,
             ..Self::new(address, meter)
         }
     }
@@ -161,7 +161,7 @@
         body: Vec<u8>,
         patience: Duration,
     ) -> Result<(StatusCode, Vec<u8>)> {
-        if self.closed {
+        if self.disabled {
             return Err(self.log_error("the platform keeps the configuration: publish it there"));
         }
         self.meter.log(ESTIMATED_HEADER_BYTES + body.len());
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -111,7 +111,7 @@
         deadline: Instant,
     ) -> Result<Option<Version>> {
         while Instant::now() < deadline {
-            let Ok(head) = self.reader.turn(Millis(0)).await else {
+            let Ok(head) = self.reader.read_once(Millis(0)).await else {
                 return Ok(None);
             };
             if let Some(version) = self.verdict(id)? {
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -17,7 +17,7 @@
 use crate::configuration::freshness::Limits;
 use crate::configuration::log::{Log, Stream};
 use crate::configuration::normalize::normalize;
-use crate::configuration::relay::{jitter, order};
+use crate::configuration::relay::{jitter, rendezvous_order};
 use crate::configuration::replica::Record;
 use crate::configuration::store::{Channel, Store};
 use crate::error::{Error, Result};
@@ -27,12 +27,12 @@
 use crate::units::{Millis, Offset, Version};
 
 /// Time that a read waits at the log for the first record.
-const WAIT: Millis = Millis(5_000);
+const LONG_POLL_WAIT: Millis = Millis(5_000);
 /// Pauses after reads that failed: with the longest one a change waits a second at most once the source is
 /// back.
-const PAUSES: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
 /// Time between two looks at the duty.
-const LOOK: Duration = Duration::from_secs(1);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Rank of `me` among the daemons of a data centre; readers have the lowest.
 #[must_use]
@@ -45,12 +45,12 @@
 /// A daemon that stops has its duty until it leaves: callers use their connections to the end, and where all
 /// daemons stop together nobody else would read.
 #[must_use]
-pub fn duty(board: &Board) -> Option<usize> {
+pub fn reader_rank(board: &Board) -> Option<usize> {
     let settings = &board.settings;
     if settings.delivery == Delivery::Poll {
         return Some(0);
     }
-    let order = order(&board.roster().members, &settings.data_centre);
+    let order = rendezvous_order(&board.roster().members, &settings.data_centre);
     rank(&order, settings.identity()).filter(|rank| *rank < settings.readers)
 }
 
@@ -61,7 +61,7 @@
     store: Arc<Store>,
     source: Source,
     /// The last fault of a record that was written to the log.
-    fault: Mutex<Option<String>>,
+    last_fault: Mutex<Option<String>>,
 }
 
 /// What is read.
@@ -81,7 +81,7 @@
             board,
             store,
             source,
-            fault: Mutex::new(None),
+            last_fault: Mutex::new(None),
         }
     }
 
@@ -90,30 +90,30 @@
         let mut rosters = self.board.rosters();
         let mut lost = false;
         let mut on_duty = false;
-        let mut backoff = PAUSES;
+        let mut backoff = RETRY_BACKOFF;
         if matches!(self.source, Source::ControlPlane(_)) {
             // Until then the joiner reads, for itself.
             let mut stages = self.board.stages();
             let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
         }
         loop {
-            let was_on_duty = std::mem::replace(&mut on_duty, duty(&self.board).is_some());
+            let was_on_duty = std::mem::replace(&mut on_duty, reader_rank(&self.board).is_some());
             if on_duty != was_on_duty {
-                self.note_duty(on_duty);
+                self.log_role_change(on_duty);
             }
             if !on_duty {
-                let _ = tokio::time::timeout(LOOK, rosters.changed()).await;
+                let _ = tokio::time::timeout(ROLE_CHECK_INTERVAL, rosters.changed()).await;
                 continue;
             }
             let wait = match self.source {
                 // A longer wait would hold back the checkpoint that is due meanwhile.
-                Source::Log(_) => WAIT.min(self.board.settings.checkpoint_ms),
+                Source::Log(_) => LONG_POLL_WAIT.min(self.board.settings.checkpoint_ms),
                 // Short against the time in which a version has to be in force, since a connection that
                 // has gone silent shows only by the lack of an answer.
                 Source::ControlPlane(_) => Limits::within(self.board.settings.apply_ms).wait,
             };
             let began = Instant::now();
-            if let Err(error) = self.turn(wait).await {
+            if let Err(error) = self.read_once(wait).await {
                 if !std::mem::replace(&mut lost, true) {
                     warn!(self.board.logger, "source lost"; "error" => %error,
                         "took_ms" => Millis::from(began.elapsed()).0, "version" => self.board.digest().version.0);
@@ -130,7 +130,7 @@
         }
     }
 
-    fn note_duty(&self, on_duty: bool) {
+    fn log_role_change(&self, on_duty: bool) {
         let line = if on_duty {
             "reading begins"
         } else {
@@ -145,15 +145,17 @@
     /// # Errors
     ///
     /// As [`Log::read`], but for expired records, which the fold takes note of.
-    pub async fn turn(&self, wait: Millis) -> Result<Offset> {
+    pub async fn read_once(&self, wait: Millis) -> Result<Offset> {
         let log = match &self.source {
             Source::Log(log) => log,
-            Source::ControlPlane(origin) => return self.follow(origin.as_ref(), wait).await,
+            Source::ControlPlane(origin) => {
+                return self.follow_control_plane(origin.as_ref(), wait).await;
+            }
         };
         let from = self.store.next();
         match log.read(Stream::Config, from, wait).await {
             Ok(page) => {
-                self.store.fold(from, &page.records);
+                self.store.apply_records(from, &page.records);
                 Ok(page.head)
             }
             Err(Error::Expired { first }) => {
@@ -166,7 +168,11 @@
     }
 
     /// Takes the newest version of an origin that can be taken, or what follows the latest watermark.
-    async fn follow(&self, origin: &dyn ControlPlane, wait: Millis) -> Result<Offset> {
+    async fn follow_control_plane(
+        &self,
+        origin: &dyn ControlPlane,
+        wait: Millis,
+    ) -> Result<Offset> {
         let from = self.board.freshness.latest().next;
         let mut began = Instant::now();
         let found = match from {
@@ -183,10 +189,10 @@
             }
             found => found?,
         };
-        self.note_faults(&found.faults);
-        self.take_newest(found.releases);
+        self.log_unreadable(&found.faults);
+        self.accept_newest(found.releases);
         for notice in &found.orders {
-            self.note_order(notice);
+            self.apply_order(notice);
         }
         let has_waited = from == Some(found.next) && began.elapsed() >= wait.duration();
         // After a wait that brought nothing, nothing had come until its end.
@@ -204,7 +210,7 @@
     ///
     /// Guards against a record that is no valid version: were the read to fail by it, it would be made again
     /// and again, and a valid version beside it would wait.
-    fn take_newest(&self, releases: Vec<Release>) {
+    fn accept_newest(&self, releases: Vec<Release>) {
         for Release { version, document } in releases.into_iter().rev() {
             self.board.freshness.note_received(version);
             if version <= self.board.digest().version {
@@ -217,21 +223,21 @@
                 accepted: Vec::new(),
             };
             if self.store.accept(update, Channel::Read).is_ok() {
-                self.note_fit(version, &faults);
+                self.log_normalized(version, &faults);
                 return;
             }
         }
     }
 
     /// Says which parts of a version are carried out otherwise than they are written.
-    fn note_fit(&self, version: Version, faults: &[Fault]) {
+    fn log_normalized(&self, version: Version, faults: &[Fault]) {
         if let Some(first) = faults.first() {
             warn!(self.board.logger, "version brought within limits"; "version" => version.0,
                 "faults" => faults.len(), "first" => %first);
         }
     }
 
-    fn note_order(&self, notice: &Notice) {
+    fn apply_order(&self, notice: &Notice) {
         if !self.board.rollouts.notice(notice) {
             return;
         }
@@ -251,8 +257,11 @@
     }
 
     /// Says once what is wrong with records that can't be read.
-    fn note_faults(&self, faults: &[String]) {
-        let mut noted = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
+    fn log_unreadable(&self, faults: &[String]) {
+        let mut noted = self
+            .last_fault
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         for fault in faults {
             if noted.as_ref() != Some(fault) {
                 warn!(self.board.logger, "record passed over"; "problem" => fault);
@@ -266,7 +275,7 @@
         let Source::Log(log) = &self.source else {
             return;
         };
-        let Some(rank) = duty(&self.board) else {
+        let Some(rank) = reader_rank(&self.board) else {
             return;
         };
         let interval = self.board.settings.checkpoint_ms.duration();
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -27,18 +27,18 @@
 use crate::wire;
 
 /// Path of a pushed update.
-pub const PUSH: &str = "/control/push";
+pub const PUSH_PATH: &str = "/control/push";
 /// Path of a request for content.
-pub const PULL: &str = "/control/pull";
+pub const PULL_PATH: &str = "/control/pull";
 
 /// Longest time that a daemon is told to wait before it asks again.
-const COME_BACK_MS: u64 = 250;
+const MAX_RETRY_DELAY_MS: u64 = 250;
 /// Times that a busy peer is asked.
-const PULL_TRIES: usize = 5;
+const MAX_PULL_ATTEMPTS: usize = 5;
 
 /// The daemons of one data centre in rendezvous order: the same on every daemon with the same view.
 #[must_use]
-pub fn order(members: &[Member], home: &DataCentre) -> Vec<SocketAddr> {
+pub fn rendezvous_order(members: &[Member], home: &DataCentre) -> Vec<SocketAddr> {
     let here = members
         .iter()
         .filter(|m| m.data_centre == *home && m.health == Health::Alive);
@@ -92,14 +92,14 @@
         while versions.changed().await.is_ok() {
             versions.borrow_and_update();
             if self.board.settings.delivery != Delivery::Poll {
-                self.push_all();
+                self.push_to_children();
             }
         }
     }
 
     /// Takes a pushed update.
     #[must_use]
-    pub fn take(&self, reply: Reply) -> Reply {
+    pub fn accept_push(&self, reply: Reply) -> Reply {
         let Reply::Update(packed) = reply else {
             return Reply::Have(self.board.digest());
         };
@@ -114,7 +114,7 @@
     }
 
     /// Answers a request for content; whole documents only a few at a time.
-    pub async fn serve(&self, pull: &Pull) -> Bytes {
+    pub async fn answer_pull(&self, pull: &Pull) -> Bytes {
         let digest = self.board.digest();
         if digest.version <= pull.have {
             return wire::encode(&Reply::Have(digest));
@@ -126,7 +126,7 @@
         // Guards against a storm: after a data centre's power cut, hundreds of daemons ask at
         // once, and sending to all would take the sender's processor and links from its calls.
         let Ok(_transfer) = self.transfers.try_acquire() else {
-            let wait = rand::rng().random_range(COME_BACK_MS / 5..=COME_BACK_MS);
+            let wait = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..=MAX_RETRY_DELAY_MS);
             return wire::encode(&Reply::Busy(Millis(wait)));
         };
         tokio::task::yield_now().await;
@@ -153,8 +153,8 @@
 
     async fn fetch(&self, peer: SocketAddr) -> Result<Digest> {
         let mut have = self.board.digest().version;
-        for _ in 0..PULL_TRIES {
-            match self.links.send(peer, PULL, &Pull { have }).await? {
+        for _ in 0..MAX_PULL_ATTEMPTS {
+            match self.links.send(peer, PULL_PATH, &Pull { have }).await? {
                 Reply::Update(packed) => match self.accept(&packed, Channel::Pull) {
                     Ok(digest) => {
                         self.pulled.store(true, Ordering::Release);
@@ -170,10 +170,10 @@
         Ok(self.board.digest())
     }
 
-    fn push_all(self: &Arc<Self>) {
+    fn push_to_children(self: &Arc<Self>) {
         let settings = &self.board.settings;
         let roster = self.board.roster();
-        let order = order(&roster.members, &settings.data_centre);
+        let order = rendezvous_order(&roster.members, &settings.data_centre);
         let mut receivers = children(&order, settings.identity(), settings.fanout);
         let outside = self.pulled.swap(false, Ordering::AcqRel);
         let root = order
@@ -203,15 +203,15 @@
     }
 
     async fn deliver(&self, peer: SocketAddr, reply: Bytes) -> Result<()> {
-        let answer: Reply = self.links.exchange(peer, PUSH, reply).await?;
+        let answer: Reply = self.links.exchange(peer, PUSH_PATH, reply).await?;
         if let Reply::Need(digest) = answer
             && digest.version < self.board.digest().version
         {
             let parcel = self.store.encoded_update(digest.version);
-            let answer: Reply = self.links.exchange(peer, PUSH, parcel.reply).await?;
+            let answer: Reply = self.links.exchange(peer, PUSH_PATH, parcel.reply).await?;
             if let Reply::Need(_) = answer {
                 let whole = self.store.encoded_update(Version(0));
-                let _: Reply = self.links.exchange(peer, PUSH, whole.reply).await?;
+                let _: Reply = self.links.exchange(peer, PUSH_PATH, whole.reply).await?;
             }
         }
         Ok(())
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -50,7 +50,7 @@
 
 #[derive(Debug)]
 struct State {
-    fold: Replica,
+    replica: Replica,
     /// Documents that were in force, oldest first, the current one last.
     history: Vec<HistoryEntry>,
     /// Encoded updates to the current version, by the version they start from.
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let state = State {
-            fold: Replica::new(),
+            replica: Replica::new(),
             history: Vec::new(),
             encoded: Vec::new(),
             checkpoint_seen: Instant::now(),
@@ -99,21 +99,21 @@
     /// First offset not folded yet.
     #[must_use]
     pub fn next(&self) -> Offset {
-        self.state().fold.next()
+        self.state().replica.next()
     }
 
     /// The state to write to the log; `None` while records are missing or there is nothing.
     #[must_use]
     pub fn checkpoint(&self) -> Option<Checkpoint> {
         let state = self.state();
-        let known = !state.fold.has_gap() && state.fold.version() > Version(0);
-        known.then(|| state.fold.checkpoint().clone())
+        let known = !state.replica.has_gap() && state.replica.version() > Version(0);
+        known.then(|| state.replica.checkpoint().clone())
     }
 
     /// Whether records are missing.
     #[must_use]
     pub fn gapped(&self) -> bool {
-        self.state().fold.has_gap()
+        self.state().replica.has_gap()
     }
 
     /// Time since a checkpoint was read from the log.
@@ -125,7 +125,7 @@
     /// Verdict on an edit, while it is remembered.
     #[must_use]
     pub fn verdict(&self, id: &EditId) -> Option<Verdict> {
-        self.state().fold.verdict(id).cloned()
+        self.state().replica.verdict(id).cloned()
     }
 
     /// The edit for a proposal, in the fewest bytes.
@@ -135,9 +135,9 @@
         let Proposal { id, base, document } = proposal;
         let document = document.sorted();
         // Every fold that could accept the edit holds its base, so the changes are enough.
-        let known = base == Base::Version(state.fold.version());
+        let known = base == Base::Version(state.replica.version());
         let content = if known && self.board.settings.delivery == Delivery::Delta {
-            Content::Delta(Delta::between(state.fold.document(), &document))
+            Content::Delta(Delta::between(state.replica.document(), &document))
         } else {
             Content::Whole(document)
         };
@@ -146,15 +146,15 @@
 
     /// Notes that all records before `first` have expired.
     pub fn expire(&self, first: Offset) {
-        self.state().fold.expire(first);
+        self.state().replica.expire(first);
     }
 
     /// Folds records of the log that were read from offset `from` on.
-    pub fn fold(&self, from: Offset, records: &[Stored]) {
+    pub fn apply_records(&self, from: Offset, records: &[Stored]) {
         let mut state = self.state();
         // Guards against a page that was asked for before a checkpoint took the fold back: it
         // would look as if the records in between had expired.
-        if from > state.fold.next() {
+        if from > state.replica.next() {
             return;
         }
         for stored in records {
@@ -165,7 +165,7 @@
                 }
                 Verdict::Restored => {
                     info!(self.board.logger, "restored from checkpoint";
-                        "version" => state.fold.version().0, "next" => state.fold.next().0);
+                        "version" => state.replica.version().0, "next" => state.replica.next().0);
                     // Folding goes on from the checkpoint's own place; what follows in this page
                     // is read again from there.
                     break;
@@ -189,12 +189,12 @@
             body,
             accepted,
         } = update;
-        if version <= state.fold.version() {
+        if version <= state.replica.version() {
             return Ok(self.board.digest());
         }
         let document = match body {
-            Body::Delta { base, delta } if base == state.fold.version() => {
-                delta.apply(state.fold.document())?
+            Body::Delta { base, delta } if base == state.replica.version() => {
+                delta.apply(state.replica.document())?
             }
             Body::Delta { .. } => return Err(Error::Delta),
             Body::Whole(document) => document,
@@ -204,11 +204,11 @@
         let faults = check::document(&document);
         if !faults.is_empty() {
             warn!(self.board.logger, "refused a faulty document"; "way" => %way,
-                "version" => version.0, "keeps" => state.fold.version().0, "faults" => faults.len(),
+                "version" => version.0, "keeps" => state.replica.version().0, "faults" => faults.len(),
                 "first" => faults.first().map(ToString::to_string));
             return Err(Error::Faults { faults });
         }
-        state.fold.adopt(version, Arc::new(document), accepted);
+        state.replica.adopt(version, Arc::new(document), accepted);
         self.activate(&mut state, way);
         Ok(self.board.digest())
     }
@@ -243,11 +243,11 @@
     }
 
     fn activate(&self, state: &mut State, way: Channel) {
-        let version = state.fold.version();
+        let version = state.replica.version();
         if version <= self.board.digest().version {
             return;
         }
-        let document = Arc::clone(state.fold.document());
+        let document = Arc::clone(state.replica.document());
         state.encoded.clear();
         state.history.push(HistoryEntry {
             version,
@@ -274,17 +274,17 @@
                 if matches!(record, Record::Checkpoint(_)) {
                     self.checkpoint_seen = Instant::now();
                 }
-                self.fold.apply(stored.offset, &record)
+                self.replica.apply(stored.offset, &record)
             }
             // Something foreign on the stream: it takes an offset and changes nothing, in every
             // fold alike.
-            Err(_) => self.fold.skip(stored.offset),
+            Err(_) => self.replica.skip(stored.offset),
         }
     }
 
     fn update(&self, have: Version, delivery: Delivery) -> Update {
-        let version = self.fold.version();
-        let document = self.fold.document();
+        let version = self.replica.version();
+        let document = self.replica.document();
         let known = self
             .history
             .binary_search_by_key(&have, |past| past.version);
@@ -298,7 +298,7 @@
         Update {
             version,
             body,
-            accepted: self.fold.accepted_since(base),
+            accepted: self.replica.accepted_since(base),
         }
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -272,7 +272,7 @@
             (log.clone(), Source::Log(log))
         }
         Some(origin) => (
-            Log::closed(address, meter),
+            Log::disabled(address, meter),
             Source::ControlPlane(Arc::clone(origin)),
         ),
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -10,7 +10,7 @@
 
 use crate::board::Board;
 use crate::configuration::log::{Log, Stream};
-use crate::configuration::relay::{jitter, order};
+use crate::configuration::relay::{jitter, rendezvous_order};
 use crate::membership::datagram::{Join, Welcome};
 use crate::membership::probe::Membership;
 use crate::peer::Links;
@@ -71,7 +71,7 @@
     pub async fn keep(&self) {
         let settings = &self.board.settings;
         loop {
-            let order = order(&self.board.roster().members, &settings.data_centre);
+            let order = rendezvous_order(&self.board.roster().members, &settings.data_centre);
             let mine = order
                 .iter()
                 .take(CONTACTS_KEPT)
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -216,7 +216,7 @@
         let reader = Arc::clone(&self.reader);
         Box::pin(async move {
             tokio::time::sleep(pause).await;
-            reader.turn(ORIGIN_WAIT).await
+            reader.read_once(ORIGIN_WAIT).await
         })
     }
 
@@ -313,7 +313,7 @@
     /// Reads the log to its head; `false` while it is away.
     async fn read_log(&self, floor: &mut Requirement) -> bool {
         loop {
-            let Ok(head) = self.reader.turn(Millis(0)).await else {
+            let Ok(head) = self.reader.read_once(Millis(0)).await else {
                 return false;
             };
             floor.set_log_head(head);
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -127,7 +127,7 @@
 /// Reads the platform once, after a pause.
 async fn read(reader: Arc<Reader>, pause: Duration) -> Result<Offset> {
     tokio::time::sleep(pause).await;
-    reader.turn(Millis(0)).await
+    reader.read_once(Millis(0)).await
 }
 
 /// Waits for a watermark that is not stale.
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::configuration::reader::duty;
+use crate::configuration::reader::reader_rank;
 use crate::configuration::relay::jitter;
 use crate::membership::datagram::Datagram;
 use crate::membership::member::Stage;
@@ -21,7 +21,9 @@
         while versions.changed().await.is_ok() {
             tokio::time::sleep(jitter(HEAD_START)).await;
             versions.borrow_and_update();
-            if self.board().settings.delivery == Delivery::Poll || duty(self.board()).is_none() {
+            if self.board().settings.delivery == Delivery::Poll
+                || reader_rank(self.board()).is_none()
+            {
                 continue;
             }
             let sends = {
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -158,7 +158,7 @@
             offered: board.freshness.received(),
             watermark_ms: board.freshness.age(now),
             routes: config.table.len(),
-            reads_log: reader::duty(board).is_some(),
+            reads_log: reader::reader_rank(board).is_some(),
             lease_left_ms: target
                 .as_ref()
                 .map(|target| left(target.lease_until).into()),
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -20,7 +20,7 @@
 use crate::calls::transit::Transit;
 use crate::clock;
 use crate::configuration::exchange::{Pull, Reply};
-use crate::configuration::relay::{PULL, PUSH, Relay};
+use crate::configuration::relay::{PULL_PATH, PUSH_PATH, Relay};
 use crate::error::{Error, FrameSnafu, ListenSnafu, Result};
 use crate::idempotency::deduplicator::{Deduplicator, HANDOFF_PATH, INTENT_PATH};
 use crate::idempotency::keys::{Handoff, Intent};
@@ -135,8 +135,10 @@
 
     async fn answer(&self, path: &str, body: &[u8]) -> Result<Bytes> {
         match path {
-            PUSH => Ok(wire::encode(&self.relay.take(wire::decode::<Reply>(body)?))),
-            PULL => Ok(self.relay.serve(&wire::decode::<Pull>(body)?).await),
+            PUSH_PATH => Ok(wire::encode(
+                &self.relay.accept_push(wire::decode::<Reply>(body)?),
+            )),
+            PULL_PATH => Ok(self.relay.answer_pull(&wire::decode::<Pull>(body)?).await),
             JOIN => Ok(wire::encode(
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
