--- a/src/calls/gate.rs
+++ b/src/calls/gate.rs
@@ -99,7 +99,7 @@
         let nested = self.is_nested(&handover);
         let received = Received::new(handover, request, self.board.begin());
         let result = match key {
-            Some(key) => self.keys.guard(key, received, &self.work).await,
+            Some(key) => self.keys.run_once(key, received, &self.work).await,
             None => self.work.run(received).await,
         };
         let mut response = match result {
--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -21,11 +21,11 @@
 use crate::units::{IdempotencyKey, Millis, Offset, Service};
 
 /// Allowance for clocks that differ between hosts, in milliseconds.
-const SKEW_MS: u64 = 30_000;
+const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 /// Pause after the log failed; claims that come meanwhile fail when it ends.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Entries in one record.
-const BATCH: usize = 256;
+const MAX_BATCH_ENTRIES: usize = 256;
 
 /// Claims of one service at one gate.
 #[derive(Debug)]
@@ -34,16 +34,16 @@
     log: Log,
     stream: Stream,
     holder: Holder,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
     /// Held only to move entries in and out.
-    waiting: Mutex<Vec<Waiting>>,
+    pending: Mutex<Vec<PendingEntry>>,
     enqueued: Notify,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingEntry {
     entry: Entry,
-    told: Option<oneshot::Sender<Result<(), Reason>>>,
+    reply: Option<oneshot::Sender<Result<(), Reason>>>,
 }
 
 impl Claims {
@@ -55,8 +55,8 @@
             log,
             stream: Stream::Claims(service),
             holder,
-            numbers: AtomicU64::new(0),
-            waiting: Mutex::default(),
+            next_number: AtomicU64::new(0),
+            pending: Mutex::default(),
             enqueued: Notify::new(),
         });
         let writer = Arc::clone(&claims);
@@ -71,7 +71,7 @@
     /// [`Reason::LogAway`] when the log did not take the claim: the key may not run;
     /// [`Reason::KeyInDoubt`] when another claim came first.
     pub async fn claim(&self, key: &IdempotencyKey) -> Result<Claim, Reason> {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let claim = Claim {
             key: key.clone(),
             holder: self.holder,
@@ -91,40 +91,40 @@
     }
 
     fn enqueue(&self, entry: Entry, told: Option<oneshot::Sender<Result<(), Reason>>>) {
-        self.waiting().push(Waiting { entry, told });
+        self.pending().push(PendingEntry { entry, reply: told });
         self.enqueued.notify_one();
     }
 
     async fn run(&self) {
         let mut ledger = None;
         loop {
-            let batch = self.take();
+            let batch = self.take_batch();
             if batch.is_empty() {
                 self.enqueued.notified().await;
             } else if self.flush(&mut ledger, batch).await.is_err() {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    fn take(&self) -> Vec<Waiting> {
-        let mut waiting = self.waiting();
-        let count = waiting.len().min(BATCH);
+    fn take_batch(&self) -> Vec<PendingEntry> {
+        let mut waiting = self.pending();
+        let count = waiting.len().min(MAX_BATCH_ENTRIES);
         waiting.drain(..count).collect()
     }
 
     /// Writes a batch as one record, and tells each claim what became of it.
-    async fn flush(&self, ledger: &mut Option<Ledger>, mut batch: Vec<Waiting>) -> Result<()> {
+    async fn flush(&self, ledger: &mut Option<Ledger>, mut batch: Vec<PendingEntry>) -> Result<()> {
         let written = self.write(ledger, &batch).await;
         if let Err(error) = &written {
             debug!(self.board.logger, "claims failed"; "error" => %error, "count" => batch.len());
         }
         for waiting in &mut batch {
-            let Some(told) = waiting.told.take() else {
+            let Some(told) = waiting.reply.take() else {
                 continue;
             };
             let verdict = match (&written, &waiting.entry, ledger.as_ref()) {
-                (Ok(()), Entry::Claim(claim), Some(ledger)) => judge(ledger, claim),
+                (Ok(()), Entry::Claim(claim), Some(ledger)) => verdict(ledger, claim),
                 _ => Err(Reason::LogAway),
             };
             // Guards against a claim whose request gave up while it was written: its key will
@@ -134,15 +134,15 @@
             }
         }
         if written.is_err() {
-            self.take_back(batch);
+            self.release_unconfirmed(batch);
         }
         written
     }
 
     /// Appends a batch and folds the log up to it.
-    async fn write(&self, ledger: &mut Option<Ledger>, batch: &[Waiting]) -> Result<()> {
+    async fn write(&self, ledger: &mut Option<Ledger>, batch: &[PendingEntry]) -> Result<()> {
         if ledger.is_none() {
-            *ledger = Some(self.open().await?);
+            *ledger = Some(self.load_ledger().await?);
         }
         let Some(ledger) = ledger.as_mut() else {
             return Ok(());
@@ -156,7 +156,7 @@
         while ledger.next() <= offset {
             self.read(ledger).await?;
         }
-        ledger.forget(self.horizon());
+        ledger.forget_before(self.horizon());
         Ok(())
     }
 
@@ -164,17 +164,17 @@
     ///
     /// Guards against a claim whose append took effect though its answer was lost: nobody runs
     /// its key, and repeats would be in doubt until it is forgotten.
-    fn take_back(&self, batch: Vec<Waiting>) {
-        let mut waiting = self.waiting();
+    fn release_unconfirmed(&self, batch: Vec<PendingEntry>) {
+        let mut waiting = self.pending();
         for lost in batch {
             let (Entry::Claim(claim) | Entry::Release(claim)) = lost.entry;
-            waiting.push(Waiting {
+            waiting.push(PendingEntry {
                 entry: Entry::Release(claim),
-                told: None,
+                reply: None,
             });
         }
         // Kept bounded during a long outage; what is dropped stays in doubt, which is safe.
-        let excess = waiting.len().saturating_sub(BATCH * 4);
+        let excess = waiting.len().saturating_sub(MAX_BATCH_ENTRIES * 4);
         if excess > 0 {
             warn!(self.board.logger, "claims stay in doubt"; "count" => excess);
             waiting.drain(..excess);
@@ -196,7 +196,7 @@
     }
 
     /// A ledger over every claim that is still remembered.
-    async fn open(&self) -> Result<Ledger> {
+    async fn load_ledger(&self) -> Result<Ledger> {
         let bounds = self.log.bounds(self.stream.clone()).await?;
         let horizon = self.horizon();
         let start = self.first_since(&bounds, horizon).await?;
@@ -236,15 +236,15 @@
 
     fn horizon(&self) -> u64 {
         let span = self.board.settings.key_memory_ms.0;
-        clock::unix_ms().saturating_sub(span + SKEW_MS)
+        clock::unix_ms().saturating_sub(span + MAX_CLOCK_SKEW_MS)
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Vec<Waiting>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, Vec<PendingEntry>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn judge(ledger: &Ledger, claim: &Claim) -> Result<(), Reason> {
+fn verdict(ledger: &Ledger, claim: &Claim) -> Result<(), Reason> {
     if ledger.holder(&claim.key) == Some(claim) {
         Ok(())
     } else {
--- a/src/idempotency/deduplicator.rs
+++ b/src/idempotency/deduplicator.rs
@@ -16,13 +16,13 @@
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
 use crate::idempotency::claim::Claims;
+use crate::idempotency::keys::{Handoff, HandoffAck, Intent, IntentAck};
 use crate::idempotency::keys::{
-    Answer, HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership,
-    proven,
+    HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, StoredResponse,
+    ownership, proves_first_run,
 };
-use crate::idempotency::keys::{Handoff, HandoffAck, Intent, IntentAck};
-use crate::idempotency::replay::{keep, response};
-use crate::idempotency::sidecars::{self, Heritage};
+use crate::idempotency::replay::{replay_response, store_response};
+use crate::idempotency::sidecars::{self, ReceivedHandoffs};
 use crate::peer::Links;
 use crate::units::{IdempotencyKey, Millis, Service};
 
@@ -43,15 +43,15 @@
     /// Sorted by service.
     claims: Mutex<Vec<(Service, Arc<Claims>)>>,
     /// Told whenever a run ends.
-    ended: watch::Sender<u64>,
-    born: Instant,
-    life: u64,
-    lived: AtomicBool,
+    run_ended: watch::Sender<u64>,
+    started_at: Instant,
+    run_id: u64,
+    predecessor_lost: AtomicBool,
     /// Set once the memory has been handed over.
-    closed: AtomicBool,
+    handed_off: AtomicBool,
     /// Service of the keys.
     service: Mutex<Option<Service>>,
-    heritage: Heritage,
+    handoffs: ReceivedHandoffs,
 }
 
 impl Deduplicator {
@@ -65,19 +65,19 @@
             log,
             memory: Mutex::new(Memory::new(span)),
             claims: Mutex::default(),
-            ended: watch::Sender::new(0),
-            born: Instant::now(),
-            life: rand::random(),
-            lived: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            run_ended: watch::Sender::new(0),
+            started_at: Instant::now(),
+            run_id: rand::random(),
+            predecessor_lost: AtomicBool::new(false),
+            handed_off: AtomicBool::new(false),
             service: Mutex::default(),
-            heritage: Heritage::default(),
+            handoffs: ReceivedHandoffs::default(),
         }
     }
 
     /// Notes whether an earlier daemon at this address was lost with its keys.
-    pub fn set_lived(&self, lost: bool) {
-        self.lived.store(lost, Ordering::Release);
+    pub fn set_predecessor_lost(&self, lost: bool) {
+        self.predecessor_lost.store(lost, Ordering::Release);
     }
 
     /// Keys that are remembered.
@@ -88,16 +88,22 @@
 
     /// Answers another gate that is about to run a key; nothing once this one has handed over.
     #[must_use]
-    pub fn note(&self, note: &Intent) -> Option<IntentAck> {
-        if self.closed.load(Ordering::Acquire) {
+    pub fn record_intent(&self, note: &Intent) -> Option<IntentAck> {
+        if self.handed_off.load(Ordering::Acquire) {
             return None;
         }
         // A gate that notes keys serves again.
-        self.heritage.serves_again(note.holder.gate);
-        let known = self.memory().note(Instant::now(), &note.key, note.holder);
-        let lived = self.lived.load(Ordering::Acquire);
-        let age = Millis::from(self.born.elapsed());
-        Some(IntentAck { known, age, lived })
+        self.handoffs.remove(note.holder.sidecar);
+        let known = self
+            .memory()
+            .record_intent(Instant::now(), &note.key, note.holder);
+        let lived = self.predecessor_lost.load(Ordering::Acquire);
+        let age = Millis::from(self.started_at.elapsed());
+        Some(IntentAck {
+            may_have_run: known,
+            age,
+            predecessor_lost: lived,
+        })
     }
 
     /// Runs a request unless its key has run, or may have.
@@ -105,7 +111,7 @@
     /// # Errors
     ///
     /// Why there is no answer.
-    pub async fn guard(
+    pub async fn run_once(
         self: &Arc<Self>,
         key: IdempotencyKey,
         received: Received,
@@ -114,11 +120,11 @@
         let service = received.service().clone();
         *self.service.lock().unwrap_or_else(PoisonError::into_inner) = Some(service);
         loop {
-            let mut ended = self.ended.subscribe();
+            let mut ended = self.run_ended.subscribe();
             match self.begin(&key)? {
-                Begin::Run => break,
-                Begin::Repeat(answer) => return Ok(response(&answer)),
-                Begin::Join => {
+                Admission::Run => break,
+                Admission::Replay(answer) => return Ok(replay_response(&answer)),
+                Admission::Wait => {
                     let waiting =
                         tokio::time::timeout_at(received.deadline().into(), ended.changed());
                     if waiting.await.is_err() {
@@ -136,25 +142,25 @@
         let (keys, work) = (Arc::clone(self), Arc::clone(work));
         let task = tokio::spawn(async move {
             let result = match received.guard() {
-                Guard::Memory => keys.run_noted(&key, received, &work).await,
-                Guard::Claim => keys.run_claimed(&key, received, &work).await,
+                Guard::Memory => keys.run_with_intent(&key, received, &work).await,
+                Guard::Claim => keys.run_with_claim(&key, received, &work).await,
             };
             run.settle(result).await
         });
         task.await.unwrap_or(Err(Reason::Broken))
     }
 
-    async fn run_noted(
+    async fn run_with_intent(
         &self,
         key: &IdempotencyKey,
         received: Received,
         work: &Work,
     ) -> Result<Response<Body>, Reason> {
-        self.prove(&received, key).await?;
+        self.ensure_first_run(&received, key).await?;
         work.run(received).await
     }
 
-    async fn run_claimed(
+    async fn run_with_claim(
         &self,
         key: &IdempotencyKey,
         received: Received,
@@ -195,24 +201,24 @@
     /// This gate in its present life.
     fn holder(&self) -> Holder {
         Holder {
-            gate: self.board.settings.identity(),
-            life: self.life,
+            sidecar: self.board.settings.identity(),
+            run_id: self.run_id,
         }
     }
 
-    fn begin(&self, key: &IdempotencyKey) -> Result<Begin, Reason> {
+    fn begin(&self, key: &IdempotencyKey) -> Result<Admission, Reason> {
         let now = Instant::now();
         let mut memory = self.memory();
-        match memory.recall(now, key) {
+        match memory.get(now, key) {
             None => {
-                memory.remember(now, key, State::Running);
-                Ok(Begin::Run)
+                memory.insert(now, key, State::Running);
+                Ok(Admission::Run)
             }
-            Some(State::Running) => Ok(Begin::Join),
-            Some(State::Done(answer)) => Ok(Begin::Repeat(Arc::clone(answer))),
-            Some(State::Doubt) => Err(Reason::KeyInDoubt),
-            Some(State::Noted(holder)) => {
-                let there = self.board.roster().member(holder.gate).is_some();
+            Some(State::Running) => Ok(Admission::Wait),
+            Some(State::Done(answer)) => Ok(Admission::Replay(Arc::clone(answer))),
+            Some(State::InDoubt) => Err(Reason::KeyInDoubt),
+            Some(State::Intent(holder)) => {
+                let there = self.board.roster().member(holder.sidecar).is_some();
                 Err(if there {
                     Reason::Moved
                 } else {
@@ -223,12 +229,16 @@
     }
 
     /// Makes sure that nobody else ran the key, and that this run will be known.
-    async fn prove(&self, received: &Received, key: &IdempotencyKey) -> Result<(), Reason> {
+    async fn ensure_first_run(
+        &self,
+        received: &Received,
+        key: &IdempotencyKey,
+    ) -> Result<(), Reason> {
         let (service, leaving) = (received.service(), received.leaving());
         let own = LocalSidecar {
             address: self.board.settings.identity(),
-            age: self.born.elapsed(),
-            lived: self.lived.load(Ordering::Acquire),
+            age: self.started_at.elapsed(),
+            predecessor_lost: self.predecessor_lost.load(Ordering::Acquire),
         };
         let span = self.board.settings.key_memory_ms.duration();
         let peers = self.peers(service, leaving);
@@ -238,13 +248,13 @@
         };
         match ownership(key, own, &peers, span) {
             Ownership::Moved => Err(Reason::Moved),
-            Ownership::Doubt => Err(Reason::KeyInDoubt),
-            Ownership::Alone => Err(Reason::NoWitness),
+            Ownership::InDoubt => Err(Reason::KeyInDoubt),
+            Ownership::Isolated => Err(Reason::NoWitness),
             Ownership::Run(witnesses) if witnesses.is_empty() => Ok(()),
-            Ownership::Run(witnesses) => self.tell_one(&witnesses, &note).await,
-            Ownership::Ask { survivors, losses } => {
-                let answers = self.tell_all(&survivors, &note).await?;
-                let first = proven(own, losses, &answers, span);
+            Ownership::Run(witnesses) => self.send_intent_to_any(&witnesses, &note).await,
+            Ownership::Query { survivors, losses } => {
+                let answers = self.send_intent_to_all(&survivors, &note).await?;
+                let first = proves_first_run(own, losses, &answers, span);
                 if first {
                     Ok(())
                 } else {
@@ -254,14 +264,18 @@
         }
     }
 
-    async fn tell_one(&self, witnesses: &[SocketAddr], note: &Intent) -> Result<(), Reason> {
+    async fn send_intent_to_any(
+        &self,
+        witnesses: &[SocketAddr],
+        note: &Intent,
+    ) -> Result<(), Reason> {
         for witness in witnesses {
             match self
                 .links
                 .send::<_, IntentAck>(*witness, INTENT_PATH, note)
                 .await
             {
-                Ok(noted) if noted.known => return Err(Reason::KeyInDoubt),
+                Ok(noted) if noted.may_have_run => return Err(Reason::KeyInDoubt),
                 Ok(_) => return Ok(()),
                 Err(_) => {}
             }
@@ -269,7 +283,7 @@
         Err(Reason::NoWitness)
     }
 
-    async fn tell_all(
+    async fn send_intent_to_all(
         &self,
         survivors: &[SocketAddr],
         note: &Intent,
@@ -287,7 +301,7 @@
             match answer {
                 Ok(noted) => answers.push(noted),
                 // It has handed over what it knew, and this gate remembers it.
-                Err(_) if self.heritage.covers(peer) => {}
+                Err(_) if self.handoffs.contains(peer) => {}
                 Err(_) => return Err(Reason::KeyInDoubt),
             }
         }
@@ -297,9 +311,9 @@
     /// Hands everything remembered to the other gates of the service; whether all took it.
     ///
     /// From now on no note is taken: it would be lost with this gate.
-    pub async fn hand_over(&self) -> bool {
-        self.closed.store(true, Ordering::Release);
-        let keys = self.memory().hand_over(Instant::now(), self.holder());
+    pub async fn hand_off(&self) -> bool {
+        self.handed_off.store(true, Ordering::Release);
+        let keys = self.memory().export(Instant::now(), self.holder());
         let service = self
             .service
             .lock()
@@ -311,17 +325,17 @@
         let peers = self.peers(&service, &[]);
         let stay = peers
             .iter()
-            .filter(|peer| peer.standing == Liveness::Serving);
+            .filter(|peer| peer.liveness == Liveness::Serving);
         let stay: Vec<SocketAddr> = stay.map(|peer| peer.address).collect();
         for part in keys.chunks(KEYS_PER_HANDOFF) {
-            if !self.bequeath(&stay, part, false).await {
+            if !self.send_handoff(&stay, part, false).await {
                 return false;
             }
         }
-        !stay.is_empty() && self.bequeath(&stay, &[], true).await
+        !stay.is_empty() && self.send_handoff(&stay, &[], true).await
     }
 
-    async fn bequeath(&self, stay: &[SocketAddr], keys: &[HandoffKey], complete: bool) -> bool {
+    async fn send_handoff(&self, stay: &[SocketAddr], keys: &[HandoffKey], complete: bool) -> bool {
         let legacy = Handoff {
             from: self.holder(),
             keys: keys.to_vec(),
@@ -336,15 +350,15 @@
 
     /// Takes what a leaving gate remembered.
     #[must_use]
-    pub fn inherit(&self, legacy: &Handoff) -> HandoffAck {
+    pub fn accept_handoff(&self, legacy: &Handoff) -> HandoffAck {
         let now = Instant::now();
         let mut memory = self.memory();
         for handed in &legacy.keys {
-            memory.note(now, &handed.key, handed.holder);
+            memory.record_intent(now, &handed.key, handed.holder);
         }
         drop(memory);
         if legacy.complete {
-            self.heritage.took_over(legacy.from.gate);
+            self.handoffs.add(legacy.from.sidecar);
         }
         HandoffAck
     }
@@ -360,10 +374,10 @@
 }
 
 /// What becomes of a request with a key.
-enum Begin {
+enum Admission {
     Run,
-    Join,
-    Repeat(Arc<Answer>),
+    Wait,
+    Replay(Arc<StoredResponse>),
 }
 
 /// A run of a key; it is in doubt when dropped before its end.
@@ -380,12 +394,12 @@
     ) -> Result<Response<Body>, Reason> {
         match result {
             Ok(answered) => {
-                let (state, answered) = keep(answered).await;
+                let (state, answered) = store_response(answered).await;
                 self.end(Some(state));
                 answered
             }
             Err(reason) => {
-                let state = (reason.fate() == Fate::Unknown).then_some(State::Doubt);
+                let state = (reason.fate() == Fate::Unknown).then_some(State::InDoubt);
                 self.end(state);
                 Err(reason)
             }
@@ -396,18 +410,18 @@
         self.settled = true;
         let mut memory = self.keys.memory();
         match state {
-            Some(state) => memory.remember(Instant::now(), &self.key, state),
-            None => memory.forget(&self.key),
+            Some(state) => memory.insert(Instant::now(), &self.key, state),
+            None => memory.remove(&self.key),
         }
         drop(memory);
-        self.keys.ended.send_modify(|count| *count += 1);
+        self.keys.run_ended.send_modify(|count| *count += 1);
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
         if !self.settled {
-            self.end(Some(State::Doubt));
+            self.end(Some(State::InDoubt));
         }
     }
 }
--- a/src/idempotency/keys.rs
+++ b/src/idempotency/keys.rs
@@ -19,11 +19,11 @@
 use crate::units::{IdempotencyKey, Millis};
 
 /// Losses among the gates of a service that its notes survive.
-const LOSSES_SURVIVED: usize = 1;
+const MAX_TOLERATED_LOSSES: usize = 1;
 
 /// An answer that can be given again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct StoredResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -36,9 +36,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// Its address.
-    pub gate: SocketAddr,
+    #[serde(rename = "gate")]
+    pub sidecar: SocketAddr,
     /// Number drawn when its daemon started.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub run_id: u64,
 }
 
 /// What is remembered of a key.
@@ -47,11 +49,11 @@
     /// It runs here now, or is about to.
     Running,
     /// It ran here, with this answer.
-    Done(Arc<Answer>),
+    Done(Arc<StoredResponse>),
     /// It may have run here.
-    Doubt,
+    InDoubt,
     /// Another gate was about to run it.
-    Noted(Holder),
+    Intent(Holder),
 }
 
 /// A key that a leaving gate hands over.
@@ -91,26 +93,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentAck {
     /// Whether the key may have run, here or at another gate.
-    pub known: bool,
+    pub may_have_run: bool,
     /// Time for which the answerer has remembered keys.
     pub age: Millis,
     /// Whether its address belonged to a daemon before.
-    pub lived: bool,
+    pub predecessor_lost: bool,
 }
 
 #[derive(Debug)]
-struct Remembered {
+struct Entry {
     key: IdempotencyKey,
     state: State,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Keys that ran, or may have, in the recent past.
 #[derive(Debug)]
 pub struct Memory {
-    span: Duration,
+    retention: Duration,
     /// Sorted by key.
-    keys: Vec<Remembered>,
+    keys: Vec<Entry>,
     next_sweep: Option<Instant>,
 }
 
@@ -119,7 +121,7 @@
     #[must_use]
     pub const fn new(span: Duration) -> Self {
         Self {
-            span,
+            retention: span,
             keys: Vec::new(),
             next_sweep: None,
         }
@@ -139,28 +141,28 @@
 
     /// What is remembered of `key`.
     #[must_use]
-    pub fn recall(&self, now: Instant, key: &IdempotencyKey) -> Option<&State> {
+    pub fn get(&self, now: Instant, key: &IdempotencyKey) -> Option<&State> {
         let index = self.find(key).ok()?;
         let found = &self.keys[index];
-        (found.until > now || found.state == State::Running).then_some(&found.state)
+        (found.expires_at > now || found.state == State::Running).then_some(&found.state)
     }
 
     /// Remembers `state` for `key`, in place of anything earlier.
-    pub fn remember(&mut self, now: Instant, key: &IdempotencyKey, state: State) {
+    pub fn insert(&mut self, now: Instant, key: &IdempotencyKey, state: State) {
         self.sweep(now);
-        let until = now + self.span;
+        let until = now + self.retention;
         match self.find(key) {
             Ok(index) => {
                 self.keys[index].state = state;
-                self.keys[index].until = until;
+                self.keys[index].expires_at = until;
             }
             Err(index) => {
                 self.keys.insert(
                     index,
-                    Remembered {
+                    Entry {
                         key: key.clone(),
                         state,
-                        until,
+                        expires_at: until,
                     },
                 );
             }
@@ -168,34 +170,34 @@
     }
 
     /// Forgets `key`: it has provably not run.
-    pub fn forget(&mut self, key: &IdempotencyKey) {
+    pub fn remove(&mut self, key: &IdempotencyKey) {
         if let Ok(index) = self.find(key) {
             self.keys.remove(index);
         }
     }
 
     /// Notes that `holder` is about to run `key`; `true` when it may have run elsewhere.
-    pub fn note(&mut self, now: Instant, key: &IdempotencyKey, holder: Holder) -> bool {
+    pub fn record_intent(&mut self, now: Instant, key: &IdempotencyKey, holder: Holder) -> bool {
         // Guards against a holder that ran the key, was killed and came back at its address: to
         // itself its note would look like its own next try. Its new life is another holder.
-        match self.recall(now, key) {
+        match self.get(now, key) {
             None => {}
-            Some(State::Noted(other)) if *other == holder => {}
+            Some(State::Intent(other)) if *other == holder => {}
             Some(_) => return true,
         }
-        self.remember(now, key, State::Noted(holder));
+        self.insert(now, key, State::Intent(holder));
         false
     }
 
     /// Everything remembered, for whoever follows a gate that leaves as `me`.
     #[must_use]
-    pub fn hand_over(&self, now: Instant, me: Holder) -> Vec<HandoffKey> {
-        let kept = self.keys.iter().filter(|kept| kept.until > now);
-        let hand = |kept: &Remembered| HandoffKey {
+    pub fn export(&self, now: Instant, me: Holder) -> Vec<HandoffKey> {
+        let kept = self.keys.iter().filter(|kept| kept.expires_at > now);
+        let hand = |kept: &Entry| HandoffKey {
             key: kept.key.clone(),
             holder: match kept.state {
-                State::Noted(holder) => holder,
-                State::Running | State::Done(_) | State::Doubt => me,
+                State::Intent(holder) => holder,
+                State::Running | State::Done(_) | State::InDoubt => me,
             },
         };
         kept.map(hand).collect()
@@ -208,9 +210,9 @@
 
     fn sweep(&mut self, now: Instant) {
         if self.next_sweep.is_none_or(|due| due <= now) {
-            self.next_sweep = Some(now + self.span / 4);
+            self.next_sweep = Some(now + self.retention / 4);
             self.keys
-                .retain(|kept| kept.until > now || kept.state == State::Running);
+                .retain(|kept| kept.expires_at > now || kept.state == State::Running);
         }
     }
 }
@@ -221,7 +223,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Whether it is there.
-    pub standing: Liveness,
+    pub liveness: Liveness,
 }
 
 /// Whether a gate is there.
@@ -243,7 +245,7 @@
     /// Time for which it has remembered keys.
     pub age: Duration,
     /// Whether its address belonged to a daemon before.
-    pub lived: bool,
+    pub predecessor_lost: bool,
 }
 
 /// What a gate may do with a key that it does not remember.
@@ -251,8 +253,8 @@
 pub enum Ownership {
     /// Run it once one of these, in this order, has noted it; alone when there is none.
     Run(Vec<SocketAddr>),
-    /// Have all of these note it, then run it if that is [`proven`] to be the first time.
-    Ask {
+    /// Have all of these note it, then run it if that is [`proves_first_run`] to be the first time.
+    Query {
         /// Gates that are there.
         survivors: Vec<SocketAddr>,
         /// Memories known to be lost.
@@ -261,9 +263,9 @@
     /// It belongs to another gate.
     Moved,
     /// No gate may be left that would know.
-    Doubt,
+    InDoubt,
     /// Others have just been lost and none is left to note it.
-    Alone,
+    Isolated,
 }
 
 /// Decides what a gate may do with `key`, when keys are remembered for `span`.
@@ -276,7 +278,7 @@
 ) -> Ownership {
     let mine = rank(key, own.address);
     let above = |peer: &&Peer| rank(key, peer.address) > mine;
-    let recent = |peer: &Peer| match peer.standing {
+    let recent = |peer: &Peer| match peer.liveness {
         Liveness::Serving => false,
         Liveness::Leaving => true,
         Liveness::Lost(ago) => ago < span,
@@ -284,21 +286,21 @@
     if peers
         .iter()
         .filter(above)
-        .any(|peer| peer.standing == Liveness::Serving)
+        .any(|peer| peer.liveness == Liveness::Serving)
     {
         return Ownership::Moved;
     }
-    let lost = |peer: &&Peer| matches!(peer.standing, Liveness::Lost(ago) if ago < span);
+    let lost = |peer: &&Peer| matches!(peer.liveness, Liveness::Lost(ago) if ago < span);
     let young = own.age < span;
-    let earlier_life = usize::from(young && own.lived);
+    let earlier_life = usize::from(young && own.predecessor_lost);
     let losses = peers.iter().filter(lost).count() + earlier_life;
     let mut live: Vec<&Peer> = peers
         .iter()
-        .filter(|peer| !matches!(peer.standing, Liveness::Lost(_)))
+        .filter(|peer| !matches!(peer.liveness, Liveness::Lost(_)))
         .collect();
     // Those who leave are the last to be asked for a note.
     live.sort_by_key(|peer| {
-        let leaving = peer.standing == Liveness::Leaving;
+        let leaving = peer.liveness == Liveness::Leaving;
         (leaving, std::cmp::Reverse(rank(key, peer.address)))
     });
     let live: Vec<SocketAddr> = live.into_iter().map(|peer| peer.address).collect();
@@ -308,17 +310,17 @@
         // a note is safe only while nobody could later be missed: a cut looks like losses.
         let alone = live.is_empty() && losses > 0;
         return if alone {
-            Ownership::Alone
+            Ownership::Isolated
         } else {
             Ownership::Run(live)
         };
     }
     // Guards against running a lost gate's key again: its note is with one other gate. With one
     // loss that other gate is among the survivors; with two it may be the second one lost.
-    if losses > LOSSES_SURVIVED {
-        return Ownership::Doubt;
+    if losses > MAX_TOLERATED_LOSSES {
+        return Ownership::InDoubt;
     }
-    Ownership::Ask {
+    Ownership::Query {
         survivors: live,
         losses,
     }
@@ -326,19 +328,24 @@
 
 /// Whether the answers of all survivors prove that nobody ran the key.
 #[must_use]
-pub fn proven(own: LocalSidecar, losses: usize, answers: &[IntentAck], span: Duration) -> bool {
+pub fn proves_first_run(
+    own: LocalSidecar,
+    losses: usize,
+    answers: &[IntentAck],
+    span: Duration,
+) -> bool {
     let old = |age: Millis| age.duration() >= span;
     // A gate that was lost and came back answers like any other, but its notes are gone.
     let returned = answers
         .iter()
-        .filter(|noted| noted.lived && !old(noted.age))
+        .filter(|noted| noted.predecessor_lost && !old(noted.age))
         .count();
     let losses = losses + returned;
     // Guards against a lost gate that was alone: nobody has its note. A gate that was there all
     // the time proves that it was not.
     let whole = own.age >= span || answers.iter().any(|noted| old(noted.age));
-    let unknown = answers.iter().all(|noted| !noted.known);
-    unknown && losses <= LOSSES_SURVIVED && (losses == 0 || whole)
+    let unknown = answers.iter().all(|noted| !noted.may_have_run);
+    unknown && losses <= MAX_TOLERATED_LOSSES && (losses == 0 || whole)
 }
 
 /// Rendezvous rank of a gate for a key; the highest holds it.
--- a/src/idempotency/ledger.rs
+++ b/src/idempotency/ledger.rs
@@ -5,9 +5,9 @@
 //! use jackdawpulley::idempotency::ledger::{Claim, Entry, Ledger};
 //! use jackdawpulley::units::Offset;
 //!
-//! let claim = |life| Claim {
+//! let claim = |run_id| Claim {
 //!     key: "till/k1".into(),
-//!     holder: Holder { gate: "127.0.0.1:7001".parse().unwrap(), life },
+//!     holder: Holder { sidecar: "127.0.0.1:7001".parse().unwrap(), run_id },
 //!     number: 1,
 //! };
 //! let mut ledger = Ledger::new(Offset(0));
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldClaim {
     claim: Claim,
     at_ms: u64,
 }
@@ -63,7 +63,7 @@
 pub struct Ledger {
     next: Offset,
     /// Sorted by key.
-    held: Vec<Held>,
+    held: Vec<HeldClaim>,
 }
 
 impl Ledger {
@@ -113,7 +113,7 @@
                     if let Err(index) = self.find(&claim.key) {
                         self.held.insert(
                             index,
-                            Held {
+                            HeldClaim {
                                 claim: claim.clone(),
                                 at_ms,
                             },
@@ -134,7 +134,7 @@
     }
 
     /// Forgets claims that were written before `at_ms`.
-    pub fn forget(&mut self, at_ms: u64) {
+    pub fn forget_before(&mut self, at_ms: u64) {
         self.held.retain(|held| held.at_ms >= at_ms);
     }
 
--- a/src/idempotency/sidecars.rs
+++ b/src/idempotency/sidecars.rs
@@ -37,7 +37,7 @@
             };
             Peer {
                 address: member.peer,
-                standing,
+                liveness: standing,
             }
         });
     let lost = roster
@@ -48,7 +48,7 @@
         let ago = now.saturating_duration_since(departed.since);
         Peer {
             address: departed.member.peer,
-            standing: Liveness::Lost(ago),
+            liveness: Liveness::Lost(ago),
         }
     });
     live.chain(lost).collect()
@@ -56,30 +56,30 @@
 
 /// Gates that have handed everything over to this one and have not been seen serving since.
 #[derive(Debug, Default)]
-pub struct Heritage {
-    gates: Mutex<Vec<SocketAddr>>,
+pub struct ReceivedHandoffs {
+    sidecars: Mutex<Vec<SocketAddr>>,
 }
 
-impl Heritage {
+impl ReceivedHandoffs {
     /// Notes that a gate has handed everything over.
-    pub fn took_over(&self, gate: SocketAddr) {
-        let mut gates = self.gates();
+    pub fn add(&self, gate: SocketAddr) {
+        let mut gates = self.sidecars();
         gates.retain(|known| *known != gate);
         gates.push(gate);
     }
 
     /// Notes that a gate serves again, in another life.
-    pub fn serves_again(&self, gate: SocketAddr) {
-        self.gates().retain(|known| *known != gate);
+    pub fn remove(&self, gate: SocketAddr) {
+        self.sidecars().retain(|known| *known != gate);
     }
 
     /// Whether this gate remembers what another one knew.
     #[must_use]
-    pub fn covers(&self, gate: SocketAddr) -> bool {
-        self.gates().contains(&gate)
+    pub fn contains(&self, gate: SocketAddr) -> bool {
+        self.sidecars().contains(&gate)
     }
 
-    fn gates(&self) -> MutexGuard<'_, Vec<SocketAddr>> {
-        self.gates.lock().unwrap_or_else(PoisonError::into_inner)
+    fn sidecars(&self) -> MutexGuard<'_, Vec<SocketAddr>> {
+        self.sidecars.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/membership/greeting.rs
+++ b/src/membership/greeting.rs
@@ -135,7 +135,7 @@
         }
         let earlier = heard.earlier.as_ref();
         let lost = earlier.is_some_and(|known| known.health != Health::Left);
-        self.keys.set_lived(lost);
+        self.keys.set_predecessor_lost(lost);
     }
 }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -143,9 +143,11 @@
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
             INTENT_PATH => self.note(&wire::decode::<Intent>(body)?),
-            HANDOFF_PATH => Ok(wire::encode(
-                &self.keys.inherit(&wire::decode::<Handoff>(body)?),
-            )),
+            HANDOFF_PATH => Ok(wire::encode(&self.keys.accept_handoff(&wire::decode::<
+                Handoff,
+            >(
+                body
+            )?))),
             _ => FrameSnafu {
                 reason: format!("nothing is served at {path}"),
             }
@@ -155,7 +157,7 @@
 
     fn note(&self, note: &Intent) -> Result<Bytes> {
         let reason = "this gate has handed its keys over".to_owned();
-        let noted = self.keys.note(note);
+        let noted = self.keys.record_intent(note);
         noted
             .map(|noted| wire::encode(&noted))
             .ok_or(Error::Frame { reason })
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -124,7 +124,7 @@
         self.phases.send_replace(Phase::Ending);
         self.answer_all(began).await;
         // A planned stop must not look like a loss to the guard of keys.
-        let handed = self.keys.hand_over().await;
+        let handed = self.keys.hand_off().await;
         let health = if handed { Health::Left } else { Health::Gone };
         self.membership.leave(health).await;
         // What came meanwhile is answered as well.
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -8,8 +8,8 @@
 use common::fixed;
 use jackdawpulley::idempotency::keys::IntentAck;
 use jackdawpulley::idempotency::keys::{
-    HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership, proven,
-    rank,
+    HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership,
+    proves_first_run, rank,
 };
 use jackdawpulley::units::{IdempotencyKey, Millis};
 use proptest::prelude::*;
@@ -97,7 +97,7 @@
         let key = IdempotencyKey(format!("key-{number}"));
         if self.gates[gate].lost.is_some()
             || self.gates[gate].draining
-            || self.gates[gate].memory.recall(self.now, &key).is_some()
+            || self.gates[gate].memory.get(self.now, &key).is_some()
         {
             return;
         }
@@ -106,7 +106,7 @@
         }
         self.gates[gate]
             .memory
-            .remember(self.now, &key, State::Doubt);
+            .insert(self.now, &key, State::InDoubt);
         self.runs[number] += 1;
         if dies {
             self.lose(gate);
@@ -119,27 +119,27 @@
         let own = LocalSidecar {
             address: address(gate),
             age,
-            lived: me.lived,
+            predecessor_lost: me.lived,
         };
         let peers: Vec<Peer> = (0..GATES)
             .filter(|&index| index != gate && !self.gates[index].left)
             .map(|index| Peer {
                 address: address(index),
-                standing: self.standing(index),
+                liveness: self.standing(index),
             })
             .collect();
         match ownership(key, own, &peers, SPAN) {
             Ownership::Run(witnesses) => witnesses
                 .first()
-                .is_none_or(|w| !self.note(*w, key, gate).known),
-            Ownership::Ask { survivors, losses } => {
+                .is_none_or(|w| !self.note(*w, key, gate).may_have_run),
+            Ownership::Query { survivors, losses } => {
                 let answers: Vec<IntentAck> = survivors
                     .iter()
                     .map(|peer| self.note(*peer, key, gate))
                     .collect();
-                proven(own, losses, &answers, SPAN)
+                proves_first_run(own, losses, &answers, SPAN)
             }
-            Ownership::Moved | Ownership::Doubt | Ownership::Alone => false,
+            Ownership::Moved | Ownership::InDoubt | Ownership::Isolated => false,
         }
     }
 
@@ -157,17 +157,17 @@
             return;
         }
         let me = Holder {
-            gate: address(index),
-            life: self.gates[index].life,
+            sidecar: address(index),
+            run_id: self.gates[index].life,
         };
-        let handed: Vec<HandoffKey> = self.gates[index].memory.hand_over(self.now, me);
+        let handed: Vec<HandoffKey> = self.gates[index].memory.export(self.now, me);
         let mut taken = false;
         for other in 0..GATES {
             if other != index && self.standing(other) == Liveness::Serving {
                 taken = true;
                 for key in &handed {
                     let memory = &mut self.gates[other].memory;
-                    memory.note(self.now, &key.key, key.holder);
+                    memory.record_intent(self.now, &key.key, key.holder);
                 }
             }
         }
@@ -181,16 +181,16 @@
             .find(|&index| address(index) == peer)
             .expect("a gate");
         let holder = Holder {
-            gate: address(holder),
-            life: self.gates[holder].life,
+            sidecar: address(holder),
+            run_id: self.gates[holder].life,
         };
         let now = self.now;
         let gate = &mut self.gates[index];
-        let known = gate.memory.note(now, key, holder);
+        let known = gate.memory.record_intent(now, key, holder);
         IntentAck {
-            known,
+            may_have_run: known,
             age: Millis::from(now - gate.born),
-            lived: gate.lived,
+            predecessor_lost: gate.lived,
         }
     }
 
@@ -251,13 +251,13 @@
         let own = LocalSidecar {
             address: address(gate),
             age: 2 * SPAN,
-            lived: false,
+            predecessor_lost: false,
         };
         let peers: Vec<Peer> = (0..GATES)
             .filter(|&other| other != gate)
             .map(|other| Peer {
                 address: address(other),
-                standing: Liveness::Serving,
+                liveness: Liveness::Serving,
             })
             .collect();
         let decision = ownership(&key, own, &peers, SPAN);
@@ -273,19 +273,19 @@
     let own = LocalSidecar {
         address: address(gates[2]),
         age: 2 * SPAN,
-        lived: false,
+        predecessor_lost: false,
     };
     let peer = |index: usize, standing| Peer {
         address: address(gates[index]),
-        standing,
+        liveness: standing,
     };
     let lost = Liveness::Lost(Duration::from_secs(1));
     let both = [peer(0, lost), peer(1, lost), peer(3, Liveness::Serving)];
-    assert_eq!(ownership(&key, own, &both, SPAN), Ownership::Doubt);
+    assert_eq!(ownership(&key, own, &both, SPAN), Ownership::InDoubt);
     let one = [peer(0, lost), peer(3, Liveness::Serving)];
     assert_eq!(
         ownership(&key, own, &one, SPAN),
-        Ownership::Ask {
+        Ownership::Query {
             survivors: vec![address(gates[3])],
             losses: 1
         }
@@ -300,16 +300,16 @@
     let own = LocalSidecar {
         address: address(0),
         age: 2 * SPAN,
-        lived: false,
+        predecessor_lost: false,
     };
     let gone = |index, ago| Peer {
         address: address(index),
-        standing: Liveness::Lost(ago),
+        liveness: Liveness::Lost(ago),
     };
     let lower = (1..GATES).find(|&g| rank(&key, address(g)) < rank(&key, address(0)));
     let lower = lower.expect("not the lowest of all");
     let recent = [gone(lower, Duration::from_secs(5))];
-    assert_eq!(ownership(&key, own, &recent, SPAN), Ownership::Alone);
+    assert_eq!(ownership(&key, own, &recent, SPAN), Ownership::Isolated);
     let old = [gone(lower, SPAN)];
     assert_eq!(ownership(&key, own, &old, SPAN), Ownership::Run(vec![]));
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -12,7 +12,10 @@
     let gate = ([127, 0, 0, 1], gate).into();
     Claim {
         key: IdempotencyKey(format!("till/{key}")),
-        holder: Holder { gate, life: 1 },
+        holder: Holder {
+            sidecar: gate,
+            run_id: 1,
+        },
         number,
     }
 }
@@ -88,7 +91,7 @@
     let mut ledger = Ledger::new(Offset(5));
     ledger.apply(Offset(5), 1_000, &[Entry::Claim(claim(1, 1, 0))]);
     ledger.apply(Offset(6), 2_000, &[Entry::Claim(claim(2, 1, 0))]);
-    ledger.forget(1_500);
+    ledger.forget_before(1_500);
     assert_eq!(ledger.len(), 1);
     assert!(ledger.holder(&claim(1, 1, 0).key).is_none());
 }
