--- a/src/configuration/check.rs
+++ b/src/configuration/check.rs
@@ -1,7 +1,7 @@
-//! Checks of a document against itself.
+//! Validation of documents.
 //!
-//! All faults are found in one pass, each with the path of the field and a remedy, so that an
-//! operator mends a document once.
+//! One pass finds all faults, each with the path of the field and a remedy, so that an operator
+//! can correct them together.
 
 use snafu::ResultExt;
 
@@ -18,17 +18,17 @@
 pub const MAX_TIMEOUT_MS: u64 = 86_400_000;
 /// Most attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 10;
-/// Smallest bound on a head: what the HTTP server needs, in bytes.
+/// Smallest bound on a request head that the HTTP server supports, in bytes.
 pub const MIN_HEAD_BYTES: u32 = 8_192;
 const MAX_PERCENT: u8 = 100;
 
 impl Document {
-    /// Reads and checks a document, and sorts its resources.
+    /// Parses and validates a document, and sorts its resources.
     ///
     /// # Errors
     ///
-    /// [`Error::Document`] when the text has another shape, [`Error::Faults`] with every fault at
-    /// once when the document contradicts itself.
+    /// [`Error::Document`] when the text is not JSON of the expected shape, [`Error::Faults`] with all
+    /// faults when the document is invalid.
     pub fn parse(text: &[u8]) -> Result<Self> {
         let document: Self = serde_json::from_slice(text).context(DocumentSnafu)?;
         let faults = self::document(&document);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Finds every fault of `document`.
+/// Returns all faults of `document`.
 #[must_use]
 pub fn document(document: &Document) -> Vec<Fault> {
     let mut check = Checker {
@@ -63,7 +63,8 @@
     check.faults
 }
 
-/// Routes that match the same requests as an earlier one, each with the first of those; sorted.
+/// Indices of routes that match the same requests as an earlier one, each with the index of the
+/// first such route; sorted.
 #[must_use]
 pub fn duplicate_routes(routes: &[Route]) -> Vec<(usize, usize)> {
     let key = |route: &Route| {
@@ -79,10 +80,10 @@
     let mut order: Vec<usize> = (0..routes.len()).collect();
     order.sort_by(|a, b| keys[*a].cmp(&keys[*b]).then(a.cmp(b)));
     let alike = order.chunk_by(|a, b| keys[*a] == keys[*b]);
-    let twins = alike.flat_map(|alike| alike[1..].iter().map(|later| (*later, alike[0])));
-    let mut twins: Vec<(usize, usize)> = twins.collect();
-    twins.sort_unstable();
-    twins
+    let duplicates = alike.flat_map(|alike| alike[1..].iter().map(|later| (*later, alike[0])));
+    let mut duplicates: Vec<(usize, usize)> = duplicates.collect();
+    duplicates.sort_unstable();
+    duplicates
 }
 
 struct Checker {
@@ -110,7 +111,7 @@
             self.require(fits, path.clone(), problem, "use 1 to 128 bytes");
             match seen.binary_search(&name) {
                 Ok(_) => {
-                    let problem = format!("{name:?} stands twice");
+                    let problem = format!("duplicate name {name:?}");
                     self.require(false, path, problem, "give each resource its own name");
                 }
                 Err(place) => seen.insert(place, name),
@@ -167,12 +168,17 @@
         if let Some(method) = &route.method {
             let valid = http::Method::from_bytes(method.as_bytes()).is_ok()
                 && method.bytes().all(|b| b.is_ascii_uppercase());
-            let problem = format!("{method:?} is no HTTP method");
-            self.require(valid, at("method"), problem, "write it in capitals, as GET");
+            let problem = format!("{method:?} is not an HTTP method");
+            self.require(
+                valid,
+                at("method"),
+                problem,
+                "write it in capitals, such as GET",
+            );
         }
         if let Some(host) = &route.host {
             let valid = authority::is_host(host);
-            let problem = format!("{host:?} is no host name");
+            let problem = format!("{host:?} is not a host name");
             self.require(
                 valid,
                 at("host"),
@@ -180,8 +186,10 @@
                 "leave out scheme, port and path",
             );
         }
-        let twin = self.duplicates.binary_search_by_key(&index, |twin| twin.0);
-        if let Ok(place) = twin {
+        let duplicate = self
+            .duplicates
+            .binary_search_by_key(&index, |duplicate| duplicate.0);
+        if let Ok(place) = duplicate {
             let first = &document.routes[self.duplicates[place].1];
             let problem = format!("matches the same requests as {:?}", first.name);
             self.require(false, at("path"), problem, "remove one of the two");
@@ -190,14 +198,14 @@
 
     fn group(&mut self, index: usize, group: &Group) {
         let at = |field: &str| format!("groups[{index}].{field}");
-        let problem = format!("{:?} is no name of a service", group.service.as_str());
+        let problem = format!("{:?} is not a service name", group.service.as_str());
         let remedy = "use 1 to 64 letters, digits, dots, dashes or underscores";
         self.require(group.service.is_valid(), at("service"), problem, remedy);
         let fits = group.slots.is_none_or(|slots| slots.0 > 0);
         self.require(
             fits,
             at("slots"),
-            "0 slots take no call".into(),
+            "0 slots accept no calls".into(),
             "use 1 or more",
         );
         let fits = group.ejection.max_share.0 <= MAX_PERCENT;
--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -1,8 +1,8 @@
-//! Where the configuration comes from when a platform keeps it, and where daemons are listed.
+//! Interface to an external control plane, which keeps the configuration and lists the daemons.
 //!
-//! A daemon without an [`ControlPlane`] folds the operators' own edits from the [`log`](crate::configuration::log).
-//! With one, the platform has accepted and ordered the versions already: the daemon only reads
-//! the newest and follows. Delivery between daemons is the same for both.
+//! Without a [`ControlPlane`], daemons read the operators' edits from the [`log`](crate::configuration::log)
+//! and decide them. With one, the platform has already accepted and ordered the versions: a daemon reads
+//! the newest one and what follows it. Delivery between daemons is the same in both cases.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -23,32 +23,33 @@
 pub struct Release {
     /// Its version.
     pub version: Version,
-    /// Its whole content, neither checked nor brought within bounds yet.
+    /// Its whole content, neither validated nor normalized yet.
     pub document: Document,
 }
 
-/// Where a read goes on.
+/// Position in the platform's records from which a read continues.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// Era of the platform in which the offset holds: in a later one it may be another record's.
+    /// Generation of the platform's store that the offset belongs to: in a later one the offset may
+    /// belong to another record.
     #[serde(rename = "era")]
     pub generation: Generation,
     /// Offset of the next record.
     pub offset: Offset,
 }
 
-/// What a read of the platform found.
+/// Result of reading from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Versions that were not read before, the highest one last.
+    /// New versions, the highest one last.
     pub releases: Vec<Release>,
-    /// Orders to roll out a revision that were not read before, the last one last.
+    /// New orders to roll out a revision, the most recent one last.
     pub orders: Vec<Notice>,
-    /// Where to read on.
+    /// Position to continue from.
     pub next: Position,
-    /// Whether nothing followed that when it was read.
+    /// Whether there was no record at `next` at the time of the read.
     pub at_end: bool,
-    /// What was wrong with records that could not be read; the others hold all the same.
+    /// Problems of records that could not be read; the other records are valid regardless.
     pub faults: Vec<String>,
 }
 
@@ -61,51 +62,53 @@
     pub data_centre: DataCentre,
 }
 
-/// What the platform tells a daemon that starts, beside the configuration.
+/// What a starting daemon reads from the platform besides the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// Daemons that are listed.
+    /// Listed daemons.
     pub contacts: Vec<Contact>,
-    /// Requests in quarantine.
+    /// Quarantined requests.
     pub notes: Vec<(Fingerprint, Note)>,
 }
 
-/// The platform, as a daemon needs it.
+/// Access to an external control plane.
 pub trait ControlPlane: Debug + Send + Sync {
     /// Reads the newest version.
     fn read_newest(&self) -> BoxFuture<'_, Result<Changes>>;
 
-    /// Reads what follows `from`; waits up to `wait` for it.
+    /// Reads the records at and after `from`; waits up to `wait` if there are none yet.
     ///
-    /// Fails with [`Error::Rewound`](crate::Error::Rewound) in a later era than that of `from`.
+    /// Fails with [`Error::Rewound`](crate::Error::Rewound) in a later generation than that of `from`.
     fn read_from(&self, from: Position, wait: Millis) -> BoxFuture<'_, Result<Changes>>;
 
-    /// Follows the eras of the platform, as its answers tell them.
+    /// Subscribes to the generation of the platform's store, as reported by its responses.
     fn generations(&self) -> watch::Receiver<Generation>;
 
-    /// Lists a daemon, in place of what was listed for its address.
+    /// Lists a daemon; replaces an earlier entry for its address.
     fn register<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
 
-    /// Takes a daemon off the list.
+    /// Removes a daemon from the list.
     fn deregister<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
 
-    /// Daemons that are listed, `enough` of them or all there are, some of which may be gone; and the
-    /// requests in quarantine, which come with them, so that a start asks no more often.
+    /// Reads `enough` listed daemons or all there are, some of which may be gone, together with the
+    /// quarantined requests, so that a starting daemon needs no further request for them.
     fn directory(&self, enough: usize) -> BoxFuture<'_, Result<Directory>>;
 
-    /// Tells the operator how a roll-out stands, unless there is a verdict already; what stands now.
+    /// Reports the status of a roll-out to the operator, unless there is a verdict already; returns the
+    /// status that is recorded now.
     ///
-    /// The first verdict on an order counts, whoever tells it and however often.
+    /// The first verdict on an order is final, whichever daemon reports it and however often.
     fn report_status<'a>(
         &'a self,
         order: &'a Order,
         status: Status,
     ) -> BoxFuture<'a, Result<Status>>;
 
-    /// Notes when a roll-out began, in Unix milliseconds, unless that is noted already; what is noted now.
+    /// Records when a roll-out began, in Unix milliseconds, unless that is recorded already; returns the
+    /// time that is recorded now.
     fn record_start<'a>(&'a self, order: &'a Order, begin_ms: u64) -> BoxFuture<'a, Result<u64>>;
 
-    /// Notes a request in quarantine, in place of what was noted of it; drops that note without one.
+    /// Stores the note of a quarantined request, replacing an earlier one; `None` deletes it.
     fn set_quarantine_note<'a>(
         &'a self,
         cause: Fingerprint,
--- a/src/configuration/delta.rs
+++ b/src/configuration/delta.rs
@@ -1,7 +1,7 @@
 //! The difference between two documents, by named resource.
 //!
-//! A delta carries the upserts and removals that lead from a base to another document, and the hash
-//! of the result. [`Delta::apply`] yields the new document whole or not at all.
+//! A delta holds the upserts and removals that turn a base into another document, and the hash of
+//! the result. [`Delta::apply`] returns exactly that document or an error.
 //!
 //! ```
 //! use jackdawpulley::configuration::delta::Delta;
@@ -25,7 +25,7 @@
 use crate::configuration::document::{Bounds, Document, Group, Retry, Route};
 use crate::error::{DeltaSnafu, Result};
 
-/// Changes that lead from one document to another.
+/// Changes that turn one document into another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Hash of the resulting document.
@@ -65,7 +65,7 @@
 }
 
 impl Delta {
-    /// The changes from `old` to `new`, both sorted.
+    /// The changes from `old` to `new`, both of which must be sorted.
     #[must_use]
     pub fn between(old: &Document, new: &Document) -> Self {
         Self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// One line for each change, for a person.
+    /// One human-readable line for each change.
     #[must_use]
     pub fn summary(&self) -> Vec<String> {
         let kinds = [
@@ -92,11 +92,11 @@
         kinds.concat()
     }
 
-    /// The document that results from applying this to `base`.
+    /// Applies the changes to `base`.
     ///
     /// # Errors
     ///
-    /// [`Error::Delta`](crate::Error::Delta) when the result has another hash than promised.
+    /// [`Error::Delta`](crate::Error::Delta) when the hash of the result differs from [`hash`](Self::hash).
     pub fn apply(&self, base: &Document) -> Result<Document> {
         let document = Document {
             routes: self.routes.apply(&base.routes),
@@ -104,8 +104,8 @@
             retries: self.retries.apply(&base.retries),
             bounds: self.bounds.unwrap_or(base.bounds),
         };
-        // Guards against a base that only seems to be the same: the receiver would run a mix of
-        // two documents. The hash covers the whole result, so a mix never passes.
+        // If `base` is not the document that the delta was computed from, the result mixes two
+        // documents. The hash covers the whole result, so such a mix is rejected.
         if document.hash() == self.hash {
             Ok(document)
         } else {
@@ -139,14 +139,14 @@
     }
 
     fn apply(&self, base: &[T]) -> Vec<T> {
-        let gone = |name: &str| {
+        let removed = |name: &str| {
             self.removals
                 .binary_search_by(|r| r.as_str().cmp(name))
                 .is_ok()
         };
         let kept = base
             .iter()
-            .filter(|item| !gone(item.name()) && find(&self.upserts, item.name()).is_none());
+            .filter(|item| !removed(item.name()) && find(&self.upserts, item.name()).is_none());
         let mut items: Vec<T> = kept.chain(&self.upserts).cloned().collect();
         items.sort_by(|a, b| a.name().cmp(b.name()));
         items
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,8 +1,8 @@
-//! The document that operators publish.
+//! The configuration document that operators publish.
 //!
-//! A document is a set of named resources: routes, upstream groups and retry rules. Its JSON form
-//! refuses unknown fields; everything with a sensible default may be left out. Inside the system
-//! resources are sorted by name, and [`Document::hash`] is taken over that order.
+//! A document holds named resources (routes, upstream groups and retry rules) and the bounds on
+//! callers' requests. Unknown JSON fields are rejected; fields with a default are optional. Within
+//! the system resources are sorted by name, and [`Document::hash`] depends on that order.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, VariantNames};
@@ -11,89 +11,89 @@
 use crate::units::{Millis, Percent, Priority, Service, Slots};
 use crate::wire;
 
-/// Everything that is in force at one version.
+/// Content of one configuration version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// How requests find a group.
+    /// Rules that map requests to groups.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// Where requests may go.
+    /// Groups of upstreams.
     #[serde(default)]
     pub groups: Vec<Group>,
-    /// How failed requests are tried again.
+    /// Rules for retrying failed requests.
     #[serde(default)]
     pub retries: Vec<Retry>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// A rule that sends matching requests to a group.
+/// A rule that routes matching requests to a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// Value of the `Host` header, without port; any when left out.
+    /// Value of the `Host` header, without port; any if omitted.
     #[serde(default)]
     pub host: Option<String>,
-    /// HTTP method; any when left out.
+    /// HTTP method; any if omitted.
     #[serde(default)]
     pub method: Option<String>,
-    /// Path prefix, matched by whole segments; the longest wins.
+    /// Path prefix, matched by whole segments; the longest match wins.
     pub path: String,
-    /// Whether only paths below the prefix match, and not the prefix without its last slash.
+    /// Whether only paths below the prefix match, and not the prefix without its trailing slash.
     #[serde(default)]
     pub below: bool,
     /// Name of the upstream group.
     pub group: String,
-    /// Groups that share the requests by weight, in place of `group` alone.
+    /// Groups that share the requests by weight, instead of `group` alone.
     #[serde(default)]
     pub split: Vec<Share>,
     /// Name of the retry rule.
     pub retry: String,
-    /// Time until the answer's head must have come.
+    /// Time within which the head of the response must arrive, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: Millis,
-    /// Who goes first when there is too much to do.
+    /// Priority class under overload.
     #[serde(default)]
     pub class: Class,
-    /// Rank among all routes, 0 first, in place of the class's own.
+    /// Priority, 0 highest, instead of the one of the class.
     #[serde(default)]
     pub priority: Option<Priority>,
-    /// Time within which an answer is of full use.
+    /// Target latency: time within which a response is of full use, in milliseconds.
     #[serde(default)]
     pub latency_ms: Option<Millis>,
-    /// Whether running a request twice does no harm (it is idempotent).
+    /// Whether requests are idempotent, so that running one twice does no harm.
     #[serde(default)]
     pub repeatable: bool,
-    /// What keeps a repeated `Idempotency-Key` from running twice.
+    /// How a repeated `Idempotency-Key` is kept from running twice.
     #[serde(default)]
     pub guard: Guard,
 }
 
-/// One part of a route's requests.
+/// A group's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
     /// Name of the upstream group.
     pub group: String,
-    /// Size in relation to the other parts.
+    /// Weight relative to the other shares.
     pub weight: u32,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and timing of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Largest head of a request, in bytes.
+    /// Largest request head, in bytes.
     pub max_head: u32,
-    /// Largest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub max_body: u64,
-    /// Time within which the head of a request must have come.
+    /// Time within which the request head must arrive, in milliseconds.
     pub head_ms: Millis,
-    /// Time after which an idle connection is closed.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_ms: Millis,
 }
 
@@ -105,55 +105,55 @@
     pub name: String,
     /// Service whose targets belong to the group.
     pub service: Service,
-    /// Upper bound on a target's slots; its own word when left out.
+    /// Upper bound on a target's slots; as many as the target announces if omitted.
     #[serde(default)]
     pub slots: Option<Slots>,
-    /// Connections that a target accepts; not bounded when left out.
+    /// Connections that a target accepts; unlimited if omitted.
     #[serde(default)]
     pub connections: Option<u32>,
-    /// Path at which a target tells whether it is healthy.
+    /// Path of a target's health check.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// Requests that may wait at a target for a slot.
+    /// Requests that may queue for a slot of a target.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// Time over which a new target is brought up to its full share.
+    /// Time over which a new target's share of the requests rises to its full value, in milliseconds.
     #[serde(default = "default_slow_start")]
     pub slow_start_ms: Millis,
-    /// When to leave a failing target alone for a while.
+    /// When a failing target is ejected.
     #[serde(default)]
     pub ejection: Ejection,
 }
 
-/// When to leave a failing target alone.
+/// When and for how long a failing target is ejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ejection {
-    /// Failures in a row that eject.
+    /// Consecutive failures that eject a target.
     pub failures: u32,
-    /// First time out; doubled at each ejection that follows.
+    /// Duration of the first ejection, in milliseconds; doubled at each subsequent one.
     pub base_ms: Millis,
-    /// Largest part of a group that may be out at once.
+    /// Largest share of a group that may be ejected at the same time.
     pub max_share: Percent,
 }
 
-/// How often and how soon a request is tried again.
+/// How often and how soon a failed request is retried.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
     /// Unique name.
     pub name: String,
-    /// Attempts in all, the first included.
+    /// Total number of attempts, including the first.
     pub attempts: u32,
-    /// Retries allowed as a share of requests.
+    /// Retries allowed, as a share of requests.
     #[serde(default = "default_budget")]
     pub budget: Percent,
-    /// Upper bound of the random wait before a retry.
+    /// Upper bound of the random delay before a retry, in milliseconds.
     #[serde(default = "default_backoff")]
     pub backoff_ms: Millis,
 }
 
-/// Priority of a request, highest first.
+/// Priority class of a request, highest first.
 #[derive(
     Debug,
     Clone,
@@ -173,16 +173,16 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Class {
-    /// Somebody waits for the answer.
+    /// A user waits for the response.
     #[default]
     Interactive,
-    /// May be done a little later.
+    /// May be delayed a little.
     Deferrable,
-    /// Feeds other services.
+    /// Background work for other services.
     Background,
 }
 
-/// What keeps a repeated key from running twice.
+/// How a repeated idempotency key is kept from running twice.
 #[derive(
     Debug,
     Clone,
@@ -199,10 +199,10 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Guard {
-    /// The memory of the gates; free, lost with them.
+    /// In the memory of the sidecars: needs no log append, but is lost with them.
     #[default]
     Memory,
-    /// A claim on the platform log before the request runs.
+    /// By a claim on the platform's log before the request runs.
     Claim,
 }
 
@@ -213,7 +213,7 @@
 }
 
 impl Route {
-    /// Its rank: its own where it names one, else its class's.
+    /// The route's own priority if it has one, otherwise its class's.
     #[must_use]
     pub fn rank(&self) -> Priority {
         self.priority.unwrap_or_else(|| self.class.into())
@@ -262,7 +262,7 @@
 }
 
 impl Document {
-    /// The same resources, sorted by name.
+    /// Sorts the resources by name.
     #[must_use]
     pub fn sorted(mut self) -> Self {
         self.routes.sort_by(|a, b| a.name.cmp(&b.name));
@@ -271,7 +271,7 @@
         self
     }
 
-    /// Hash over the encoded content; equal documents have equal hashes on every daemon.
+    /// Hash of the encoded content; equal documents have equal hashes on every daemon.
     #[must_use]
     pub fn hash(&self) -> u64 {
         xxh3_64(&wire::encode(self))
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -1,6 +1,7 @@
-//! What daemons tell each other about the configuration.
+//! Messages with which daemons exchange the configuration.
 //!
-//! A [`Digest`] says what is in force; whoever is behind sends a [`Pull`] and gets a [`Reply`].
+//! A [`Digest`] identifies the active version; a daemon that is behind sends a [`Pull`] and gets a
+//! [`Reply`].
 
 use lz4_flex::block;
 use serde::{Deserialize, Serialize};
@@ -11,23 +12,23 @@
 use crate::units::{EditId, Millis, Version};
 use crate::wire;
 
-/// What a daemon has in force, in the fewest bytes.
+/// Identifies a daemon's active configuration in a few bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Version in force.
+    /// Active version.
     pub version: Version,
     /// Hash of its document.
     pub hash: u64,
 }
 
-/// Content on its way to a daemon.
+/// Content of a version, sent to a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Version that it leads to.
+    /// Version after the update.
     pub version: Version,
-    /// The document.
+    /// The document, or the changes that lead to it.
     pub body: Body,
-    /// Edits that were accepted on the way, oldest first.
+    /// Edits accepted since the base version, oldest first.
     pub accepted: Vec<Accepted>,
 }
 
@@ -36,16 +37,16 @@
 pub struct Accepted {
     /// Its identifier.
     pub id: EditId,
-    /// Version that it got.
+    /// Version that it created.
     pub version: Version,
 }
 
 /// The document of an [`Update`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// The changes from a version that the receiver is thought to hold.
+    /// The changes from a version that the receiver is expected to hold.
     Delta {
-        /// Version they start from.
+        /// Version that the changes apply to.
         base: Version,
         /// The changes.
         delta: Delta,
@@ -54,30 +55,30 @@
     Whole(Document),
 }
 
-/// Asks a peer for what it has in force.
+/// Requests a peer's active configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Pull {
-    /// Version that the asker holds.
+    /// Version that the sender holds.
     pub have: Version,
 }
 
-/// Answer to a push or a pull.
+/// Reply to a push or a pull.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
-    /// The receiver holds this now.
+    /// The sender of the reply holds this now.
     Have(Digest),
-    /// The receiver needs another base: what it holds is named.
+    /// The pushed delta does not apply; the sender of the reply holds this.
     Need(Digest),
-    /// The content that was asked for.
+    /// The requested content.
     Update(CompressedUpdate),
-    /// Too many transfers at once; ask again after the given time.
+    /// Too many concurrent transfers; retry after the given time.
     Busy(Millis),
 }
 
-/// An [`Update`], compressed.
+/// A compressed [`Update`].
 ///
-/// Guards against slow links: a version that brings many routes is sent on four times by each daemon of
-/// the tree, and the last daemons would have it seconds after the first.
+/// Each daemon of the tree sends a version to four others by default. Over slow links an uncompressed
+/// version with many routes would reach the last daemons seconds after the first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedUpdate(Vec<u8>);
 
@@ -88,18 +89,21 @@
         Self(block::compress_prepend_size(&wire::encode(update)))
     }
 
-    /// The update.
+    /// Decompresses and decodes the update.
     ///
     /// # Errors
     ///
-    /// [`Error::Frame`](crate::Error::Frame) for anything else, or for more than a frame may hold.
+    /// [`Error::Frame`](crate::Error::Frame) when the bytes do not decode to an update, or decompress to
+    /// more than [`wire::MAX_FRAME`] bytes.
     pub fn decompress(&self) -> Result<Update> {
         let broken = |reason: String| FrameSnafu { reason }.build();
         let (size, packed) =
             block::uncompressed_size(&self.0).map_err(|error| broken(error.to_string()))?;
-        // The size is the sender's word: it must not allocate without bound.
+        // The size comes from the sender and must not cause an unbounded allocation.
         if size > wire::MAX_FRAME {
-            return Err(broken(format!("{size} bytes are more than a frame holds")));
+            return Err(broken(format!(
+                "{size} bytes exceed the size limit of a frame"
+            )));
         }
         let bytes = block::decompress(packed, size).map_err(|error| broken(error.to_string()))?;
         wire::decode(&bytes)
--- a/src/configuration/fault.rs
+++ b/src/configuration/fault.rs
@@ -1,17 +1,17 @@
-//! One fault of a document, told to the operator who wrote it.
+//! A validation fault of a document, reported to the operator who wrote it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One fault of a document.
+/// A validation fault of a document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Where it is, as `routes[2].group`.
+    /// Path of the field, such as `routes[2].group`.
     pub path: String,
     /// What is wrong.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
--- a/src/configuration/fetches.rs
+++ b/src/configuration/fetches.rs
@@ -1,18 +1,18 @@
-//! Fetches of a version that are under way.
+//! Requests in flight that fetch a version from a peer.
 //!
-//! Mostly one is enough. Another peer is asked as well when the last one that was asked has not answered
-//! for a while, since it may be frozen or gone.
+//! One request is usually enough. If it has not been answered after a delay, another peer is asked as
+//! well (a hedged request), since the first one may hang or be gone.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time after which another peer is asked as well: many times what a fetch takes.
+/// Time after which another peer is asked as well: many times the usual duration of a fetch.
 const HEDGE_DELAY: Duration = Duration::from_millis(250);
-/// Fetches under way at the same time.
+/// Most fetches in flight at the same time.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// The fetches of one daemon.
+/// Fetches in flight of one daemon.
 #[derive(Debug, Default)]
 pub struct Fetches(Mutex<Vec<Fetch>>);
 
@@ -23,16 +23,18 @@
 }
 
 impl Fetches {
-    /// Begins a fetch from `peer` at `now`, which ends when the returned value is dropped; `None` where those
-    /// under way are enough.
+    /// Starts a fetch from `peer` at `now`, which ends when the returned value is dropped.
+    ///
+    /// Returns `None` if the peer is being asked already, if a fetch started recently, or if too many are in
+    /// flight.
     pub fn try_begin(&self, peer: SocketAddr, now: Instant) -> Option<InFlight<'_>> {
-        let mut under_way = self.in_flight();
-        let asked = under_way.iter().any(|fetch| fetch.peer == peer);
+        let mut in_flight = self.in_flight();
+        let asked = in_flight.iter().any(|fetch| fetch.peer == peer);
         let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.started_at) < HEDGE_DELAY;
-        if asked || under_way.len() >= MAX_IN_FLIGHT || under_way.iter().any(recent) {
+        if asked || in_flight.len() >= MAX_IN_FLIGHT || in_flight.iter().any(recent) {
             return None;
         }
-        under_way.push(Fetch {
+        in_flight.push(Fetch {
             peer,
             started_at: now,
         });
@@ -47,7 +49,7 @@
     }
 }
 
-/// A fetch that is under way.
+/// A fetch in flight; removed from its [`Fetches`] when dropped.
 #[derive(Debug)]
 pub struct InFlight<'a> {
     fetches: &'a Fetches,
@@ -56,7 +58,7 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        let mut under_way = self.fetches.in_flight();
-        under_way.retain(|fetch| fetch.peer != self.peer);
+        let mut in_flight = self.fetches.in_flight();
+        in_flight.retain(|fetch| fetch.peer != self.peer);
     }
 }
--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -1,8 +1,8 @@
-//! How recently a daemon knew the newest version of the platform, and when it asks by itself.
+//! How up to date a daemon's version is, and when the daemon reads the platform itself.
 //!
-//! A [`Watermark`] says as of when the platform is known to have held nothing newer. Readers tell theirs to
-//! the daemons beside them. A daemon whose watermark is older than a part of the time in which a version has to
-//! be in force reads the platform itself, whatever has become of the readers.
+//! A [`Watermark`] is the latest time at which the platform is known to have held no newer version. Readers
+//! report theirs to the other daemons. When a watermark's age exceeds a fraction of the time within which a
+//! version must become active, the daemon reads the platform itself, whether or not the readers still run.
 //!
 //! ```
 //! use std::time::Duration;
@@ -23,27 +23,27 @@
 use crate::configuration::control_plane::Position;
 use crate::units::{Millis, Version};
 
-/// Parts of the time in which a version has to be in force, in percent.
+/// Fractions of the time within which a version must become active, in percent.
 const WAIT_PERCENT: u64 = 30;
 const STALE_PERCENT: u64 = 55;
 const SPREAD_PERCENT: u64 = 10;
 const RETRY_PERCENT: u64 = 10;
 
-/// Times that keep a version within its bound.
+/// Timing of reads that lets each version become active in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Longest time that a reader's request waits at the platform.
     pub wait: Millis,
-    /// Age from which a watermark has to be renewed.
+    /// Age at which a watermark must be renewed.
     pub stale: Duration,
-    /// Time over which the daemons of a data centre spread their reads from then on.
+    /// Time after that over which the daemons of a data centre spread their reads.
     pub spread: Duration,
-    /// First pause after a try at renewing it that failed.
+    /// First pause after a failed renewal.
     pub retry: Duration,
 }
 
 impl Limits {
-    /// Limits for versions that have to be in force within `bound`.
+    /// Limits for versions that must become active within `bound`.
     #[must_use]
     pub const fn within(bound: Millis) -> Self {
         Self {
@@ -55,25 +55,25 @@
     }
 }
 
-/// What a daemon knows of how recent its version is.
+/// What a daemon knows about how up to date its version is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// The latest time at which the platform is known to have held nothing newer than what is in force here.
+    /// Latest time at which the platform is known to have held nothing newer than this daemon's version.
     pub as_of: Option<Instant>,
-    /// Where to read on; none before the newest version was read.
+    /// Position to continue reading from; `None` until one is known.
     pub next: Option<Position>,
-    /// Whether this daemon has found that out by itself.
+    /// Whether the time comes from this daemon's own read rather than from a report.
     pub own: bool,
 }
 
 impl Watermark {
-    /// Its age at `now`.
+    /// Age at `now`; `None` before the first read or report.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.as_of.map(|as_of| now.saturating_duration_since(as_of))
     }
 
-    /// The watermark as it travels at `now`.
+    /// The report that is sent to other daemons at `now`.
     #[must_use]
     pub fn report(&self, now: Instant) -> Option<Report> {
         Some(Report {
@@ -83,12 +83,12 @@
     }
 }
 
-/// A watermark on its way to another daemon, beside the version that its sender has in force.
+/// A watermark as sent to another daemon, together with the sender's active version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Age when it was sent.
+    /// Age at the time of sending.
     pub age: Millis,
-    /// Where to read on.
+    /// Position to continue reading from.
     pub next: Position,
 }
 
@@ -96,35 +96,36 @@
 #[derive(Debug, Default)]
 pub struct Freshness {
     watermark: watch::Sender<Watermark>,
-    /// Newest version that was read, in force or not.
+    /// Newest version read from the platform, active or not.
     received: AtomicU64,
 }
 
 impl Freshness {
-    /// The watermark as it is.
+    /// The current watermark.
     #[must_use]
     pub fn latest(&self) -> Watermark {
         *self.watermark.borrow()
     }
 
-    /// Age of the watermark at `now`; `None` before the first one.
+    /// Age of the watermark at `now`; `None` before the first read or report.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Millis> {
         self.latest().age(now).map(Millis::from)
     }
 
-    /// Newest version that this daemon has read from the platform, in force or not.
+    /// Newest version that this daemon has read from the platform, active or not.
     #[must_use]
     pub fn received(&self) -> Version {
         Version(self.received.load(Ordering::Relaxed))
     }
 
-    /// Notes a version that the platform holds, before it is checked.
+    /// Records a version read from the platform, before it is validated.
     pub fn note_received(&self, version: Version) {
         self.received.fetch_max(version.0, Ordering::Relaxed);
     }
 
-    /// Notes a read of this daemon that goes on at `next`, as of a time where that was the end.
+    /// Records a read by this daemon that ended at `next`; `as_of` is a time at which no record followed, if
+    /// the read reached the end.
     pub fn record_read(&self, next: Position, as_of: Option<Instant>) {
         self.watermark.send_modify(|latest| {
             *latest = Watermark {
@@ -135,10 +136,10 @@
         });
     }
 
-    /// Takes over the watermark of a daemon that holds no newer version. It tells where to read on only where
-    /// its sender knows nothing else of what stands before that (`complete`).
+    /// Merges the watermark of a daemon that holds no newer version.
     ///
-    /// Guards against an order that only its reader knows: whoever read on after it would never find it.
+    /// The reported position is used only if this daemon knows all that its sender has read before it
+    /// (`complete`). Otherwise a roll-out order that only the sender has read would be skipped and never found.
     pub fn merge_report(&self, report: &Report, complete: bool, now: Instant) {
         let as_of = now.checked_sub(report.age.duration());
         self.watermark.send_if_modified(|latest| {
@@ -148,14 +149,15 @@
                 latest.own = false;
             }
             if complete {
-                // Offsets of an earlier era mean nothing in a later one.
+                // Positions compare by generation first: offsets of an earlier generation are meaningless in a
+                // later one.
                 latest.next = latest.next.max(Some(report.next));
             }
             later
         });
     }
 
-    /// Follows the watermark.
+    /// Subscribes to the watermark.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Watermark> {
         self.watermark.subscribe()
--- a/src/configuration/log.rs
+++ b/src/configuration/log.rs
@@ -1,8 +1,8 @@
-//! The client of the platform's append-only log.
+//! Client of the platform's append-only log.
 //!
-//! The log speaks HTTP: `POST /streams/{stream}` appends the body as a record and answers with its
-//! offset; `GET /streams/{stream}?from=N&limit=L&wait_ms=W` reads records from an offset on, waiting
-//! for the first one if there is none yet. Records before the first retained one answer 410.
+//! The log's protocol is HTTP. `POST /streams/{stream}` appends the body as a record and returns its
+//! offset. `GET /streams/{stream}?from=N&limit=L&wait_ms=W` reads records from an offset on and
+//! waits for the first one if there is none yet. An offset before the first retained record gets status 410.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 use crate::telemetry::Meter;
 use crate::units::{Millis, Offset, Service};
 
-/// Time for an answer, beside the time that a read may wait.
+/// Time within which a response must arrive, in addition to the time that a read may wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most records in one page.
 const MAX_PAGE_RECORDS: usize = 64;
-/// Estimate for the heads of a request and its answer, in bytes.
+/// Estimated size of the heads of a request and its response together, in bytes.
 const ESTIMATED_HEADER_BYTES: usize = 260;
 
-/// Streams that the system keeps on the log.
+/// Streams of the log that the system uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Stream {
     /// Edits and checkpoints.
     Config,
-    /// Daemons to join through.
+    /// Daemons through which others can join.
     Contacts,
-    /// Notes of requests in quarantine.
+    /// Notes of quarantined requests.
     Quarantine,
     /// Claims of idempotency keys of one service.
     Claims(Service),
@@ -49,34 +49,34 @@
     }
 }
 
-/// A run of records.
+/// Consecutive records of a stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Page {
-    /// First offset that is still there.
+    /// First retained offset.
     pub first: Offset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub head: Offset,
-    /// Records from the offset that was asked for.
+    /// Records from the requested offset on.
     pub records: Vec<Stored>,
 }
 
-/// A record with its place.
+/// A record with its offset.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Stored {
-    /// Its place.
+    /// Offset in the stream.
     pub offset: Offset,
-    /// Its text.
+    /// Text of the record.
     pub value: String,
 }
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Appended {
-    /// Place of the new record.
+    /// Offset of the new record.
     pub offset: Offset,
 }
 
-/// A connection to the platform log.
+/// A client of the platform's log.
 #[derive(Debug, Clone)]
 pub struct Log {
     address: SocketAddr,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A log that takes part in nothing: the platform keeps the configuration itself.
+    /// A client whose every call fails, for platforms that keep the configuration themselves.
     #[must_use]
     pub fn disabled(address: SocketAddr, meter: Arc<Meter>) -> Self {
         Self {
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Log`] when no answer came: the record may or may not be there.
+    /// [`Error::Log`] when the append was not confirmed: the record may still have been written.
     pub async fn append<T: Serialize>(&self, stream: Stream, record: &T) -> Result<Offset> {
         let text = serde_json::to_vec(record).map_err(|e| self.log_error(&e.to_string()))?;
         let path = format!("/streams/{stream}");
@@ -118,7 +118,7 @@
             .exchange(Method::POST, &path, text, RESPONSE_TIMEOUT)
             .await?;
         if status != StatusCode::CREATED {
-            return Err(self.log_error(&format!("append answered {status}")));
+            return Err(self.log_error(&format!("append failed with status {status}")));
         }
         let appended: Appended = self.parse(&body)?;
         Ok(appended.offset)
@@ -128,12 +128,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Expired`] when `from` is no longer there, [`Error::Log`] when no answer came.
+    /// [`Error::Expired`] when `from` is no longer retained, [`Error::Log`] when the read failed.
     pub async fn read(&self, stream: Stream, from: Offset, wait: Millis) -> Result<Page> {
         let path = format!("/streams/{stream}?from={from}&limit={MAX_PAGE_RECORDS}&wait_ms={wait}");
-        let patience = RESPONSE_TIMEOUT + wait.duration();
+        let timeout = RESPONSE_TIMEOUT + wait.duration();
         let (status, body) = self
-            .exchange(Method::GET, &path, Vec::new(), patience)
+            .exchange(Method::GET, &path, Vec::new(), timeout)
             .await?;
         match status {
             StatusCode::OK => self.parse(&body),
@@ -141,15 +141,15 @@
                 let page: Page = self.parse(&body)?;
                 Err(Error::Expired { first: page.first })
             }
-            other => Err(self.log_error(&format!("read answered {other}"))),
+            other => Err(self.log_error(&format!("read failed with status {other}"))),
         }
     }
 
-    /// Reads only where the stream begins and ends.
+    /// Reads only the first retained offset and the head of the stream.
     ///
     /// # Errors
     ///
-    /// [`Error::Log`] when no answer came.
+    /// [`Error::Log`] when the read failed.
     pub async fn bounds(&self, stream: Stream) -> Result<Page> {
         self.read(stream, Offset(u64::MAX), Millis(0)).await
     }
@@ -159,19 +159,19 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Vec<u8>)> {
         if self.disabled {
-            return Err(self.log_error("the platform keeps the configuration: publish it there"));
+            return Err(self.log_error("the platform keeps the configuration; publish it there"));
         }
         self.meter.log(ESTIMATED_HEADER_BYTES + body.len());
-        let answer = self
+        let response = self
             .http
-            .exchange(self.address, method, path, body, patience)
+            .exchange(self.address, method, path, body, timeout)
             .await;
-        let answer = answer.map_err(|reason| self.log_error(&reason))?;
-        self.meter.log(answer.body.len());
-        Ok((answer.status, answer.body))
+        let response = response.map_err(|reason| self.log_error(&reason))?;
+        self.meter.log(response.body.len());
+        Ok((response.status, response.body))
     }
 
     fn parse<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T> {
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,8 +1,9 @@
-//! Configuration: what is in force, how it is accepted, and how it travels.
+//! Configuration: the active version, how edits are accepted, and how versions are distributed.
 //!
-//! Operators publish a [`document`], which [`check`] looks through. Without a platform that accepts
-//! versions the [`replica`] of the [`log`] does; with one, an [`control_plane`] is read. What was accepted
-//! travels between daemons as [`delta`]s, and a [`readiness`] keeps a restarted daemon from serving less.
+//! Operators publish a [`document`], which [`check`] validates. Edits are either decided by every
+//! daemon's [`replica`] of the [`log`], or by an external [`control_plane`], whose versions are
+//! [normalized](normalize). Daemons send each other accepted versions as [`delta`]s. [`readiness`] keeps
+//! a restarted daemon from serving an older version than before.
 
 pub mod check;
 pub mod control_plane;
--- a/src/configuration/normalize.rs
+++ b/src/configuration/normalize.rs
@@ -1,11 +1,11 @@
-//! Bringing what a platform has accepted within what daemons can carry out.
+//! Normalization of documents that an external control plane has accepted.
 //!
-//! A platform judges its operators' documents by bounds of its own. A daemon that refused what lies beyond
-//! [`check`](super::check)'s would hold the whole fleet at the version before. So the nearest value that can be
-//! carried out stands in for such a field, and the rest of the version is in force. What contradicts itself, such as a
-//! route to a group that is not there, is left as it is, for [`check`](super::check) to refuse.
+//! A control plane validates documents by limits of its own. If daemons rejected a version because a value
+//! exceeds the limits of [`check`](super::check), the whole fleet would stay at the previous version. Such a
+//! value is therefore replaced by the nearest supported one, and the rest of the version becomes active.
+//! Contradictions, such as a route to a missing group, stay for [`check`](super::check) to reject.
 //!
-//! Every daemon gets the same document from the same version.
+//! Normalization is deterministic: every daemon gets the same document from the same version.
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
@@ -28,10 +28,10 @@
 use crate::configuration::fault::Fault;
 use crate::units::Millis;
 
-/// Bytes that are kept of a name that is too long; a hash of all of it follows.
+/// Bytes that are kept of a name that is too long; a hash of the whole name is appended.
 const KEPT_NAME_BYTES: usize = 96;
 
-/// Brings a document within bounds; says what was changed. Its resources are sorted.
+/// Replaces unsupported values and sorts the resources; returns a fault for each change.
 #[must_use]
 pub fn normalize(document: Document) -> (Document, Vec<Fault>) {
     let mut document = document.sorted();
@@ -63,13 +63,17 @@
         let repeated = later.name == first.name;
         if repeated {
             let path = format!("groups[{:?}]", later.name);
-            faults.push(fault(path, "it stands twice".into(), "the first is taken"));
+            faults.push(fault(
+                path,
+                "duplicate name".into(),
+                "the first one is used",
+            ));
         }
         repeated
     });
 }
 
-/// Has a split's weights add up to a number above 0 that fits.
+/// Adjusts the weights of a split so that their sum is above 0 and fits `u32`.
 fn normalize_split(route: &mut Route, faults: &mut Vec<Fault>) {
     let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
     if route.split.is_empty() || (1..=u64::from(u32::MAX)).contains(&total) {
@@ -78,7 +82,7 @@
     let path = format!("routes[{:?}].split", route.name);
     let problem = format!("the weights add up to {total}");
     if total == 0 {
-        faults.push(fault(path, problem, "the parts are taken as equal"));
+        faults.push(fault(path, problem, "equal weights are used"));
         route.split.iter_mut().for_each(|part| part.weight = 1);
     } else {
         faults.push(fault(path, problem, "the weights are scaled down"));
@@ -86,9 +90,9 @@
     }
 }
 
-/// Scales weights that add up to `total` down to a sum that fits.
+/// Scales weights with the sum `total` down so that their sum fits `u32`.
 fn scale_weights(split: &mut [Share], total: u64) {
-    // A part that is rounded up to 1 still fits below this.
+    // Leaves room for weights that are rounded up to 1.
     let largest = u64::from(u32::MAX / 2);
     for part in split.iter_mut().filter(|part| part.weight > 0) {
         let weight = (u128::from(part.weight) * u128::from(largest) / u128::from(total)).max(1);
@@ -96,24 +100,24 @@
     }
 }
 
-/// Drops routes that match the same requests as an earlier one.
+/// Removes routes that match the same requests as an earlier one.
 fn drop_duplicate_routes(routes: &mut Vec<Route>, faults: &mut Vec<Fault>) {
-    let twins = duplicate_routes(routes);
-    for (later, first) in &twins {
+    let duplicates = duplicate_routes(routes);
+    for (later, first) in &duplicates {
         let path = format!("routes[{:?}]", routes[*later].name);
         let problem = format!("it matches the same requests as {:?}", routes[*first].name);
-        faults.push(fault(path, problem, "the first by name is taken"));
+        faults.push(fault(path, problem, "the first one by name is used"));
     }
     let mut index = 0;
     routes.retain(|_| {
         index += 1;
-        twins
-            .binary_search_by_key(&(index - 1), |twin| twin.0)
+        duplicates
+            .binary_search_by_key(&(index - 1), |duplicate| duplicate.0)
             .is_err()
     });
 }
 
-/// Gives each route a name of its own that fits. They are sorted by name.
+/// Gives each route a unique valid name. The routes must be sorted by name.
 fn normalize_names(routes: &mut [Route], faults: &mut Vec<Fault>) {
     let mut taken: Vec<String> = Vec::with_capacity(routes.len());
     for route in routes {
@@ -134,13 +138,13 @@
                 "a name of {} bytes is empty, too long or used before",
                 route.name.len()
             );
-            faults.push(fault(path, problem, "another name stands for it"));
+            faults.push(fault(path, problem, "a generated name is used"));
             route.name = name;
         }
     }
 }
 
-/// A name that fits.
+/// A valid name of at most [`MAX_NAME_BYTES`]; not necessarily unique.
 fn normalize_name(name: &str) -> String {
     if name.is_empty() {
         return "unnamed".to_owned();
@@ -156,7 +160,7 @@
     if retry.attempts > MAX_ATTEMPTS {
         let path = format!("retries[{:?}].attempts", retry.name);
         let problem = format!("{} attempts", retry.attempts);
-        faults.push(fault(path, problem, "10 are made at most"));
+        faults.push(fault(path, problem, "at most 10 are made"));
         retry.attempts = MAX_ATTEMPTS;
     }
 }
@@ -164,7 +168,7 @@
 fn normalize_bounds(bounds: &mut Bounds, faults: &mut Vec<Fault>) {
     if bounds.max_head < MIN_HEAD_BYTES {
         let problem = format!("{} bytes", bounds.max_head);
-        faults.push(fault("bounds.max_head".into(), problem, "8192 are taken"));
+        faults.push(fault("bounds.max_head".into(), problem, "8192 is used"));
         bounds.max_head = MIN_HEAD_BYTES;
     }
     let times = [
@@ -178,7 +182,7 @@
             faults.push(fault(
                 path.into(),
                 problem,
-                "the nearest of 1 to 86400000 ms is taken",
+                "the nearest of 1 to 86400000 ms is used",
             ));
             *time = fitting;
         }
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -1,8 +1,8 @@
-//! Publishing an edit: append it, and find out what the fold made of it.
+//! Publishing of edits: appends an edit to the log and determines its verdict.
 //!
-//! The answer to an append can be lost after it took effect. The publisher therefore never guesses:
-//! it reads the log until it meets the edit's own identifier, and appends again under the same
-//! identifier when it is not there, which every fold treats as one edit.
+//! The response to an append may be lost although the append took effect. The publisher therefore
+//! reads the log until it finds the edit's identifier, and appends the edit again under the same
+//! identifier if it is not there. Every replica treats such repetitions as one edit.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use crate::error::{Error, Result};
 use crate::units::{EditId, Millis, Offset, Version};
 
-/// Pause between two tries.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Publishes edits on behalf of operators.
@@ -31,7 +31,7 @@
 }
 
 impl Publisher {
-    /// A publisher to `log`, which learns verdicts through `reader`.
+    /// A publisher that appends to `log` and learns verdicts through `reader`.
     #[must_use]
     pub const fn new(board: Arc<Board>, store: Arc<Store>, reader: Arc<Reader>, log: Log) -> Self {
         Self {
@@ -42,29 +42,30 @@
         }
     }
 
-    /// Publishes a proposal and waits up to `patience` for its verdict.
+    /// Publishes a proposal and waits up to `timeout` for its verdict.
     ///
     /// # Errors
     ///
-    /// [`Error::Faults`] and [`Error::Conflict`] are final; [`Error::Undecided`] means that the
-    /// edit may or may not be accepted, and that the same edit may be published again.
-    pub async fn publish(&self, proposal: Proposal, patience: Duration) -> Result<Version> {
+    /// [`Error::Faults`] and [`Error::Conflict`] are final. [`Error::Undecided`] means that the edit may
+    /// or may not be accepted, and that the same edit may be published again. [`Error::Gapped`] means that
+    /// earlier records are missing, so that there is no verdict.
+    pub async fn publish(&self, proposal: Proposal, timeout: Duration) -> Result<Version> {
         let faults = check::document(&proposal.document);
         if !faults.is_empty() {
             return Err(Error::Faults { faults });
         }
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let id = proposal.id.clone();
         let record = Record::Edit(self.store.build_edit(proposal));
         while Instant::now() < deadline {
-            if let Some(verdict) = self.verdict(&id)? {
-                return Ok(verdict);
+            if let Some(version) = self.verdict(&id)? {
+                return Ok(version);
             }
-            // Without an offset the append may still have taken effect, also later on.
+            // Without an offset the append may still have taken effect, or may do so later.
             let offset = match self.log.append(Stream::Config, &record).await {
                 Ok(offset) => Some(offset),
                 Err(error) => {
-                    warn!(self.board.logger, "append without answer";
+                    warn!(self.board.logger, "append not confirmed";
                         "edit" => %id, "error" => %error);
                     None
                 }
@@ -77,24 +78,24 @@
         Err(Error::Undecided { id })
     }
 
-    /// Where the log ends.
+    /// The head of the log's stream of edits.
     ///
     /// # Errors
     ///
-    /// [`Error::Log`] when it can't be reached.
+    /// [`Error::Log`] when the read failed.
     pub async fn head(&self) -> Result<Offset> {
         Ok(self.log.bounds(Stream::Config).await?.head)
     }
 
-    /// Verdict on an edit, when it is known.
+    /// Version that an edit created; `None` if it has no verdict yet.
     ///
     /// # Errors
     ///
-    /// As [`publish`](Self::publish).
+    /// [`Error::Conflict`] or [`Error::Faults`] when the edit was rejected.
     pub fn verdict(&self, id: &EditId) -> Result<Option<Version>> {
         match self.store.verdict(id) {
             Some(Verdict::Accepted { version }) => {
-                info!(self.board.logger, "edit in force"; "edit" => %id, "version" => version.0);
+                info!(self.board.logger, "edit active"; "edit" => %id, "version" => version.0);
                 Ok(Some(version))
             }
             Some(Verdict::Conflict { current }) => Err(Error::Conflict { current }),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Reads the log up to `offset`, or to its head, looking for the edit.
+    /// Reads the log up to `offset`, or else to its head, until the edit has a verdict.
     async fn await_verdict(
         &self,
         id: &EditId,
@@ -120,8 +121,8 @@
             let next = self.store.next();
             let end = offset.map_or(head, Offset::next);
             if next >= end {
-                // Everything up to the edit has been folded. It is without a verdict only when
-                // earlier records are missing.
+                // All records up to the edit have been applied. After a confirmed append there is no
+                // verdict only if earlier records are missing.
                 return if self.store.gapped() {
                     Err(Error::Gapped { first: next })
                 } else {
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -1,7 +1,8 @@
-//! Reading the log on behalf of a data centre.
+//! Reads the source of the configuration on behalf of a data centre.
 //!
-//! The first few daemons in rendezvous order read; the next one steps in when the view drops one.
-//! The duty is advisory: two readers too many cost bytes, never safety, since everyone folds alike.
+//! The first few daemons in rendezvous order are readers; when the membership view drops one, the
+//! next one takes its place. The role is advisory: two surplus readers cost bandwidth but not safety,
+//! since all replicas decide alike.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -26,24 +27,24 @@
 use crate::settings::Delivery;
 use crate::units::{Millis, Offset, Version};
 
-/// Time that a read waits at the log for the first record.
+/// Time that a read waits at the log for a first record.
 const LONG_POLL_WAIT: Millis = Millis(5_000);
-/// Pauses after reads that failed: with the longest one a change waits a second at most once the source is
-/// back.
+/// Pauses after failed reads: the longest one delays a change by at most a second once the source is
+/// available again.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
-/// Time between two looks at the duty.
+/// Longest time between two checks of the role.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rank of `me` among the daemons of a data centre; readers have the lowest.
+/// Rank of `me` in the rendezvous order of a data centre; the lowest ranks are readers.
 #[must_use]
 pub fn rank(order: &[SocketAddr], me: SocketAddr) -> Option<usize> {
     order.iter().position(|peer| *peer == me)
 }
 
-/// Rank of a daemon among the readers; `None` while reading is not its duty.
+/// Rank of this daemon among the readers; `None` while it is not a reader.
 ///
-/// A daemon that stops has its duty until it leaves: callers use their connections to the end, and where all
-/// daemons stop together nobody else would read.
+/// A stopping daemon stays a reader until it leaves: callers use their connections until then, and if all
+/// daemons stop together no other daemon would read.
 #[must_use]
 pub fn reader_rank(board: &Board) -> Option<usize> {
     let settings = &board.settings;
@@ -54,22 +55,22 @@
     rank(&order, settings.identity()).filter(|rank| *rank < settings.readers)
 }
 
-/// Reads the log while it is this daemon's duty.
+/// Reads the source while this daemon is a reader.
 #[derive(Debug)]
 pub struct Reader {
     board: Arc<Board>,
     store: Arc<Store>,
     source: Source,
-    /// The last fault of a record that was written to the log.
+    /// The last fault of an unreadable record that was logged.
     last_fault: Mutex<Option<String>>,
 }
 
-/// What is read.
+/// What a reader reads from.
 #[derive(Debug, Clone)]
 pub enum Source {
-    /// The operators' edits.
+    /// The log of the operators' edits.
     Log(Log),
-    /// Versions that the platform has accepted.
+    /// A control plane that has accepted the versions already.
     ControlPlane(Arc<dyn ControlPlane>),
 }
 
@@ -89,33 +90,33 @@
     pub async fn run(self: Arc<Self>) {
         let mut rosters = self.board.rosters();
         let mut lost = false;
-        let mut on_duty = false;
+        let mut is_reader = false;
         let mut backoff = RETRY_BACKOFF;
         if matches!(self.source, Source::ControlPlane(_)) {
-            // Until then the joiner reads, for itself.
+            // While starting, the joining task reads the control plane itself.
             let mut stages = self.board.stages();
             let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
         }
         loop {
-            let was_on_duty = std::mem::replace(&mut on_duty, reader_rank(&self.board).is_some());
-            if on_duty != was_on_duty {
-                self.log_role_change(on_duty);
+            let was_reader = std::mem::replace(&mut is_reader, reader_rank(&self.board).is_some());
+            if is_reader != was_reader {
+                self.log_role_change(is_reader);
             }
-            if !on_duty {
+            if !is_reader {
                 let _ = tokio::time::timeout(ROLE_CHECK_INTERVAL, rosters.changed()).await;
                 continue;
             }
             let wait = match self.source {
-                // A longer wait would hold back the checkpoint that is due meanwhile.
+                // A longer wait would delay a checkpoint that becomes due meanwhile.
                 Source::Log(_) => LONG_POLL_WAIT.min(self.board.settings.checkpoint_ms),
-                // Short against the time in which a version has to be in force, since a connection that
-                // has gone silent shows only by the lack of an answer.
+                // Short compared to the time within which a version must become active, since a broken
+                // connection may show only by the missing response.
                 Source::ControlPlane(_) => Limits::within(self.board.settings.apply_ms).wait,
             };
             let began = Instant::now();
             if let Err(error) = self.read_once(wait).await {
                 if !std::mem::replace(&mut lost, true) {
-                    warn!(self.board.logger, "source lost"; "error" => %error,
+                    warn!(self.board.logger, "reading the source failed"; "error" => %error,
                         "took_ms" => Millis::from(began.elapsed()).0, "version" => self.board.digest().version.0);
                 }
                 tokio::time::sleep(backoff.random_pause()).await;
@@ -123,33 +124,36 @@
             }
             backoff.succeeded();
             if std::mem::take(&mut lost) {
-                info!(self.board.logger, "source regained";
+                info!(self.board.logger, "source available again";
                     "version" => self.board.digest().version.0);
             }
             self.write_checkpoint().await;
         }
     }
 
-    fn log_role_change(&self, on_duty: bool) {
-        let line = if on_duty {
-            "reading begins"
+    fn log_role_change(&self, is_reader: bool) {
+        let message = if is_reader {
+            "became a reader"
         } else {
-            "reading ends"
+            "no longer a reader"
         };
-        info!(self.board.logger, "{}", line; "version" => self.board.digest().version.0,
+        info!(self.board.logger, "{}", message; "version" => self.board.digest().version.0,
             "stage" => %self.board.stage());
     }
 
-    /// Reads and folds one page; waits up to `wait` for its first record. Returns the log's head.
+    /// Reads and applies one page; waits up to `wait` for its first record. Returns the head of the log, or
+    /// the next offset to read from the control plane.
     ///
     /// # Errors
     ///
-    /// As [`Log::read`], but for expired records, which the fold takes note of.
+    /// As [`Log::read`], except that expired records of the log are no error: the replica records the gap.
     pub async fn read_once(&self, wait: Millis) -> Result<Offset> {
         let log = match &self.source {
             Source::Log(log) => log,
-            Source::ControlPlane(origin) => {
-                return self.follow_control_plane(origin.as_ref(), wait).await;
+            Source::ControlPlane(control_plane) => {
+                return self
+                    .follow_control_plane(control_plane.as_ref(), wait)
+                    .await;
             }
         };
         let from = self.store.next();
@@ -159,7 +163,7 @@
                 Ok(page.head)
             }
             Err(Error::Expired { first }) => {
-                warn!(self.board.logger, "records have expired unread"; "first" => first.0);
+                warn!(self.board.logger, "records expired before they were read"; "first" => first.0);
                 self.store.expire(first);
                 Ok(first)
             }
@@ -167,25 +171,25 @@
         }
     }
 
-    /// Takes the newest version of an origin that can be taken, or what follows the latest watermark.
+    /// Reads what follows the position of the watermark, or else the newest records, and applies it.
     async fn follow_control_plane(
         &self,
-        origin: &dyn ControlPlane,
+        control_plane: &dyn ControlPlane,
         wait: Millis,
     ) -> Result<Offset> {
         let from = self.board.freshness.latest().next;
         let mut began = Instant::now();
         let found = match from {
-            Some(from) => origin.read_from(from, wait).await,
-            None => origin.read_newest().await,
+            Some(from) => control_plane.read_from(from, wait).await,
+            None => control_plane.read_newest().await,
         };
         let found = match found {
-            // The newest version is kept whatever else was dropped. After a platform came back from
-            // an older copy, offsets are given out again: what is read on from the old one leaves out
-            // the records that were written again before it.
+            // The newest version is always retained. After the platform was restored from an older copy,
+            // offsets are assigned again: reading on from an old one would miss the records written
+            // before it since then.
             Err(Error::Expired { .. } | Error::Rewound) => {
                 began = Instant::now();
-                origin.read_newest().await?
+                control_plane.read_newest().await?
             }
             found => found?,
         };
@@ -195,7 +199,7 @@
             self.apply_order(notice);
         }
         let has_waited = from == Some(found.next) && began.elapsed() >= wait.duration();
-        // After a wait that brought nothing, nothing had come until its end.
+        // A wait without a result shows that there was no record until the wait ended.
         let as_of = if has_waited {
             began + wait.duration()
         } else {
@@ -206,10 +210,10 @@
         Ok(found.next.offset)
     }
 
-    /// Puts the newest version in force that does not contradict itself.
+    /// Activates the newest valid version.
     ///
-    /// Guards against a record that is no valid version: were the read to fail by it, it would be made again
-    /// and again, and a valid version beside it would wait.
+    /// An invalid version does not fail the read: it would be repeated for ever, and a valid version read
+    /// together with it would never become active.
     fn accept_newest(&self, releases: Vec<Release>) {
         for Release { version, document } in releases.into_iter().rev() {
             self.board.freshness.note_received(version);
@@ -229,10 +233,10 @@
         }
     }
 
-    /// Says which parts of a version are carried out otherwise than they are written.
+    /// Logs that normalization changed a version.
     fn log_normalized(&self, version: Version, faults: &[Fault]) {
         if let Some(first) = faults.first() {
-            warn!(self.board.logger, "version brought within limits"; "version" => version.0,
+            warn!(self.board.logger, "version normalized to the supported limits"; "version" => version.0,
                 "faults" => faults.len(), "first" => %first);
         }
     }
@@ -242,21 +246,21 @@
             return;
         }
         let Some(order) = &notice.order else {
-            info!(self.board.logger, "order taken away"; "service" => %notice.service);
+            info!(self.board.logger, "roll-out order withdrawn"; "service" => %notice.service);
             return;
         };
-        info!(self.board.logger, "order to roll out"; "service" => %order.service,
+        info!(self.board.logger, "roll-out order received"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
             "era" => notice.at.generation.0, "offset" => notice.at.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
-            warn!(self.board.logger, "order for a service of no group: publish one, or correct it";
+            warn!(self.board.logger, "no group has the service of the roll-out order; publish one, or correct the order";
                 "service" => %order.service);
         }
     }
 
-    /// Says once what is wrong with records that can't be read.
+    /// Logs each fault of unreadable records, but not the same one twice in a row.
     fn log_unreadable(&self, faults: &[String]) {
         let mut noted = self
             .last_fault
@@ -264,13 +268,13 @@
             .unwrap_or_else(PoisonError::into_inner);
         for fault in faults {
             if noted.as_ref() != Some(fault) {
-                warn!(self.board.logger, "record passed over"; "problem" => fault);
+                warn!(self.board.logger, "unreadable record skipped"; "problem" => fault);
                 *noted = Some(fault.clone());
             }
         }
     }
 
-    /// Keeps the accepted state inside the retention of the log.
+    /// Appends a checkpoint when one is due, so that the accepted state stays within the log's retention.
     async fn write_checkpoint(&self) {
         let Source::Log(log) = &self.source else {
             return;
@@ -279,9 +283,9 @@
             return;
         };
         let interval = self.board.settings.checkpoint_ms.duration();
-        // Later ranks and other data centres wait longer, so that mostly one of them writes.
-        let patience = interval.mul_f64(1.0 + 0.2 * f64::from(u32::try_from(rank).unwrap_or(1)));
-        if self.store.checkpoint_age() < patience + jitter(interval / 4) {
+        // Higher ranks wait longer and the delay is jittered, so that usually only one daemon writes.
+        let max_age = interval.mul_f64(1.0 + 0.2 * f64::from(u32::try_from(rank).unwrap_or(1)));
+        if self.store.checkpoint_age() < max_age + jitter(interval / 4) {
             return;
         }
         if let Some(checkpoint) = self.store.checkpoint() {
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -1,8 +1,8 @@
-//! Relaying versions between daemons.
+//! Distribution of versions between daemons.
 //!
-//! Within a data centre the daemons form a tree by rendezvous rank. A daemon that gets a newer
-//! version sends it to its children; a daemon that pulled it, outside the tree, also sends it to
-//! the root. The digest on every probe and answer repairs whatever the tree lost.
+//! The daemons of a data centre form a tree by rendezvous rank. A daemon that gets a newer version
+//! pushes it to its children; a daemon that pulled it, outside the tree, also pushes it to the root.
+//! The digests on probes and their replies repair what the tree has lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,15 +28,16 @@
 
 /// Path of a pushed update.
 pub const PUSH_PATH: &str = "/control/push";
-/// Path of a request for content.
+/// Path of a pull.
 pub const PULL_PATH: &str = "/control/pull";
 
-/// Longest time that a daemon is told to wait before it asks again.
+/// Longest time that a daemon is told to wait before it pulls again.
 const MAX_RETRY_DELAY_MS: u64 = 250;
-/// Times that a busy peer is asked.
+/// Most requests to one peer in a pull.
 const MAX_PULL_ATTEMPTS: usize = 5;
 
-/// The daemons of one data centre in rendezvous order: the same on every daemon with the same view.
+/// The alive daemons of one data centre in rendezvous order, which is the same on every daemon with the
+/// same view.
 #[must_use]
 pub fn rendezvous_order(members: &[Member], home: &DataCentre) -> Vec<SocketAddr> {
     let here = members
@@ -49,7 +50,7 @@
     ranked.into_iter().map(|(_, peer)| peer).collect()
 }
 
-/// Children of `me` in the tree over `order`, where each daemon has up to `fanout`.
+/// Children of `me` in the tree over `order`, in which each daemon has up to `fanout` children.
 #[must_use]
 pub fn children(order: &[SocketAddr], me: SocketAddr, fanout: usize) -> Vec<SocketAddr> {
     let Some(place) = order.iter().position(|peer| *peer == me) else {
@@ -59,7 +60,7 @@
     order.iter().skip(first).take(fanout).copied().collect()
 }
 
-/// Sends and fetches content.
+/// Pushes and pulls versions.
 #[derive(Debug)]
 pub struct Relay {
     board: Arc<Board>,
@@ -67,7 +68,7 @@
     links: Arc<Links>,
     transfers: Semaphore,
     fetches: Fetches,
-    /// Whether the version in force came by a pull, outside the tree.
+    /// Whether a version was pulled, outside the tree, since the last push.
     pulled: AtomicBool,
 }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Pushes each newer version on, for as long as the daemon runs.
+    /// Pushes each newer version, for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         let mut versions = self.board.versions();
         while versions.changed().await.is_ok() {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes a pushed update.
+    /// Handles a push.
     #[must_use]
     pub fn accept_push(&self, reply: Reply) -> Reply {
         let Reply::Update(packed) = reply else {
@@ -113,31 +114,31 @@
         self.store.accept(packed.decompress()?, way)
     }
 
-    /// Answers a request for content; whole documents only a few at a time.
+    /// Handles a pull; only a few whole documents are sent at the same time.
     pub async fn answer_pull(&self, pull: &Pull) -> Bytes {
         let digest = self.board.digest();
         if digest.version <= pull.have {
             return wire::encode(&Reply::Have(digest));
         }
-        let parcel = self.store.encoded_update(pull.have);
-        if !parcel.whole {
-            return parcel.reply;
+        let update = self.store.encoded_update(pull.have);
+        if !update.whole {
+            return update.reply;
         }
-        // Guards against a storm: after a data centre's power cut, hundreds of daemons ask at
-        // once, and sending to all would take the sender's processor and links from its calls.
+        // After a power cut of a data centre, hundreds of daemons pull at once. Sending to all of them
+        // would take processor time and bandwidth from the sender's calls.
         let Ok(_transfer) = self.transfers.try_acquire() else {
             let wait = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..=MAX_RETRY_DELAY_MS);
             return wire::encode(&Reply::Busy(Millis(wait)));
         };
         tokio::task::yield_now().await;
-        parcel.reply
+        update.reply
     }
 
-    /// Fetches what `peer` has in force, unless enough fetches are under way.
+    /// Pulls the active version of `peer`, unless [`Fetches`] allows no further fetch now.
     ///
     /// # Errors
     ///
-    /// As [`Links::send`], or what is wrong with the content.
+    /// As [`Links::send`].
     pub async fn pull(&self, peer: SocketAddr) -> Result<Digest> {
         let began = Instant::now();
         let Some(_ticket) = self.fetches.try_begin(peer, began) else {
@@ -160,7 +161,7 @@
                         self.pulled.store(true, Ordering::Release);
                         return Ok(digest);
                     }
-                    // The base has moved meanwhile or is not what it seemed: ask for the whole.
+                    // The base was replaced meanwhile or differs: request the whole document.
                     Err(_) => have = Version(0),
                 },
                 Reply::Busy(wait) => tokio::time::sleep(wait.duration()).await,
@@ -175,30 +176,34 @@
         let roster = self.board.roster();
         let order = rendezvous_order(&roster.members, &settings.data_centre);
         let mut receivers = children(&order, settings.identity(), settings.fanout);
-        let outside = self.pulled.swap(false, Ordering::AcqRel);
+        let pulled = self.pulled.swap(false, Ordering::AcqRel);
         let root = order
             .first()
-            .filter(|root| outside && **root != settings.identity());
+            .filter(|root| pulled && **root != settings.identity());
         receivers.extend(root);
-        let parcel = self.store.encoded_update(self.store.previous_version());
+        let update = self.store.encoded_update(self.store.previous_version());
         for peer in receivers {
             let relay = Arc::clone(self);
-            let (reply, order) = (parcel.reply.clone(), order.clone());
+            let (reply, order) = (update.reply.clone(), order.clone());
             tokio::spawn(async move { relay.push(peer, reply, &order).await });
         }
     }
 
     async fn push(&self, peer: SocketAddr, reply: Bytes, order: &[SocketAddr]) {
-        let mut waiting = vec![(peer, reply)];
-        while let Some((peer, reply)) = waiting.pop() {
+        let mut pending = vec![(peer, reply)];
+        while let Some((peer, reply)) = pending.pop() {
             if self.deliver(peer, reply.clone()).await.is_ok() {
                 continue;
             }
-            // Guards against a dead parent: until the view drops it, its whole branch would wait
-            // for a probe. Its children are served in its place.
+            // Until the view drops a dead parent, its whole branch would have to wait for a probe.
+            // Push to its children instead.
             debug!(self.board.logger, "push failed"; "peer" => %peer);
-            let orphans = children(order, peer, self.board.settings.fanout);
-            waiting.extend(orphans.into_iter().map(|orphan| (orphan, reply.clone())));
+            let grandchildren = children(order, peer, self.board.settings.fanout);
+            pending.extend(
+                grandchildren
+                    .into_iter()
+                    .map(|child| (child, reply.clone())),
+            );
         }
     }
 
@@ -207,8 +212,8 @@
         if let Reply::Need(digest) = answer
             && digest.version < self.board.digest().version
         {
-            let parcel = self.store.encoded_update(digest.version);
-            let answer: Reply = self.links.exchange(peer, PUSH_PATH, parcel.reply).await?;
+            let update = self.store.encoded_update(digest.version);
+            let answer: Reply = self.links.exchange(peer, PUSH_PATH, update.reply).await?;
             if let Reply::Need(_) = answer {
                 let whole = self.store.encoded_update(Version(0));
                 let _: Reply = self.links.exchange(peer, PUSH_PATH, whole.reply).await?;
@@ -218,7 +223,7 @@
     }
 }
 
-/// A random part of `span`: full jitter, so that a herd does not stay one.
+/// A random part of `span`: full jitter, which spreads out daemons that act at the same time.
 #[must_use]
 pub fn jitter(span: Duration) -> Duration {
     span.mul_f64(rand::rng().random_range(0.0..1.0))
--- a/src/configuration/replica.rs
+++ b/src/configuration/replica.rs
@@ -1,9 +1,9 @@
-//! The fold of the log that decides which edits are accepted.
+//! A replica of the configuration: the state machine that decides which edits on the log are accepted.
 //!
-//! Every daemon that folds the same records reaches the same version and document: an edit is
-//! accepted when it is based on the version in force and its document checks out. Two racing edits
+//! Every daemon that applies the same records reaches the same version and document: an edit is
+//! accepted if it is based on the active version and its document is valid. Two concurrent edits
 //! name the same base, so exactly one is accepted. The version is the offset after the accepted
-//! record: totally ordered and never reused.
+//! record, so versions are totally ordered and never reused.
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
@@ -28,25 +28,25 @@
 use crate::configuration::fault::Fault;
 use crate::units::{EditId, Offset, Version};
 
-/// Verdicts that a fold remembers, to answer a publisher who asks again.
+/// Most recent verdicts that a replica remembers, for publishers that repeat an edit.
 pub const RECENT_EDITS: usize = 256;
 
 /// One record of the `config` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// Somebody's wish to replace the document.
+    /// A proposed change of the document.
     Edit(Edit),
-    /// The state of a fold, kept inside the retention of the log.
+    /// The state of a replica, written again before it passes the retention of the log.
     Checkpoint(Checkpoint),
 }
 
-/// A wish to replace the document.
+/// A proposed change of the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Chosen by the publisher; the same for every try.
+    /// Chosen by the publisher; the same for every attempt to append it.
     pub id: EditId,
-    /// What the edit was made on.
+    /// State that the edit is based on.
     pub base: Base,
     /// The new document.
     pub content: Content,
@@ -56,90 +56,91 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Content {
-    /// All of it.
+    /// The whole document.
     Whole(Document),
-    /// The changes from the document in force.
+    /// The changes from the active document.
     Delta(Delta),
 }
 
-/// An edit as its publisher writes it.
+/// An edit as its publisher submits it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// Chosen by the publisher; the same for every try.
+    /// Chosen by the publisher; the same for every attempt to publish it.
     pub id: EditId,
-    /// What the edit was made on.
+    /// State that the edit is based on.
     pub base: Base,
     /// The whole new document.
     pub document: Document,
 }
 
-/// What an edit was made on.
+/// State that an edit is based on, and thereby the condition for accepting it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Base {
-    /// This version: accepted while it is in force.
+    /// A version: accepted while that is the active one.
     Version(Version),
-    /// The log up to this head: accepted over any version, if no edit was accepted since.
+    /// The log up to this head: accepted on any version, if no edit was accepted since.
     Head(Offset),
 }
 
-/// The state of a fold.
+/// The state of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Version in force.
+    /// Active version.
     pub version: Version,
-    /// First offset that is not part of the state.
+    /// Offset of the first record that is not part of the state.
     pub next: Offset,
-    /// Document in force.
+    /// Active document.
     pub document: Arc<Document>,
-    /// Verdicts on the latest edits, oldest first.
+    /// Verdicts on the most recent edits, oldest first.
     pub recent: Vec<Decision>,
 }
 
 /// A remembered verdict.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Edit it is about.
+    /// The edit.
     pub id: EditId,
-    /// What became of it.
+    /// Verdict on it.
     pub verdict: Verdict,
 }
 
-/// What a fold makes of a record.
+/// Result of applying a record to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Verdict {
-    /// The edit is in force as this version.
+    /// The edit was accepted.
     Accepted {
-        /// Version it got.
+        /// Version that it created.
         version: Version,
     },
-    /// Another edit came first.
+    /// Another edit was accepted since the base.
     Conflict {
-        /// Version that was current.
+        /// Version that was active.
         current: Version,
     },
-    /// The document contradicts itself.
+    /// The document is invalid.
     Invalid {
-        /// Every fault.
+        /// All faults.
         faults: Vec<Fault>,
     },
-    /// The record is folded already, or is a checkpoint that adds nothing.
+    /// The record changes nothing: it was applied already, is a checkpoint that is not needed, or
+    /// cannot be decoded.
     Skipped,
-    /// Records before this one are missing; a checkpoint or a peer has to close the gap.
+    /// Not decided, since earlier records are missing; a checkpoint or a peer has to close the gap.
     Gap,
-    /// A checkpoint closed the gap; folding goes on from the fold's next offset.
+    /// A checkpoint closed the gap; [`Replica::next`] is the offset to continue from.
     Restored,
 }
 
-/// The state reached so far.
+/// The state after the records applied so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
     state: Checkpoint,
-    /// First offset that was still there when records were found missing.
+    /// First retained offset when records were last found missing; `None` without a gap.
     gap: Option<Offset>,
-    /// End of the records that were missed, or could not be judged.
+    /// End of the records that were missed, or could not be evaluated.
     unjudged_end: Offset,
 }
 
@@ -150,7 +151,7 @@
 }
 
 impl Replica {
-    /// A fold that has seen nothing and starts at offset zero.
+    /// An empty replica at offset zero.
     #[must_use]
     pub fn new() -> Self {
         let state = Checkpoint {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// A fold that goes on from a checkpoint.
+    /// A replica that continues from a checkpoint.
     #[must_use]
     pub const fn restore(checkpoint: Checkpoint) -> Self {
         Self {
@@ -176,37 +177,37 @@
         }
     }
 
-    /// The state, to be written or handed on.
+    /// The current state.
     #[must_use]
     pub const fn checkpoint(&self) -> &Checkpoint {
         &self.state
     }
 
-    /// Version in force.
+    /// Active version.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.state.version
     }
 
-    /// First offset not folded yet.
+    /// Offset of the next record to apply.
     #[must_use]
     pub const fn next(&self) -> Offset {
         self.state.next
     }
 
-    /// Document in force.
+    /// Active document.
     #[must_use]
     pub const fn document(&self) -> &Arc<Document> {
         &self.state.document
     }
 
-    /// Whether records are missing before the next one.
+    /// Whether records before the next one are missing.
     #[must_use]
     pub const fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// Verdict on an edit, while it is remembered.
+    /// Verdict on an edit, if it is still remembered.
     #[must_use]
     pub fn verdict(&self, id: &EditId) -> Option<&Verdict> {
         self.state
@@ -217,7 +218,7 @@
             .map(|d| &d.verdict)
     }
 
-    /// Folds the record at `offset`.
+    /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         if offset < self.state.next {
             return Verdict::Skipped;
@@ -225,9 +226,9 @@
         self.expire(offset);
         match record {
             Record::Checkpoint(checkpoint) => self.apply_checkpoint(offset, checkpoint),
-            // Guards against expired records: an edit accepted among them may have moved the
-            // version, so judging a later edit by the old one could accept what every full reader
-            // refused. A gapped fold judges only an edit over a head that it has seen all since.
+            // An edit among the missing records may have changed the version. Evaluating a later
+            // edit against the old version could accept what every replica without a gap rejects,
+            // so only an edit based on a head is evaluated, if all records since are known.
             Record::Edit(edit) if self.has_gap() && !self.has_all_since(edit.base) => {
                 self.state.next = offset.next();
                 self.unjudged_end = offset.next();
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Passes over the record at `offset`, which is not one of ours.
+    /// Skips the record at `offset`, which cannot be decoded.
     pub fn skip(&mut self, offset: Offset) -> Verdict {
         if offset >= self.state.next {
             self.expire(offset);
@@ -249,7 +250,7 @@
         Verdict::Skipped
     }
 
-    /// Notes that all records before `first` have expired.
+    /// Records that all records before `first` have expired.
     pub fn expire(&mut self, first: Offset) {
         if first > self.state.next {
             self.gap = Some(first);
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Accepted edits that led past `base`, oldest first, as far as they are remembered.
+    /// Edits accepted after version `base`, oldest first, as far as they are remembered.
     #[must_use]
     pub fn accepted_since(&self, base: Version) -> Vec<Accepted> {
         let since = |decision: &Decision| match decision.verdict {
@@ -271,11 +272,11 @@
         self.state.recent.iter().filter_map(since).collect()
     }
 
-    /// Takes over a version that a peer has in force; `false` when it is not newer.
+    /// Adopts a version that is active at a peer; returns `false` if it is not newer.
     ///
-    /// `accepted` are the edits that led to it. Without them a publisher whose edit arrives here
-    /// by a peer, before the log is read, would not find it again, publish it once more, and be
-    /// told that somebody else had won.
+    /// `accepted` are the edits that led to it. Without them, a publisher whose edit arrives through
+    /// a peer before the log is read would not find its own edit, publish it again, and be told that
+    /// another edit had won.
     pub fn adopt(
         &mut self,
         version: Version,
@@ -294,7 +295,7 @@
         self.state.version = version;
         self.state.document = document;
         match self.gap {
-            // The records after the version are still there: fold them again, ungapped.
+            // The records after the version are still retained: apply them again, now without a gap.
             Some(first) if version.end() >= first => {
                 self.state.next = version.end();
                 self.gap = None;
@@ -310,9 +311,9 @@
         let Some(first) = self.gap else {
             return Verdict::Skipped;
         };
-        // Guards against a paused writer's stale checkpoint: the edits after its state may have
-        // expired, or it may lead back. Only a checkpoint whose following records are all still
-        // there is taken, and those are folded again, also the ones before its own offset.
+        // A writer that was paused may append a stale checkpoint: edits after its state may have
+        // expired, or its version may be older. A checkpoint is used only if all records after its
+        // state are retained; they are applied again, including those before its own offset.
         if checkpoint.next < first || checkpoint.version < self.state.version {
             return Verdict::Skipped;
         }
@@ -322,8 +323,8 @@
     }
 
     fn evaluate(&mut self, offset: Offset, edit: &Edit) -> Verdict {
-        // Guards against a repeated append: a publisher whose answer was lost appends the edit
-        // again. The second record must be a no-op and give the first one's verdict.
+        // A publisher that lost the response to its append appends the edit again. The second record
+        // must change nothing and have the first one's verdict.
         if let Some(known) = self.verdict(&edit.id) {
             return known.clone();
         }
@@ -356,15 +357,15 @@
         matches!(base, Base::Head(head) if head >= self.unjudged_end)
     }
 
-    /// The document that the edit puts in force, or why it does not.
+    /// The new document if the edit is accepted, otherwise the verdict.
     fn decide(&self, offset: Offset, edit: &Edit) -> Result<Document, Verdict> {
-        // Either way an accepted edit makes the condition false for its own repetition, so that
-        // a fold which has forgotten its identifier, or never saw it, refuses it all the same.
-        let fits = match edit.base {
+        // Accepting an edit makes this condition false for a repetition of it, so a replica that no
+        // longer remembers its identifier, or never saw it, rejects the repetition as well.
+        let is_current = match edit.base {
             Base::Version(base) => base == self.state.version,
             Base::Head(head) => self.state.version.end() <= head && head <= offset,
         };
-        if !fits {
+        if !is_current {
             return Err(Verdict::Conflict {
                 current: self.state.version,
             });
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -1,7 +1,7 @@
-//! The configuration controller: the fold, what is in force, and content for peers.
+//! The configuration controller: the replica, the active version, and updates for peers.
 //!
-//! Everything that may change the configuration goes through [`Store`], which keeps the fold, puts
-//! each newer version on the board as one swap, and encodes content for peers once.
+//! Every change of the configuration goes through [`Store`], which holds the replica, installs each
+//! newer version on the board in one swap, and encodes updates for peers once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -24,20 +24,21 @@
 use crate::units::{EditId, Offset, Version};
 use crate::wire;
 
-/// Earlier versions that deltas can start from; whoever is further behind takes the whole document.
+/// Versions that deltas can start from, the active one included; peers that are further behind get the
+/// whole document.
 ///
-/// A document of some hundred routes takes about half a megabyte of memory.
+/// A document with some hundred routes takes about half a megabyte of memory.
 const MAX_HISTORY: usize = 4;
 
-/// How a version reaches a daemon.
+/// How a version reached this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Channel {
-    /// Read from the log or the platform.
+    /// Read from the log or the control plane.
     Read,
-    /// Sent by a peer.
+    /// Pushed by a peer.
     Push,
-    /// Fetched from a peer.
+    /// Pulled from a peer.
     Pull,
 }
 
@@ -51,9 +52,9 @@
 #[derive(Debug)]
 struct State {
     replica: Replica,
-    /// Documents that were in force, oldest first, the current one last.
+    /// Recently active documents, oldest first, the active one last.
     history: Vec<HistoryEntry>,
-    /// Encoded updates to the current version, by the version they start from.
+    /// Encoded updates to the active version, one for each base version requested so far.
     encoded: Vec<CachedUpdate>,
     checkpoint_seen: Instant,
 }
@@ -71,17 +72,17 @@
     whole: bool,
 }
 
-/// Content for a peer, encoded.
+/// An encoded update for a peer.
 #[derive(Debug, Clone)]
 pub struct EncodedUpdate {
     /// A [`Reply::Update`].
     pub reply: Bytes,
-    /// Whether it is a whole document.
+    /// Whether it contains the whole document.
     pub whole: bool,
 }
 
 impl Store {
-    /// A store that holds nothing.
+    /// An empty store.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let state = State {
@@ -96,13 +97,13 @@
         }
     }
 
-    /// First offset not folded yet.
+    /// Offset of the next record to apply.
     #[must_use]
     pub fn next(&self) -> Offset {
         self.state().replica.next()
     }
 
-    /// The state to write to the log; `None` while records are missing or there is nothing.
+    /// The state to write to the log; `None` while records are missing or no version is active.
     #[must_use]
     pub fn checkpoint(&self) -> Option<Checkpoint> {
         let state = self.state();
@@ -122,19 +123,19 @@
         self.state().checkpoint_seen.elapsed()
     }
 
-    /// Verdict on an edit, while it is remembered.
+    /// Verdict on an edit, if it is still remembered.
     #[must_use]
     pub fn verdict(&self, id: &EditId) -> Option<Verdict> {
         self.state().replica.verdict(id).cloned()
     }
 
-    /// The edit for a proposal, in the fewest bytes.
+    /// The edit for a proposal: a delta where possible, otherwise the whole document.
     #[must_use]
     pub fn build_edit(&self, proposal: Proposal) -> Edit {
         let state = self.state();
         let Proposal { id, base, document } = proposal;
         let document = document.sorted();
-        // Every fold that could accept the edit holds its base, so the changes are enough.
+        // Every replica that could accept the edit holds its base, so the delta is enough.
         let known = base == Base::Version(state.replica.version());
         let content = if known && self.board.settings.delivery == Delivery::Delta {
             Content::Delta(Delta::between(state.replica.document(), &document))
@@ -144,15 +145,15 @@
         Edit { id, base, content }
     }
 
-    /// Notes that all records before `first` have expired.
+    /// Records that all records before `first` have expired.
     pub fn expire(&self, first: Offset) {
         self.state().replica.expire(first);
     }
 
-    /// Folds records of the log that were read from offset `from` on.
+    /// Applies records of the log that were read from offset `from` on.
     pub fn apply_records(&self, from: Offset, records: &[Stored]) {
         let mut state = self.state();
-        // Guards against a page that was asked for before a checkpoint took the fold back: it
+        // The page may have been requested before a checkpoint moved the replica back. Applying it
         // would look as if the records in between had expired.
         if from > state.replica.next() {
             return;
@@ -166,8 +167,8 @@
                 Verdict::Restored => {
                     info!(self.board.logger, "restored from checkpoint";
                         "version" => state.replica.version().0, "next" => state.replica.next().0);
-                    // Folding goes on from the checkpoint's own place; what follows in this page
-                    // is read again from there.
+                    // The next read starts at the checkpoint's `next`, so the rest of this page is
+                    // read again.
                     break;
                 }
                 _ => {}
@@ -176,13 +177,13 @@
         self.activate(&mut state, Channel::Read);
     }
 
-    /// Takes an update that came by a way.
+    /// Applies an update that arrived through `channel`, unless it is not newer than the active version.
     ///
     /// # Errors
     ///
-    /// [`Error::Delta`] when it starts from a version that is not in force here, or does not lead
-    /// to what it promises; [`Error::Faults`] when its document contradicts itself.
-    pub fn accept(&self, update: Update, way: Channel) -> Result<Digest> {
+    /// [`Error::Delta`] when its base is not the active version, or the result has another hash than
+    /// stated; [`Error::Faults`] when its document is invalid.
+    pub fn accept(&self, update: Update, channel: Channel) -> Result<Digest> {
         let mut state = self.state();
         let Update {
             version,
@@ -199,21 +200,21 @@
             Body::Delta { .. } => return Err(Error::Delta),
             Body::Whole(document) => document,
         };
-        // Guards against a peer that sends a document no fold accepted: every daemon checks the
-        // whole of it again, and holds on to what it has when a fault turns up.
+        // A peer may send a document that no replica accepted. Every daemon therefore validates the
+        // whole document again, and keeps its active version if there are faults.
         let faults = check::document(&document);
         if !faults.is_empty() {
-            warn!(self.board.logger, "refused a faulty document"; "way" => %way,
+            warn!(self.board.logger, "rejected an invalid document"; "way" => %channel,
                 "version" => version.0, "keeps" => state.replica.version().0, "faults" => faults.len(),
                 "first" => faults.first().map(ToString::to_string));
             return Err(Error::Faults { faults });
         }
         state.replica.adopt(version, Arc::new(document), accepted);
-        self.activate(&mut state, way);
+        self.activate(&mut state, channel);
         Ok(self.board.digest())
     }
 
-    /// Content that leads a peer from `have` to what is in force.
+    /// The update that leads a peer from version `have` to the active one.
     #[must_use]
     pub fn encoded_update(&self, have: Version) -> EncodedUpdate {
         let mut state = self.state();
@@ -234,7 +235,7 @@
         EncodedUpdate { reply, whole }
     }
 
-    /// The version in force before the current one: what peers most likely hold.
+    /// The version before the active one, which most peers are likely to hold.
     #[must_use]
     pub fn previous_version(&self) -> Version {
         let state = self.state();
@@ -242,7 +243,7 @@
         index.map_or(Version(0), |index| state.history[index].version)
     }
 
-    fn activate(&self, state: &mut State, way: Channel) {
+    fn activate(&self, state: &mut State, channel: Channel) {
         let version = state.replica.version();
         if version <= self.board.digest().version {
             return;
@@ -257,8 +258,8 @@
             state.history.remove(0);
         }
         if self.board.install(Snapshot::compile(version, document)) {
-            info!(self.board.logger, "configuration in force"; "version" => version.0,
-                "way" => %way);
+            info!(self.board.logger, "configuration active"; "version" => version.0,
+                "way" => %channel);
         }
     }
 
@@ -276,8 +277,7 @@
                 }
                 self.replica.apply(stored.offset, &record)
             }
-            // Something foreign on the stream: it takes an offset and changes nothing, in every
-            // fold alike.
+            // A foreign record takes up an offset but changes nothing, in every replica alike.
             Err(_) => self.replica.skip(stored.offset),
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One small daemon runs beside each target. Operators publish a [`document`](configuration::document) of routes, upstream
 //! groups and retry rules to an append-only [`log`](configuration::log); the
-//! [`fold`](configuration::fold) of the log decides, alike on every daemon, which edits are accepted. A few
+//! [`replica`](configuration::replica) of the log decides, alike on every daemon, which edits are accepted. A few
 //! daemons of each data centre read the log and relay versions to the others as
 //! [`delta`](configuration::delta)s. Daemons find each other by the [`membership`] protocol, a
 //! [`view`](membership::view) of [`member`](membership::member)s, without a list.
