--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -123,7 +123,7 @@
             if next >= end {
                 // All records up to the edit have been applied. After a confirmed append there is no
                 // verdict only if earlier records are missing.
-                return if self.store.gapped() {
+                return if self.store.has_gap() {
                     Err(Error::Gapped { first: next })
                 } else {
                     Ok(None)
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -113,7 +113,7 @@
 
     /// Whether records are missing.
     #[must_use]
-    pub fn gapped(&self) -> bool {
+    pub fn has_gap(&self) -> bool {
         self.state().replica.has_gap()
     }
 
