--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -1,8 +1,8 @@
-//! Carries out the stronger guard of idempotency keys: a claim on the log before the run.
+//! The stronger guard of idempotency keys: a claim on the log before a request runs.
 //!
-//! Claims of one gate are gathered while an append is under way and go out as one record, so the
-//! log sees a few appends a second for each gate however many claims there are. With the log away
-//! a claim fails at once, and the request has not run.
+//! Claims of one sidecar that arrive during an append are written together as one record, so the log
+//! gets a few appends a second from each sidecar however many claims there are. While the log is
+//! unavailable claims fail, and their requests do not run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,14 +20,14 @@
 use crate::idempotency::ledger::{Batch, Claim, Entry, Ledger};
 use crate::units::{IdempotencyKey, Millis, Offset, Service};
 
-/// Allowance for clocks that differ between hosts, in milliseconds.
+/// Allowed clock difference between hosts, in milliseconds.
 const MAX_CLOCK_SKEW_MS: u64 = 30_000;
-/// Pause after the log failed; claims that come meanwhile fail when it ends.
+/// Pause after the log failed; claims that arrive meanwhile wait for its end.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Entries in one record.
+/// Most entries in one record.
 const MAX_BATCH_ENTRIES: usize = 256;
 
-/// Claims of one service at one gate.
+/// Claims of one service at one sidecar.
 #[derive(Debug)]
 pub struct Claims {
     board: Arc<Board>,
@@ -35,7 +35,7 @@
     stream: Stream,
     holder: Holder,
     next_number: AtomicU64,
-    /// Held only to move entries in and out.
+    /// Locked only to move entries in and out.
     pending: Mutex<Vec<PendingEntry>>,
     enqueued: Notify,
 }
@@ -47,7 +47,7 @@
 }
 
 impl Claims {
-    /// Claims of `service`, made as `holder`, and the task that writes them.
+    /// Starts the task that writes claims of `service` on behalf of `holder`.
     #[must_use]
     pub fn start(board: Arc<Board>, log: Log, service: Service, holder: Holder) -> Arc<Self> {
         let claims = Arc::new(Self {
@@ -64,11 +64,11 @@
         claims
     }
 
-    /// Claims a key; it may run once this has returned the claim.
+    /// Claims a key, which may run once the claim is returned.
     ///
     /// # Errors
     ///
-    /// [`Reason::LogAway`] when the log did not take the claim: the key may not run;
+    /// [`Reason::LogAway`] when the claim was not confirmed by the log: the key must not run;
     /// [`Reason::KeyInDoubt`] when another claim came first.
     pub async fn claim(&self, key: &IdempotencyKey) -> Result<Claim, Reason> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -77,21 +77,21 @@
             holder: self.holder,
             number,
         };
-        let (told, verdict) = oneshot::channel();
-        self.enqueue(Entry::Claim(claim.clone()), Some(told));
+        let (reply, verdict) = oneshot::channel();
+        self.enqueue(Entry::Claim(claim.clone()), Some(reply));
         verdict
             .await
             .unwrap_or(Err(Reason::LogAway))
             .map(|()| claim)
     }
 
-    /// Gives a claim back whose key has provably not run.
+    /// Releases a claim whose key has provably not run.
     pub fn release(&self, claim: Claim) {
         self.enqueue(Entry::Release(claim), None);
     }
 
-    fn enqueue(&self, entry: Entry, told: Option<oneshot::Sender<Result<(), Reason>>>) {
-        self.pending().push(PendingEntry { entry, reply: told });
+    fn enqueue(&self, entry: Entry, reply: Option<oneshot::Sender<Result<(), Reason>>>) {
+        self.pending().push(PendingEntry { entry, reply });
         self.enqueued.notify_one();
     }
 
@@ -108,28 +108,28 @@
     }
 
     fn take_batch(&self) -> Vec<PendingEntry> {
-        let mut waiting = self.pending();
-        let count = waiting.len().min(MAX_BATCH_ENTRIES);
-        waiting.drain(..count).collect()
+        let mut pending = self.pending();
+        let count = pending.len().min(MAX_BATCH_ENTRIES);
+        pending.drain(..count).collect()
     }
 
-    /// Writes a batch as one record, and tells each claim what became of it.
+    /// Writes a batch as one record, and replies to each claim with its verdict.
     async fn flush(&self, ledger: &mut Option<Ledger>, mut batch: Vec<PendingEntry>) -> Result<()> {
         let written = self.write(ledger, &batch).await;
         if let Err(error) = &written {
-            debug!(self.board.logger, "claims failed"; "error" => %error, "count" => batch.len());
+            debug!(self.board.logger, "writing claims failed"; "error" => %error, "count" => batch.len());
         }
-        for waiting in &mut batch {
-            let Some(told) = waiting.reply.take() else {
+        for pending in &mut batch {
+            let Some(reply) = pending.reply.take() else {
                 continue;
             };
-            let verdict = match (&written, &waiting.entry, ledger.as_ref()) {
+            let verdict = match (&written, &pending.entry, ledger.as_ref()) {
                 (Ok(()), Entry::Claim(claim), Some(ledger)) => verdict(ledger, claim),
                 _ => Err(Reason::LogAway),
             };
-            // Guards against a claim whose request gave up while it was written: its key will
-            // not run, and repeats would be in doubt until it is forgotten.
-            if let (Err(Ok(())), Entry::Claim(claim)) = (told.send(verdict), &waiting.entry) {
+            // The request may have given up while its claim was written. Its key will not run, and
+            // without a release repeats would be in doubt until the claim is forgotten.
+            if let (Err(Ok(())), Entry::Claim(claim)) = (reply.send(verdict), &pending.entry) {
                 self.release(claim.clone());
             }
         }
@@ -139,7 +139,7 @@
         written
     }
 
-    /// Appends a batch and folds the log up to it.
+    /// Appends a batch and applies the log up to it.
     async fn write(&self, ledger: &mut Option<Ledger>, batch: &[PendingEntry]) -> Result<()> {
         if ledger.is_none() {
             *ledger = Some(self.load_ledger().await?);
@@ -147,7 +147,7 @@
         let Some(ledger) = ledger.as_mut() else {
             return Ok(());
         };
-        let entries = batch.iter().map(|waiting| waiting.entry.clone()).collect();
+        let entries = batch.iter().map(|pending| pending.entry.clone()).collect();
         let record = Batch {
             at_ms: clock::unix_ms(),
             entries,
@@ -160,24 +160,24 @@
         Ok(())
     }
 
-    /// Gives back, once the log answers, what may have been claimed without an answer.
+    /// Enqueues releases for a batch whose append was not confirmed.
     ///
-    /// Guards against a claim whose append took effect though its answer was lost: nobody runs
-    /// its key, and repeats would be in doubt until it is forgotten.
+    /// The append may have taken effect although its response was lost. The keys do not run, and without
+    /// a release repeats would be in doubt until the claims are forgotten.
     fn release_unconfirmed(&self, batch: Vec<PendingEntry>) {
-        let mut waiting = self.pending();
-        for lost in batch {
-            let (Entry::Claim(claim) | Entry::Release(claim)) = lost.entry;
-            waiting.push(PendingEntry {
+        let mut pending = self.pending();
+        for unconfirmed in batch {
+            let (Entry::Claim(claim) | Entry::Release(claim)) = unconfirmed.entry;
+            pending.push(PendingEntry {
                 entry: Entry::Release(claim),
                 reply: None,
             });
         }
-        // Kept bounded during a long outage; what is dropped stays in doubt, which is safe.
-        let excess = waiting.len().saturating_sub(MAX_BATCH_ENTRIES * 4);
+        // Bounds the queue during a long outage; the keys of dropped entries stay in doubt, which is safe.
+        let excess = pending.len().saturating_sub(MAX_BATCH_ENTRIES * 4);
         if excess > 0 {
-            warn!(self.board.logger, "claims stay in doubt"; "count" => excess);
-            waiting.drain(..excess);
+            warn!(self.board.logger, "queued claims dropped, their keys stay in doubt"; "count" => excess);
+            pending.drain(..excess);
         }
     }
 
@@ -195,13 +195,13 @@
         Ok(())
     }
 
-    /// A ledger over every claim that is still remembered.
+    /// Reads a ledger of all claims that are still remembered.
     async fn load_ledger(&self) -> Result<Ledger> {
         let bounds = self.log.bounds(self.stream.clone()).await?;
         let horizon = self.horizon();
         let start = self.first_since(&bounds, horizon).await?;
-        // Guards against a log that forgets claims sooner than keys are remembered: a claim that
-        // has expired there may have run.
+        // If the log's retention is shorter than the time for which keys are remembered, the key of an
+        // expired claim may have run.
         if bounds.first > Offset(0) && start == bounds.first {
             return Err(Error::Expired {
                 first: bounds.first,
@@ -214,7 +214,8 @@
         Ok(ledger)
     }
 
-    /// First offset whose record was written at `horizon` or later, by binary search.
+    /// First offset whose record was written at or after `horizon`, in milliseconds since 1970, by binary
+    /// search.
     async fn first_since(&self, bounds: &Page, horizon: u64) -> Result<Offset> {
         let (mut low, mut high) = (bounds.first.0, bounds.head.0);
         while low < high {
--- a/src/idempotency/deduplicator.rs
+++ b/src/idempotency/deduplicator.rs
@@ -1,4 +1,5 @@
-//! Carries out the guards of idempotency keys at a gate.
+//! Enforces the guards of idempotency keys at a sidecar: each key runs at most once while it is
+//! remembered.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,14 +27,14 @@
 use crate::peer::Links;
 use crate::units::{IdempotencyKey, Millis, Service};
 
-/// Path of a [`Intent`].
+/// Path of an [`Intent`].
 pub const INTENT_PATH: &str = "/control/note";
 /// Path of a [`Handoff`].
 pub const HANDOFF_PATH: &str = "/control/legacy";
-/// Keys in one [`Handoff`].
+/// Most keys in one [`Handoff`].
 const KEYS_PER_HANDOFF: usize = 1_000;
 
-/// The keys of one gate.
+/// The idempotency keys of one sidecar.
 #[derive(Debug)]
 pub struct Deduplicator {
     board: Arc<Board>,
@@ -42,28 +43,28 @@
     memory: Mutex<Memory>,
     /// Sorted by service.
     claims: Mutex<Vec<(Service, Arc<Claims>)>>,
-    /// Told whenever a run ends.
+    /// Number of completed runs; changes whenever a run ends.
     run_ended: watch::Sender<u64>,
     started_at: Instant,
     run_id: u64,
     predecessor_lost: AtomicBool,
-    /// Set once the memory has been handed over.
+    /// Set when the hand-off of the keys begins.
     handed_off: AtomicBool,
-    /// Service of the keys.
+    /// Service of the keys; `None` before the first request with a key.
     service: Mutex<Option<Service>>,
     handoffs: ReceivedHandoffs,
 }
 
 impl Deduplicator {
-    /// An empty memory.
+    /// A deduplicator that remembers no keys yet.
     #[must_use]
     pub fn new(board: Arc<Board>, links: Arc<Links>, log: Log) -> Self {
-        let span = board.settings.key_memory_ms.duration();
+        let retention = board.settings.key_memory_ms.duration();
         Self {
             board,
             links,
             log,
-            memory: Mutex::new(Memory::new(span)),
+            memory: Mutex::new(Memory::new(retention)),
             claims: Mutex::default(),
             run_ended: watch::Sender::new(0),
             started_at: Instant::now(),
@@ -75,42 +76,42 @@
         }
     }
 
-    /// Notes whether an earlier daemon at this address was lost with its keys.
+    /// Sets whether an earlier daemon at this address was lost with its keys.
     pub fn set_predecessor_lost(&self, lost: bool) {
         self.predecessor_lost.store(lost, Ordering::Release);
     }
 
-    /// Keys that are remembered.
+    /// Number of remembered keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.memory().len()
     }
 
-    /// Answers another gate that is about to run a key; nothing once this one has handed over.
+    /// Records another sidecar's intent to run a key; `None` once this one hands off its keys.
     #[must_use]
-    pub fn record_intent(&self, note: &Intent) -> Option<IntentAck> {
+    pub fn record_intent(&self, intent: &Intent) -> Option<IntentAck> {
         if self.handed_off.load(Ordering::Acquire) {
             return None;
         }
-        // A gate that notes keys serves again.
-        self.handoffs.remove(note.holder.sidecar);
-        let known = self
+        // A sidecar that sends intents serves again.
+        self.handoffs.remove(intent.holder.sidecar);
+        let may_have_run = self
             .memory()
-            .record_intent(Instant::now(), &note.key, note.holder);
-        let lived = self.predecessor_lost.load(Ordering::Acquire);
+            .record_intent(Instant::now(), &intent.key, intent.holder);
+        let predecessor_lost = self.predecessor_lost.load(Ordering::Acquire);
         let age = Millis::from(self.started_at.elapsed());
         Some(IntentAck {
-            may_have_run: known,
+            may_have_run,
             age,
-            predecessor_lost: lived,
+            predecessor_lost,
         })
     }
 
-    /// Runs a request unless its key has run, or may have.
+    /// Runs a request unless its key has run or may have run; a repeat gets the stored response.
     ///
     /// # Errors
     ///
-    /// Why there is no answer.
+    /// The reason why there is no response.
     pub async fn run_once(
         self: &Arc<Self>,
         key: IdempotencyKey,
@@ -123,7 +124,7 @@
             let mut ended = self.run_ended.subscribe();
             match self.begin(&key)? {
                 Admission::Run => break,
-                Admission::Replay(answer) => return Ok(replay_response(&answer)),
+                Admission::Replay(stored) => return Ok(replay_response(&stored)),
                 Admission::Wait => {
                     let waiting =
                         tokio::time::timeout_at(received.deadline().into(), ended.changed());
@@ -133,7 +134,7 @@
                 }
             }
         }
-        // The run goes on when its caller leaves, so that a repeat meets its outcome.
+        // The run continues when its caller disconnects, so that a repeat gets its outcome.
         let run = Run {
             keys: Arc::clone(self),
             key: key.clone(),
@@ -167,13 +168,13 @@
         work: &Work,
     ) -> Result<Response<Body>, Reason> {
         let claims = self.claims(received.service());
-        let patience = received
+        let timeout = received
             .deadline()
             .saturating_duration_since(Instant::now());
-        // A claim without an answer in time may still be written; it is given back then, since
-        // its key has not run.
+        // A claim that is not confirmed in time may still be written; it is released then, since its
+        // key has not run.
         let claiming = claims.claim(key);
-        let claim = tokio::time::timeout(patience, claiming).await;
+        let claim = tokio::time::timeout(timeout, claiming).await;
         let claim = claim.unwrap_or(Err(Reason::LogAway))?;
         let result = work.run(received).await;
         if let Err(reason) = &result
@@ -184,7 +185,7 @@
         result
     }
 
-    /// The claims of a service, begun when first needed.
+    /// The claims of a service, started on first use.
     fn claims(&self, service: &Service) -> Arc<Claims> {
         let mut claims = self.claims.lock().unwrap_or_else(PoisonError::into_inner);
         match claims.binary_search_by(|(known, _)| known.cmp(service)) {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// This gate in its present life.
+    /// This sidecar in the current daemon process.
     fn holder(&self) -> Holder {
         Holder {
             sidecar: self.board.settings.identity(),
@@ -215,11 +216,11 @@
                 Ok(Admission::Run)
             }
             Some(State::Running) => Ok(Admission::Wait),
-            Some(State::Done(answer)) => Ok(Admission::Replay(Arc::clone(answer))),
+            Some(State::Done(stored)) => Ok(Admission::Replay(Arc::clone(stored))),
             Some(State::InDoubt) => Err(Reason::KeyInDoubt),
             Some(State::Intent(holder)) => {
-                let there = self.board.roster().member(holder.sidecar).is_some();
-                Err(if there {
+                let is_member = self.board.roster().member(holder.sidecar).is_some();
+                Err(if is_member {
                     Reason::Moved
                 } else {
                     Reason::KeyInDoubt
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Makes sure that nobody else ran the key, and that this run will be known.
+    /// Ensures that no other sidecar has run the key, and that the intent to run it is recorded.
     async fn ensure_first_run(
         &self,
         received: &Received,
@@ -240,21 +241,21 @@
             age: self.started_at.elapsed(),
             predecessor_lost: self.predecessor_lost.load(Ordering::Acquire),
         };
-        let span = self.board.settings.key_memory_ms.duration();
+        let retention = self.board.settings.key_memory_ms.duration();
         let peers = self.peers(service, leaving);
-        let note = Intent {
+        let intent = Intent {
             key: key.clone(),
             holder: self.holder(),
         };
-        match ownership(key, own, &peers, span) {
+        match ownership(key, own, &peers, retention) {
             Ownership::Moved => Err(Reason::Moved),
             Ownership::InDoubt => Err(Reason::KeyInDoubt),
             Ownership::Isolated => Err(Reason::NoWitness),
             Ownership::Run(witnesses) if witnesses.is_empty() => Ok(()),
-            Ownership::Run(witnesses) => self.send_intent_to_any(&witnesses, &note).await,
+            Ownership::Run(witnesses) => self.send_intent_to_any(&witnesses, &intent).await,
             Ownership::Query { survivors, losses } => {
-                let answers = self.send_intent_to_all(&survivors, &note).await?;
-                let first = proves_first_run(own, losses, &answers, span);
+                let replies = self.send_intent_to_all(&survivors, &intent).await?;
+                let first = proves_first_run(own, losses, &replies, retention);
                 if first {
                     Ok(())
                 } else {
@@ -267,15 +268,15 @@
     async fn send_intent_to_any(
         &self,
         witnesses: &[SocketAddr],
-        note: &Intent,
+        intent: &Intent,
     ) -> Result<(), Reason> {
         for witness in witnesses {
             match self
                 .links
-                .send::<_, IntentAck>(*witness, INTENT_PATH, note)
+                .send::<_, IntentAck>(*witness, INTENT_PATH, intent)
                 .await
             {
-                Ok(noted) if noted.may_have_run => return Err(Reason::KeyInDoubt),
+                Ok(reply) if reply.may_have_run => return Err(Reason::KeyInDoubt),
                 Ok(_) => return Ok(()),
                 Err(_) => {}
             }
@@ -286,31 +287,34 @@
     async fn send_intent_to_all(
         &self,
         survivors: &[SocketAddr],
-        note: &Intent,
+        intent: &Intent,
     ) -> Result<Vec<IntentAck>, Reason> {
-        let asking = survivors.iter().map(|peer| async move {
+        let requests = survivors.iter().map(|peer| async move {
             (
                 *peer,
                 self.links
-                    .send::<_, IntentAck>(*peer, INTENT_PATH, note)
+                    .send::<_, IntentAck>(*peer, INTENT_PATH, intent)
                     .await,
             )
         });
-        let mut answers = Vec::new();
-        for (peer, answer) in join_all(asking).await {
-            match answer {
-                Ok(noted) => answers.push(noted),
-                // It has handed over what it knew, and this gate remembers it.
+        let mut replies = Vec::new();
+        for (peer, reply) in join_all(requests).await {
+            match reply {
+                Ok(reply) => replies.push(reply),
+                // It has handed off its keys, and this sidecar remembers them.
                 Err(_) if self.handoffs.contains(peer) => {}
                 Err(_) => return Err(Reason::KeyInDoubt),
             }
         }
-        Ok(answers)
+        Ok(replies)
     }
 
-    /// Hands everything remembered to the other gates of the service; whether all took it.
+    /// Hands off all remembered keys to the serving sidecars of the service.
     ///
-    /// From now on no note is taken: it would be lost with this gate.
+    /// Returns whether all of them accepted; `true` as well if there are no keys, `false` if there are keys but
+    /// no such sidecar.
+    ///
+    /// From now on no intent is recorded here, since it would be lost with this sidecar.
     pub async fn hand_off(&self) -> bool {
         self.handed_off.store(true, Ordering::Release);
         let keys = self.memory().export(Instant::now(), self.holder());
@@ -323,42 +327,47 @@
             return true;
         };
         let peers = self.peers(&service, &[]);
-        let stay = peers
+        let serving = peers
             .iter()
             .filter(|peer| peer.liveness == Liveness::Serving);
-        let stay: Vec<SocketAddr> = stay.map(|peer| peer.address).collect();
+        let receivers: Vec<SocketAddr> = serving.map(|peer| peer.address).collect();
         for part in keys.chunks(KEYS_PER_HANDOFF) {
-            if !self.send_handoff(&stay, part, false).await {
+            if !self.send_handoff(&receivers, part, false).await {
                 return false;
             }
         }
-        !stay.is_empty() && self.send_handoff(&stay, &[], true).await
+        !receivers.is_empty() && self.send_handoff(&receivers, &[], true).await
     }
 
-    async fn send_handoff(&self, stay: &[SocketAddr], keys: &[HandoffKey], complete: bool) -> bool {
-        let legacy = Handoff {
+    async fn send_handoff(
+        &self,
+        receivers: &[SocketAddr],
+        keys: &[HandoffKey],
+        complete: bool,
+    ) -> bool {
+        let handoff = Handoff {
             from: self.holder(),
             keys: keys.to_vec(),
             complete,
         };
-        let sending = stay.iter().map(|peer| {
+        let requests = receivers.iter().map(|peer| {
             self.links
-                .send::<_, HandoffAck>(*peer, HANDOFF_PATH, &legacy)
+                .send::<_, HandoffAck>(*peer, HANDOFF_PATH, &handoff)
         });
-        join_all(sending).await.iter().all(crate::Result::is_ok)
+        join_all(requests).await.iter().all(crate::Result::is_ok)
     }
 
-    /// Takes what a leaving gate remembered.
+    /// Accepts keys of a leaving sidecar.
     #[must_use]
-    pub fn accept_handoff(&self, legacy: &Handoff) -> HandoffAck {
+    pub fn accept_handoff(&self, handoff: &Handoff) -> HandoffAck {
         let now = Instant::now();
         let mut memory = self.memory();
-        for handed in &legacy.keys {
+        for handed in &handoff.keys {
             memory.record_intent(now, &handed.key, handed.holder);
         }
         drop(memory);
-        if legacy.complete {
-            self.handoffs.add(legacy.from.sidecar);
+        if handoff.complete {
+            self.handoffs.add(handoff.from.sidecar);
         }
         HandoffAck
     }
@@ -373,14 +382,14 @@
     }
 }
 
-/// What becomes of a request with a key.
+/// How a request with a key proceeds.
 enum Admission {
     Run,
     Wait,
     Replay(Arc<StoredResponse>),
 }
 
-/// A run of a key; it is in doubt when dropped before its end.
+/// A run of a key, which is in doubt if this is dropped before the run is settled.
 struct Run {
     keys: Arc<Deduplicator>,
     key: IdempotencyKey,
--- a/src/idempotency/keys.rs
+++ b/src/idempotency/keys.rs
@@ -1,11 +1,11 @@
-//! Idempotency keys: who may run one, and what became of it.
+//! Idempotency keys: which sidecar may run one, and what became of it.
 //!
-//! A key belongs to the first gate of its service in rendezvous order. That gate, the holder,
-//! has another gate note the key before it runs it, and remembers the outcome for a while. When
-//! the holder is lost, its notes are with a survivor; whoever follows asks all survivors. A gate
-//! that cannot prove that nobody else ran the key does not run it.
+//! A key belongs to the sidecar of its service that ranks highest for it by rendezvous hashing. That
+//! sidecar, the holder, records its intent to run the key at another sidecar, the witness, runs it, and
+//! remembers the outcome for a while. If the holder is lost, its successor asks all surviving sidecars
+//! for intents. A sidecar that cannot prove that no other one ran the key does not run it.
 //!
-//! [`Memory`] and [`ownership`] are pure; the gate carries them out.
+//! [`Memory`] and [`ownership`] do no I/O; the deduplicator carries out their decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 
 use crate::units::{IdempotencyKey, Millis};
 
-/// Losses among the gates of a service that its notes survive.
+/// Lost sidecars of a service that the recorded intents survive.
 const MAX_TOLERATED_LOSSES: usize = 1;
 
-/// An answer that can be given again.
+/// A response that can be replayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredResponse {
     /// Status.
@@ -32,71 +32,71 @@
     pub body: Bytes,
 }
 
-/// A gate in one of its lives: a restarted daemon is another holder at the same address.
+/// A sidecar in one daemon process: a restarted daemon is another holder at the same address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// Its address.
+    /// Address of the daemon.
     #[serde(rename = "gate")]
     pub sidecar: SocketAddr,
-    /// Number drawn when its daemon started.
+    /// Random identifier of the daemon process, drawn at its start.
     #[serde(rename = "life")]
     pub run_id: u64,
 }
 
-/// What is remembered of a key.
+/// What a sidecar remembers about a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum State {
-    /// It runs here now, or is about to.
+    /// The key is running here, or about to.
     Running,
-    /// It ran here, with this answer.
+    /// The key ran here, with this response.
     Done(Arc<StoredResponse>),
-    /// It may have run here.
+    /// The key may have run here, and there is no response to replay.
     InDoubt,
-    /// Another gate was about to run it.
+    /// Another sidecar was about to run the key.
     Intent(Holder),
 }
 
-/// A key that a leaving gate hands over.
+/// A key that a leaving sidecar hands off.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoffKey {
     /// The key.
     pub key: IdempotencyKey,
-    /// Gate that ran it, or was about to.
+    /// Sidecar that ran it, or was about to.
     pub holder: Holder,
 }
 
-/// Asks a gate to note that a key is about to run elsewhere.
+/// Asks a sidecar to record that a key is about to run elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     /// The key, with its service.
     pub key: IdempotencyKey,
-    /// Gate that wants to run it.
+    /// Sidecar that is about to run it.
     pub holder: Holder,
 }
 
-/// What a leaving gate remembers, for those who stay.
+/// Hands off keys of a leaving sidecar to those that stay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
-    /// The gate that leaves.
+    /// The leaving sidecar.
     pub from: Holder,
-    /// Its keys, or a part of them.
+    /// Some of its keys.
     pub keys: Vec<HandoffKey>,
-    /// Whether every part has been taken by all.
+    /// Whether all its keys have been accepted by all receivers.
     pub complete: bool,
 }
 
-/// Answer to a [`Handoff`].
+/// Reply to a [`Handoff`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoffAck;
 
-/// Answer to a [`Intent`].
+/// Reply to an [`Intent`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentAck {
-    /// Whether the key may have run, here or at another gate.
+    /// Whether the key may have run, here or at another sidecar.
     pub may_have_run: bool,
-    /// Time for which the answerer has remembered keys.
+    /// Time for which the replying sidecar has remembered keys.
     pub age: Millis,
-    /// Whether its address belonged to a daemon before.
+    /// Whether an earlier daemon at its address was lost with its keys.
     pub predecessor_lost: bool,
 }
 
@@ -107,7 +107,7 @@
     expires_at: Instant,
 }
 
-/// Keys that ran, or may have, in the recent past.
+/// Keys that ran, or may have run, in the recent past.
 #[derive(Debug)]
 pub struct Memory {
     retention: Duration,
@@ -117,29 +117,29 @@
 }
 
 impl Memory {
-    /// A memory that keeps each key for `span` after its last change.
+    /// An empty memory that keeps each key for `retention` after its last change.
     #[must_use]
-    pub const fn new(span: Duration) -> Self {
+    pub const fn new(retention: Duration) -> Self {
         Self {
-            retention: span,
+            retention,
             keys: Vec::new(),
             next_sweep: None,
         }
     }
 
-    /// Keys that are remembered.
+    /// Number of remembered keys.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no key is remembered.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// What is remembered of `key`.
+    /// State of `key`, if it is remembered.
     #[must_use]
     pub fn get(&self, now: Instant, key: &IdempotencyKey) -> Option<&State> {
         let index = self.find(key).ok()?;
@@ -147,7 +147,7 @@
         (found.expires_at > now || found.state == State::Running).then_some(&found.state)
     }
 
-    /// Remembers `state` for `key`, in place of anything earlier.
+    /// Sets the state of `key`, replacing an earlier one.
     pub fn insert(&mut self, now: Instant, key: &IdempotencyKey, state: State) {
         self.sweep(now);
         let until = now + self.retention;
@@ -169,17 +169,17 @@
         }
     }
 
-    /// Forgets `key`: it has provably not run.
+    /// Removes `key`, which has provably not run.
     pub fn remove(&mut self, key: &IdempotencyKey) {
         if let Ok(index) = self.find(key) {
             self.keys.remove(index);
         }
     }
 
-    /// Notes that `holder` is about to run `key`; `true` when it may have run elsewhere.
+    /// Records that `holder` is about to run `key`; returns whether the key may have run elsewhere.
     pub fn record_intent(&mut self, now: Instant, key: &IdempotencyKey, holder: Holder) -> bool {
-        // Guards against a holder that ran the key, was killed and came back at its address: to
-        // itself its note would look like its own next try. Its new life is another holder.
+        // A repeated intent of the same holder is its own next attempt. A holder that ran the key, was
+        // killed and restarted at its address has another `run_id`, so it is another holder.
         match self.get(now, key) {
             None => {}
             Some(State::Intent(other)) if *other == holder => {}
@@ -189,18 +189,18 @@
         false
     }
 
-    /// Everything remembered, for whoever follows a gate that leaves as `me`.
+    /// All remembered keys, for the successors of the leaving sidecar `me`.
     #[must_use]
     pub fn export(&self, now: Instant, me: Holder) -> Vec<HandoffKey> {
         let kept = self.keys.iter().filter(|kept| kept.expires_at > now);
-        let hand = |kept: &Entry| HandoffKey {
+        let handoff_key = |kept: &Entry| HandoffKey {
             key: kept.key.clone(),
             holder: match kept.state {
                 State::Intent(holder) => holder,
                 State::Running | State::Done(_) | State::InDoubt => me,
             },
         };
-        kept.map(hand).collect()
+        kept.map(handoff_key).collect()
     }
 
     fn find(&self, key: &IdempotencyKey) -> Result<usize, usize> {
@@ -217,71 +217,72 @@
     }
 }
 
-/// Another gate of the service, as the view has it.
+/// Another sidecar of the service, as seen by the membership view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
     /// Its address.
     pub address: SocketAddr,
-    /// Whether it is there.
+    /// Whether it is available.
     pub liveness: Liveness,
 }
 
-/// Whether a gate is there.
+/// Whether a sidecar is available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It takes no more calls, but still knows what it ran.
+    /// It accepts no more calls, but still remembers its keys.
     Leaving,
-    /// It was lost this long ago, with everything that it knew.
+    /// It was lost this long ago, with all its keys.
     Lost(Duration),
 }
 
-/// What a gate knows of itself.
+/// What a sidecar knows about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalSidecar {
     /// Its address.
     pub address: SocketAddr,
     /// Time for which it has remembered keys.
     pub age: Duration,
-    /// Whether its address belonged to a daemon before.
+    /// Whether an earlier daemon at its address was lost with its keys.
     pub predecessor_lost: bool,
 }
 
-/// What a gate may do with a key that it does not remember.
+/// What a sidecar may do with a key that it does not remember.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ownership {
-    /// Run it once one of these, in this order, has noted it; alone when there is none.
+    /// Run it once one of these witnesses, tried in this order, has recorded the intent; without a
+    /// witness if there is none.
     Run(Vec<SocketAddr>),
-    /// Have all of these note it, then run it if that is [`proves_first_run`] to be the first time.
+    /// Record the intent at all of these, then run it if [`proves_first_run`] holds for their replies.
     Query {
-        /// Gates that are there.
+        /// Sidecars that are serving or leaving.
         survivors: Vec<SocketAddr>,
-        /// Memories known to be lost.
+        /// Number of sidecars known to be lost with their keys.
         losses: usize,
     },
-    /// It belongs to another gate.
+    /// It belongs to another sidecar.
     Moved,
-    /// No gate may be left that would know.
+    /// Possibly no surviving sidecar knows whether it ran.
     InDoubt,
-    /// Others have just been lost and none is left to note it.
+    /// Others were lost recently, and none is left as a witness.
     Isolated,
 }
 
-/// Decides what a gate may do with `key`, when keys are remembered for `span`.
+/// Decides what a sidecar may do with `key` if keys are remembered for `retention`.
 #[must_use]
 pub fn ownership(
     key: &IdempotencyKey,
     own: LocalSidecar,
     peers: &[Peer],
-    span: Duration,
+    retention: Duration,
 ) -> Ownership {
-    let mine = rank(key, own.address);
-    let above = |peer: &&Peer| rank(key, peer.address) > mine;
+    let own_rank = rank(key, own.address);
+    let above = |peer: &&Peer| rank(key, peer.address) > own_rank;
     let recent = |peer: &Peer| match peer.liveness {
         Liveness::Serving => false,
         Liveness::Leaving => true,
-        Liveness::Lost(ago) => ago < span,
+        Liveness::Lost(ago) => ago < retention,
     };
     if peers
         .iter()
@@ -290,15 +291,15 @@
     {
         return Ownership::Moved;
     }
-    let lost = |peer: &&Peer| matches!(peer.liveness, Liveness::Lost(ago) if ago < span);
-    let young = own.age < span;
-    let earlier_life = usize::from(young && own.predecessor_lost);
-    let losses = peers.iter().filter(lost).count() + earlier_life;
+    let lost = |peer: &&Peer| matches!(peer.liveness, Liveness::Lost(ago) if ago < retention);
+    let young = own.age < retention;
+    let own_loss = usize::from(young && own.predecessor_lost);
+    let losses = peers.iter().filter(lost).count() + own_loss;
     let mut live: Vec<&Peer> = peers
         .iter()
         .filter(|peer| !matches!(peer.liveness, Liveness::Lost(_)))
         .collect();
-    // Those who leave are the last to be asked for a note.
+    // Leaving sidecars are the last choice as witnesses.
     live.sort_by_key(|peer| {
         let leaving = peer.liveness == Liveness::Leaving;
         (leaving, std::cmp::Reverse(rank(key, peer.address)))
@@ -306,17 +307,18 @@
     let live: Vec<SocketAddr> = live.into_iter().map(|peer| peer.address).collect();
     let inherited = young || peers.iter().filter(above).any(recent);
     if !inherited {
-        // It was this gate's for the whole span, so its own memory is proof. Running it without
-        // a note is safe only while nobody could later be missed: a cut looks like losses.
-        let alone = live.is_empty() && losses > 0;
-        return if alone {
+        // The key has belonged to this sidecar for the whole retention, so its own memory is proof.
+        // Running without a witness is safe only if no others were lost recently: a network partition
+        // looks the same as losses.
+        let isolated = live.is_empty() && losses > 0;
+        return if isolated {
             Ownership::Isolated
         } else {
             Ownership::Run(live)
         };
     }
-    // Guards against running a lost gate's key again: its note is with one other gate. With one
-    // loss that other gate is among the survivors; with two it may be the second one lost.
+    // The intent of a lost sidecar is recorded at one witness. After one loss the witness is among
+    // the survivors; after two, the witness may be the second one that was lost.
     if losses > MAX_TOLERATED_LOSSES {
         return Ownership::InDoubt;
     }
@@ -326,29 +328,29 @@
     }
 }
 
-/// Whether the answers of all survivors prove that nobody ran the key.
+/// Whether the replies of all survivors prove that no sidecar has run the key.
 #[must_use]
 pub fn proves_first_run(
     own: LocalSidecar,
     losses: usize,
-    answers: &[IntentAck],
-    span: Duration,
+    replies: &[IntentAck],
+    retention: Duration,
 ) -> bool {
-    let old = |age: Millis| age.duration() >= span;
-    // A gate that was lost and came back answers like any other, but its notes are gone.
-    let returned = answers
+    let old = |age: Millis| age.duration() >= retention;
+    // A sidecar that was lost and restarted replies like any other, but its recorded intents are lost.
+    let restarted = replies
         .iter()
-        .filter(|noted| noted.predecessor_lost && !old(noted.age))
+        .filter(|reply| reply.predecessor_lost && !old(reply.age))
         .count();
-    let losses = losses + returned;
-    // Guards against a lost gate that was alone: nobody has its note. A gate that was there all
-    // the time proves that it was not.
-    let whole = own.age >= span || answers.iter().any(|noted| old(noted.age));
-    let unknown = answers.iter().all(|noted| !noted.may_have_run);
-    unknown && losses <= MAX_TOLERATED_LOSSES && (losses == 0 || whole)
+    let losses = losses + restarted;
+    // A lost sidecar that had been the only one has no witness. A sidecar that has been there for the
+    // whole retention proves that this was not the case.
+    let covered = own.age >= retention || replies.iter().any(|reply| old(reply.age));
+    let unknown = replies.iter().all(|reply| !reply.may_have_run);
+    unknown && losses <= MAX_TOLERATED_LOSSES && (losses == 0 || covered)
 }
 
-/// Rendezvous rank of a gate for a key; the highest holds it.
+/// Rendezvous rank of a sidecar for a key, which belongs to the highest rank.
 #[must_use]
 pub fn rank(key: &IdempotencyKey, peer: SocketAddr) -> u64 {
     xxh3_64(format!("{key}@{peer}").as_bytes())
--- a/src/idempotency/ledger.rs
+++ b/src/idempotency/ledger.rs
@@ -1,4 +1,4 @@
-//! The fold of a service's claims on the log: the first claim of a key in log order holds.
+//! Replica of a service's claims on the log: the first claim of a key in log order holds it.
 //!
 //! ```
 //! use jackdawpulley::idempotency::keys::Holder;
@@ -22,31 +22,31 @@
 use crate::idempotency::keys::Holder;
 use crate::units::{IdempotencyKey, Offset};
 
-/// One wish to run a key.
+/// A claim to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The key, with its service.
     pub key: IdempotencyKey,
-    /// Gate that wants to run it.
+    /// Sidecar that is about to run it.
     pub holder: Holder,
-    /// Number of the claim at its gate.
+    /// Sequence number of the claim at its sidecar.
     pub number: u64,
 }
 
-/// What a record of the `claims` stream is made of.
+/// An entry of a record of the `claims` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
     /// Claims a key.
     Claim(Claim),
-    /// Gives a claim back: its key has provably not run.
+    /// Releases a claim: its key has provably not run.
     Release(Claim),
 }
 
 /// A record of the `claims` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// When it was written, in milliseconds since 1970 by its writer's clock.
+    /// When it was written, in milliseconds since 1970 by the writer's clock.
     pub at_ms: u64,
     /// Claims and releases, in order.
     pub entries: Vec<Entry>,
@@ -58,7 +58,7 @@
     at_ms: u64,
 }
 
-/// Claims that hold, as far as the records have been folded.
+/// The claims that hold after the records applied so far.
 #[derive(Debug)]
 pub struct Ledger {
     next: Offset,
@@ -67,7 +67,7 @@
 }
 
 impl Ledger {
-    /// A ledger that starts at `next` and knows nothing of earlier records.
+    /// An empty ledger that starts at offset `next`.
     #[must_use]
     pub const fn new(next: Offset) -> Self {
         Self {
@@ -76,13 +76,13 @@
         }
     }
 
-    /// First offset not folded yet.
+    /// Offset of the next record to apply.
     #[must_use]
     pub const fn next(&self) -> Offset {
         self.next
     }
 
-    /// Keys that are held.
+    /// Number of held keys.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.held.len()
@@ -101,7 +101,7 @@
         Some(&self.held[index].claim)
     }
 
-    /// Folds the record at `offset`, unless it is folded already.
+    /// Applies the record at `offset`, unless it was applied already.
     pub fn apply(&mut self, offset: Offset, at_ms: u64, entries: &[Entry]) {
         if offset < self.next {
             return;
@@ -121,8 +121,8 @@
                     }
                 }
                 Entry::Release(claim) => {
-                    // Only the claim that holds can be given back: a late release of a claim
-                    // that lost must not free the key of the one that won.
+                    // Only the claim that holds can be released: a late release of a claim that
+                    // lost must not free the key of the claim that won.
                     if let Ok(index) = self.find(&claim.key)
                         && self.held[index].claim == *claim
                     {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Forgets claims that were written before `at_ms`.
+    /// Removes claims that were written before `at_ms`, in milliseconds since 1970.
     pub fn forget_before(&mut self, at_ms: u64) {
         self.held.retain(|held| held.at_ms >= at_ms);
     }
--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -1,7 +1,7 @@
-//! Idempotency: what keeps a repeated key from running twice.
+//! Idempotency: keeps requests with a repeated idempotency key from running twice.
 //!
-//! The [`keys`] of a gate are remembered and noted elsewhere, or claimed on the log, whose fold is the
-//! [`ledger`].
+//! The sidecar that owns a key either keeps it in memory and records its intent at another sidecar
+//! ([`keys`]), or claims it on the log, whose claims every sidecar evaluates in a [`ledger`].
 
 pub mod keys;
 pub mod ledger;
--- a/src/idempotency/replay.rs
+++ b/src/idempotency/replay.rs
@@ -1,4 +1,4 @@
-//! Answers that can be given again to a repeated key.
+//! Stored responses, which are replayed for repeated keys.
 
 use std::sync::Arc;
 
@@ -9,42 +9,42 @@
 use crate::calls::outcome::Reason;
 use crate::idempotency::keys::{State, StoredResponse};
 
-/// Largest answer that is kept, in bytes.
+/// Largest response body that is stored, in bytes.
 const MAX_STORED_RESPONSE_BYTES: usize = 64 << 10;
 
-/// Keeps an answer, when it is small enough to be given again.
-pub async fn store_response(answered: Response<Body>) -> (State, Result<Response<Body>, Reason>) {
-    let length = answered.headers().get(header::CONTENT_LENGTH);
+/// Stores a response if its body is small enough, so that it can be replayed; otherwise the key is in doubt.
+pub async fn store_response(response: Response<Body>) -> (State, Result<Response<Body>, Reason>) {
+    let length = response.headers().get(header::CONTENT_LENGTH);
     let length = length
         .and_then(|v| v.to_str().ok())
         .and_then(|text| text.parse::<usize>().ok());
     if length.is_none_or(|length| length > MAX_STORED_RESPONSE_BYTES) {
-        return (State::InDoubt, Ok(answered));
+        return (State::InDoubt, Ok(response));
     }
-    let (parts, body) = answered.into_parts();
+    let (parts, body) = response.into_parts();
     match Limited::new(body, MAX_STORED_RESPONSE_BYTES)
         .collect()
         .await
     {
         Ok(body) => {
-            let answer = StoredResponse {
+            let stored = StoredResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body: body.to_bytes(),
             };
-            let answer = Arc::new(answer);
-            let again = replay_response(&answer);
-            (State::Done(answer), Ok(again))
+            let stored = Arc::new(stored);
+            let response = replay_response(&stored);
+            (State::Done(stored), Ok(response))
         }
         Err(_) => (State::InDoubt, Err(Reason::Broken)),
     }
 }
 
-/// The answer once more.
+/// Builds a response from a stored one.
 #[must_use]
-pub fn replay_response(answer: &StoredResponse) -> Response<Body> {
-    let mut response = Response::new(Body::from_body(Full::new(answer.body.clone())));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers.clone();
+pub fn replay_response(stored: &StoredResponse) -> Response<Body> {
+    let mut response = Response::new(Body::from_body(Full::new(stored.body.clone())));
+    *response.status_mut() = stored.status;
+    *response.headers_mut() = stored.headers.clone();
     response
 }
--- a/src/idempotency/sidecars.rs
+++ b/src/idempotency/sidecars.rs
@@ -1,4 +1,4 @@
-//! The gates of a service, as the rules of key ownership see them.
+//! The sidecars of a service, as the rules of key ownership need them.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,8 +9,8 @@
 use crate::membership::roster::Roster;
 use crate::units::Service;
 
-/// The gates of a service other than `me`, those that were lost not long ago included. Those of
-/// `leaving` have said so themselves, whatever the view still has.
+/// The sidecars of a service other than `me`, including those that are gone and not forgotten yet.
+/// Those in `leaving` have announced it themselves, whatever the membership view says.
 #[must_use]
 pub fn others(
     roster: &Roster,
@@ -54,29 +54,29 @@
     live.chain(lost).collect()
 }
 
-/// Gates that have handed everything over to this one and have not been seen serving since.
+/// Sidecars that have handed off all their keys to this one and have not been seen serving since.
 #[derive(Debug, Default)]
 pub struct ReceivedHandoffs {
     sidecars: Mutex<Vec<SocketAddr>>,
 }
 
 impl ReceivedHandoffs {
-    /// Notes that a gate has handed everything over.
-    pub fn add(&self, gate: SocketAddr) {
-        let mut gates = self.sidecars();
-        gates.retain(|known| *known != gate);
-        gates.push(gate);
+    /// Records that a sidecar has handed off all its keys.
+    pub fn add(&self, sidecar: SocketAddr) {
+        let mut sidecars = self.sidecars();
+        sidecars.retain(|known| *known != sidecar);
+        sidecars.push(sidecar);
     }
 
-    /// Notes that a gate serves again, in another life.
-    pub fn remove(&self, gate: SocketAddr) {
-        self.sidecars().retain(|known| *known != gate);
+    /// Records that a sidecar serves again, in a new daemon process.
+    pub fn remove(&self, sidecar: SocketAddr) {
+        self.sidecars().retain(|known| *known != sidecar);
     }
 
-    /// Whether this gate remembers what another one knew.
+    /// Whether a sidecar has handed off all its keys to this one.
     #[must_use]
-    pub fn contains(&self, gate: SocketAddr) -> bool {
-        self.sidecars().contains(&gate)
+    pub fn contains(&self, sidecar: SocketAddr) -> bool {
+        self.sidecars().contains(&sidecar)
     }
 
     fn sidecars(&self) -> MutexGuard<'_, Vec<SocketAddr>> {
