--- a/tests/claim_ledger.rs
+++ b/tests/claim_ledger.rs
@@ -1,4 +1,4 @@
-//! Claims on the log: one holder at a time, the first in log order.
+//! Claims on the log: a key has one holder at a time, the first claim in log order.
 
 mod common;
 
@@ -34,16 +34,16 @@
 proptest! {
     #![proptest_config(fixed(400))]
 
-    /// Gates fold the same records in pages of their own, and some records twice. All have to
-    /// name the same holder of every key, or two of them would run it.
+    /// Guards against a key that two sidecars run since their ledgers name different holders, although they
+    /// applied the same records, some of them twice.
     #[test]
-    fn every_gate_names_the_same_holder(
+    fn all_ledgers_name_the_same_holder(
         records in prop::collection::vec(prop::collection::vec(entry(), 1..4), 1..40),
         repeats in prop::collection::vec(0_usize..40, 0..20),
     ) {
         let mut one = Ledger::new(Offset(0));
         let mut other = Ledger::new(Offset(0));
-        // The plain rule: first claim holds until its own release.
+        // The reference: the first claim holds until its own release.
         let mut holders: Vec<Option<Claim>> = vec![None; 4];
         for (offset, entries) in records.iter().enumerate() {
             one.apply(Offset(offset as u64), 0, entries);
@@ -71,10 +71,10 @@
     }
 }
 
-/// A gate's claim loses, and its release of that claim arrives late. Were it to free the key, a
-/// third gate would run what the winner is running.
+/// Guards against a late release of a claim that lost. If it freed the key, a third sidecar would run it
+/// while the winner does.
 #[test]
-fn loser_cannot_free_the_key() {
+fn losing_claim_cannot_free_the_key() {
     let mut ledger = Ledger::new(Offset(0));
     let (winner, loser) = (claim(1, 1, 0), claim(1, 2, 0));
     ledger.apply(
--- a/tests/configuration_freshness.rs
+++ b/tests/configuration_freshness.rs
@@ -1,4 +1,4 @@
-//! Watermarks: which one counts, how they travel, and the times that keep a version within its bound.
+//! Watermarks: how they are merged and reported, and the timing of reads.
 
 mod common;
 
@@ -10,9 +10,9 @@
 use jackdawpulley::units::{Generation, Millis, Offset};
 use proptest::prelude::*;
 
-fn position(era: u64, offset: u64) -> Position {
+fn position(generation: u64, offset: u64) -> Position {
     Position {
-        generation: Generation(era),
+        generation: Generation(generation),
         offset: Offset(offset),
     }
 }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn younger_one_counts() {
+fn most_recent_watermark_counts() {
     let freshness = Freshness::default();
     let now = Instant::now();
     assert_eq!(freshness.age(now), None);
@@ -37,9 +37,9 @@
     assert!(freshness.latest().own);
 }
 
-/// Guards against a page that ends before the newest record and passes for the end.
+/// Guards against a page that ends before the newest record and is taken for the end of the records.
 #[test]
-fn part_of_the_records() {
+fn partial_page_keeps_the_time() {
     let freshness = Freshness::default();
     let now = Instant::now();
     freshness.record_read(position(0, 5), Some(now));
@@ -49,9 +49,10 @@
     assert_eq!(latest.next, Some(position(0, 9)));
 }
 
-/// Guards against an order that only its reader knows, and that everybody else reads on after.
+/// Guards against a roll-out order that only one reader knows, and that all others would skip if they
+/// adopted its position.
 #[test]
-fn unknown_order() {
+fn incomplete_report_keeps_the_position() {
     let freshness = Freshness::default();
     let now = Instant::now();
     freshness.merge_report(&report(50, 4), true, now);
@@ -60,9 +61,9 @@
     assert_eq!(freshness.latest().next, Some(position(0, 4)));
 }
 
-/// Guards against an offset of an earlier era that is read on from in a later one.
+/// Guards against an offset of an earlier generation from which reads continue in a later one.
 #[test]
-fn earlier_era() {
+fn earlier_generation_is_ignored() {
     let freshness = Freshness::default();
     let now = Instant::now();
     freshness.record_read(position(1, 3), Some(now));
@@ -71,23 +72,23 @@
 }
 
 #[test]
-fn age_travels() {
+fn report_carries_the_age() {
     let freshness = Freshness::default();
     let now = Instant::now();
     freshness.record_read(position(0, 4), Some(now));
     let sent = freshness
         .latest()
         .report(now + Duration::from_millis(70))
-        .expect("it was read");
+        .expect("has a watermark");
     let (receiver, later) = (Freshness::default(), now + Duration::from_secs(5));
     receiver.merge_report(&sent, true, later);
     assert_eq!(receiver.age(later), Some(Millis(70)));
     assert!(!receiver.latest().own);
 }
 
-/// Guards against a peer whose report would end a daemon.
+/// Guards against a report whose age overflows and makes the daemon panic.
 #[test]
-fn hostile_age() {
+fn huge_age_is_ignored() {
     let freshness = Freshness::default();
     let now = Instant::now();
     freshness.merge_report(&report(u64::MAX, u64::MAX), false, now);
@@ -98,18 +99,18 @@
 proptest! {
     #![proptest_config(fixed(256))]
 
-    /// A reader renews a watermark before it is stale, and two tries after that fit into the bound.
+    /// A reader's request ends before the watermark is stale, and two retries after that fit into the bound.
     #[test]
-    fn tries_fit(bound in 100_u64..60_000) {
+    fn retries_fit_into_the_bound(bound in 100_u64..60_000) {
         let limits = Limits::within(Millis(bound));
         let bound = Duration::from_millis(bound);
         prop_assert!(limits.wait.duration() < limits.stale);
         prop_assert!(limits.stale + limits.spread + 2 * limits.retry < bound);
     }
 
-    /// Whatever the order in which reports come, the youngest counts and no position is taken back.
+    /// In whatever order reports arrive, the most recent time and the highest position count.
     #[test]
-    fn any_order(ages in proptest::collection::vec((0_u64..50, 0_u64..9), 1..20)) {
+    fn order_of_reports_does_not_matter(ages in proptest::collection::vec((0_u64..50, 0_u64..9), 1..20)) {
         let now = Instant::now();
         let freshness = Freshness::default();
         for (age, offset) in &ages {
--- a/tests/configuration_replica.rs
+++ b/tests/configuration_replica.rs
@@ -1,4 +1,4 @@
-//! The fold of the log against a compare-and-set register.
+//! Replicas of the log, checked against a compare-and-set register.
 
 mod common;
 
@@ -14,9 +14,9 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-const FOLDS: usize = 3;
+const REPLICAS: usize = 3;
 
-/// What an edit is based on.
+/// State that an edit is based on.
 #[derive(Debug, Clone, Copy)]
 enum Basis {
     Current,
@@ -31,7 +31,7 @@
         basis: Basis,
         valid: bool,
     },
-    /// The publisher lost the answer and appends its edit again.
+    /// The publisher lost the response and appends its edit again.
     Repeat {
         age: usize,
     },
@@ -48,14 +48,14 @@
     Restart {
         by: usize,
     },
-    /// One daemon takes over what another has in force.
+    /// One daemon adopts the active version of another.
     Adopt {
         by: usize,
         from: usize,
     },
 }
 
-/// The register, and every edit that was ever appended.
+/// State of the reference machine: the number of steps, from which edits get their identifiers.
 #[derive(Debug, Clone, Default)]
 struct Register {
     steps: u64,
@@ -76,11 +76,11 @@
             6 => (1_u64..1_000, basis, prop::bool::weighted(0.9))
                 .prop_map(|(number, basis, valid)| Step::Append { number, basis, valid }),
             2 => (0_usize..8).prop_map(|age| Step::Repeat { age }),
-            2 => (0..FOLDS).prop_map(|by| Step::Checkpoint { by }),
+            2 => (0..REPLICAS).prop_map(|by| Step::Checkpoint { by }),
             1 => (1_u64..6).prop_map(|count| Step::Expire { count }),
-            8 => (0..FOLDS, 1_u64..5).prop_map(|(by, count)| Step::Read { by, count }),
-            1 => (0..FOLDS).prop_map(|by| Step::Restart { by }),
-            1 => (0..FOLDS, 0..FOLDS).prop_map(|(by, from)| Step::Adopt { by, from }),
+            8 => (0..REPLICAS, 1_u64..5).prop_map(|(by, count)| Step::Read { by, count }),
+            1 => (0..REPLICAS).prop_map(|by| Step::Restart { by }),
+            1 => (0..REPLICAS, 0..REPLICAS).prop_map(|(by, from)| Step::Adopt { by, from }),
         ]
         .boxed()
     }
@@ -91,13 +91,13 @@
     }
 }
 
-/// A log that expires, several folds of it, and the register that they must agree with.
+/// A log whose records expire, several replicas of it, and the register that they must agree with.
 struct Log {
     first: u64,
     records: Vec<Record>,
-    folds: Vec<Replica>,
-    /// Register after each record, by offset.
-    truth: Vec<(Version, Arc<Document>)>,
+    replicas: Vec<Replica>,
+    /// Value of the register after each record, by offset.
+    expected: Vec<(Version, Arc<Document>)>,
 }
 
 impl Log {
@@ -106,14 +106,14 @@
     }
 
     fn current(&self) -> (Version, Arc<Document>) {
-        self.truth.last().cloned().unwrap_or_default()
+        self.expected.last().cloned().unwrap_or_default()
     }
 
     fn append(&mut self, record: Record) {
         let offset = Offset(self.head());
         let mut next = self.current();
         if let Record::Edit(edit) = &record {
-            let fits = match edit.base {
+            let is_current = match edit.base {
                 Base::Version(base) => base == next.0,
                 Base::Head(head) => next.0.end() <= head,
             };
@@ -125,33 +125,33 @@
                 Content::Whole(document) => document.clone(),
                 Content::Delta(delta) => delta.apply(&next.1).unwrap_or_else(|_| faulty()),
             };
-            if fits && !seen && !document.groups.is_empty() {
+            if is_current && !seen && !document.groups.is_empty() {
                 next = (Version::of(offset), Arc::new(document));
             }
         }
-        self.truth.push(next);
+        self.expected.push(next);
         self.records.push(record);
     }
 
     fn read(&mut self, by: usize, count: u64) {
         for _ in 0..count {
-            let fold = &mut self.folds[by];
-            fold.expire(Offset(self.first));
-            let next = fold.next();
+            let replica = &mut self.replicas[by];
+            replica.expire(Offset(self.first));
+            let next = replica.next();
             if next.0 >= self.records.len() as u64 {
                 return;
             }
-            let before = fold.version();
+            let before = replica.version();
             let record = &self.records[usize::try_from(next.0).expect("small")];
-            let _ = fold.apply(next, record);
-            assert!(fold.version() >= before, "a fold never goes back");
+            let _ = replica.apply(next, record);
+            assert!(replica.version() >= before, "a replica never goes back");
         }
     }
 }
 
-struct Folds;
+struct Replicas;
 
-impl StateMachineTest for Folds {
+impl StateMachineTest for Replicas {
     type SystemUnderTest = Log;
     type Reference = Register;
 
@@ -159,8 +159,8 @@
         Log {
             first: 0,
             records: Vec::new(),
-            folds: vec![Replica::new(); FOLDS],
-            truth: Vec::new(),
+            replicas: vec![Replica::new(); REPLICAS],
+            expected: Vec::new(),
         }
     }
 
@@ -197,33 +197,36 @@
                 }
             }
             Step::Checkpoint { by } => {
-                let fold = &log.folds[by];
-                if !fold.has_gap() {
-                    let checkpoint = Record::Checkpoint(fold.checkpoint().clone());
+                let replica = &log.replicas[by];
+                if !replica.has_gap() {
+                    let checkpoint = Record::Checkpoint(replica.checkpoint().clone());
                     log.append(checkpoint);
                 }
             }
             Step::Expire { count } => log.first = (log.first + count).min(log.head()),
             Step::Read { by, count } => log.read(by, count),
-            Step::Restart { by } => log.folds[by] = Replica::new(),
+            Step::Restart { by } => log.replicas[by] = Replica::new(),
             Step::Adopt { by, from } => {
-                let source = &log.folds[from];
+                let source = &log.replicas[from];
                 let (version, document) = (source.version(), Arc::clone(source.document()));
-                let accepted = source.accepted_since(log.folds[by].version());
-                log.folds[by].adopt(version, document, accepted);
+                let accepted = source.accepted_since(log.replicas[by].version());
+                log.replicas[by].adopt(version, document, accepted);
             }
         }
         log
     }
 
     fn check_invariants(log: &Log, _: &Register) {
-        for fold in log
-            .folds
+        for replica in log
+            .replicas
             .iter()
-            .filter(|fold| !fold.has_gap() && fold.next().0 > 0)
+            .filter(|replica| !replica.has_gap() && replica.next().0 > 0)
         {
-            let truth = &log.truth[usize::try_from(fold.next().0 - 1).expect("small")];
-            assert_eq!((fold.version(), fold.document()), (truth.0, &truth.1));
+            let expected = &log.expected[usize::try_from(replica.next().0 - 1).expect("small")];
+            assert_eq!(
+                (replica.version(), replica.document()),
+                (expected.0, &expected.1)
+            );
         }
     }
 }
@@ -232,7 +235,7 @@
     #![proptest_config(fixed(400))]
 
     #[test]
-    fn every_fold_agrees_with_the_register(sequential 1..60 => Folds);
+    fn all_replicas_agree_with_the_register(sequential 1..60 => Replicas);
 }
 
 fn edit(id: &str, base: u64, number: u64) -> Record {
@@ -245,9 +248,9 @@
 
 #[test]
 fn racing_edits_have_one_winner() {
-    let mut fold = Replica::new();
-    let first = fold.apply(Offset(0), &edit("a", 0, 1));
-    let second = fold.apply(Offset(1), &edit("b", 0, 2));
+    let mut replica = Replica::new();
+    let first = replica.apply(Offset(0), &edit("a", 0, 1));
+    let second = replica.apply(Offset(1), &edit("b", 0, 2));
     assert_eq!(
         first,
         Verdict::Accepted {
@@ -262,65 +265,64 @@
     );
 }
 
-/// An operator's append takes effect and its answer is lost; the operator's tool appends the edit
-/// again. Without the guard the second record would be judged anew and the operator told that
-/// somebody else had won, against its own edit.
+/// Guards against an operator who loses a conflict to its own edit: the append takes effect, its response
+/// is lost, and the tool appends the edit again.
 #[test]
 fn repeated_append_keeps_its_verdict() {
-    let mut fold = Replica::new();
-    let first = fold.apply(Offset(0), &edit("a", 0, 1));
-    let again = fold.apply(Offset(1), &edit("a", 0, 1));
+    let mut replica = Replica::new();
+    let first = replica.apply(Offset(0), &edit("a", 0, 1));
+    let again = replica.apply(Offset(1), &edit("a", 0, 1));
     assert_eq!(first, again);
-    assert_eq!(fold.version(), Version(1));
+    assert_eq!(replica.version(), Version(1));
 }
 
-/// A reader is cut off until records expire, among them an accepted edit. Judging later edits by
-/// its old version would accept one that every other daemon refuses, and the mesh would run two
-/// documents under two versions.
+/// Guards against a reader that was cut off until records expired, among them an accepted edit. Evaluating
+/// later edits against its old version would accept one that all other daemons reject, and two documents
+/// would be active under two versions.
 #[test]
-fn gapped_fold_judges_nothing() {
-    let mut fold = Replica::new();
-    fold.apply(Offset(0), &edit("a", 0, 1));
-    fold.expire(Offset(5));
-    assert_eq!(fold.apply(Offset(5), &edit("c", 1, 3)), Verdict::Gap);
-    assert_eq!(fold.version(), Version(1));
+fn edits_after_a_gap_are_not_decided() {
+    let mut replica = Replica::new();
+    replica.apply(Offset(0), &edit("a", 0, 1));
+    replica.expire(Offset(5));
+    assert_eq!(replica.apply(Offset(5), &edit("c", 1, 3)), Verdict::Gap);
+    assert_eq!(replica.version(), Version(1));
 }
 
-/// A checkpoint's writer is paused between reading and appending, while other edits are accepted
-/// and then expire. A newcomer that trusted the checkpoint would miss those edits.
+/// Guards against a stale checkpoint: its writer is paused between reading and appending, while other edits
+/// are accepted and then expire. A new daemon that used the checkpoint would miss those edits.
 #[test]
-fn stale_checkpoint_is_not_trusted() {
+fn stale_checkpoint_is_not_used() {
     let stale = Checkpoint {
         version: Version(1),
         next: Offset(1),
         document: Arc::new(numbered(1)),
         recent: Vec::new(),
     };
-    let mut newcomer = Replica::new();
-    newcomer.expire(Offset(4));
+    let mut new_daemon = Replica::new();
+    new_daemon.expire(Offset(4));
     assert_eq!(
-        newcomer.apply(Offset(4), &Record::Checkpoint(stale.clone())),
+        new_daemon.apply(Offset(4), &Record::Checkpoint(stale.clone())),
         Verdict::Skipped
     );
-    assert!(newcomer.has_gap());
+    assert!(new_daemon.has_gap());
     let fresh = Checkpoint {
         next: Offset(4),
         version: Version(3),
         ..stale
     };
     assert_eq!(
-        newcomer.apply(Offset(5), &Record::Checkpoint(fresh)),
+        new_daemon.apply(Offset(5), &Record::Checkpoint(fresh)),
         Verdict::Restored
     );
     assert_eq!(
-        (newcomer.version(), newcomer.next()),
+        (new_daemon.version(), new_daemon.next()),
         (Version(3), Offset(4))
     );
 }
 
-/// An operator's edit comes to its daemon by a peer, before the daemon has read the log. Without
-/// the identifier it would not find the edit, append it again, and tell the operator that somebody
-/// else had won.
+/// Guards against an edit that reaches the publishing daemon through a peer before it has read the log.
+/// Without the identifier it would not find the edit, append it again, and report to the operator that
+/// another edit had won.
 #[test]
 fn adopted_edit_is_known() {
     let mut reader = Replica::new();
@@ -337,19 +339,19 @@
     );
 }
 
-/// A daemon takes a version over from a peer, so it never sees the identifier of the edit that
-/// made it. The publisher, whose answer was lost, appends that forced edit again. Without the
-/// condition on the head this daemon alone would accept it a second time.
+/// Guards against a forced edit that one daemon accepts twice: it adopted the version from a peer without
+/// the edit's identifier, and the publisher, whose response was lost, appends the edit again. The condition
+/// on the head rejects the repetition.
 #[test]
-fn repeated_forced_edit_is_refused_without_its_id() {
+fn repeated_forced_edit_is_rejected_without_its_id() {
     let forced = Edit {
         id: "f".into(),
         base: Base::Head(Offset(7)),
         content: Content::Whole(numbered(7)),
     };
-    let mut fold = Replica::new();
-    fold.adopt(Version(8), Arc::new(numbered(7)), Vec::new());
-    let verdict = fold.apply(Offset(8), &Record::Edit(forced));
+    let mut replica = Replica::new();
+    replica.adopt(Version(8), Arc::new(numbered(7)), Vec::new());
+    let verdict = replica.apply(Offset(8), &Record::Edit(forced));
     assert_eq!(
         verdict,
         Verdict::Conflict {
@@ -360,19 +362,19 @@
 
 #[test]
 fn forced_edit_closes_a_gap() {
-    let mut fold = Replica::new();
-    fold.expire(Offset(9));
+    let mut replica = Replica::new();
+    replica.expire(Offset(9));
     let forced = Edit {
         id: "f".into(),
         base: Base::Head(Offset(9)),
         content: Content::Whole(numbered(7)),
     };
-    let verdict = fold.apply(Offset(9), &Record::Edit(forced));
+    let verdict = replica.apply(Offset(9), &Record::Edit(forced));
     assert_eq!(
         verdict,
         Verdict::Accepted {
             version: Version(10)
         }
     );
-    assert!(!fold.has_gap());
+    assert!(!replica.has_gap());
 }
--- a/tests/document_checks.rs
+++ b/tests/document_checks.rs
@@ -1,4 +1,4 @@
-//! Reading and checking documents.
+//! Parsing and validation of documents.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use jackdawpulley::units::{Millis, Percent, Slots};
 
 #[test]
-fn unknown_field_is_refused() {
+fn unknown_field_is_rejected() {
     let text = br#"{ "routes": [], "groupes": [] }"#;
     let error = Document::parse(text).unwrap_err();
     assert!(matches!(error, Error::Document { .. }));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_fault_is_named_at_once() {
+fn all_faults_are_reported_together() {
     let mut document = numbered(1);
     document.routes[0].path = "titles".into();
     document.routes[0].timeout_ms = Millis(0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn twin_routes_are_a_fault() {
+fn duplicate_routes_are_a_fault() {
     let mut document = numbered(1);
     document.routes.push(route("again", "/", "shelf"));
     let faults = check::document(&document);
--- a/tests/document_delta.rs
+++ b/tests/document_delta.rs
@@ -1,4 +1,4 @@
-//! Deltas lead exactly to the document they promise.
+//! Deltas yield exactly the document that they were computed for, or an error.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use jackdawpulley::units::Millis;
 use proptest::prelude::*;
 
-/// Documents over a few names, so that resources come, go and change.
+/// Documents with a few resource names, so that resources are added, removed and changed.
 fn document() -> impl Strategy<Value = Document> {
     let routes = prop::collection::btree_map(0_u8..8, 1_u64..4, 0..8);
     let groups = prop::collection::btree_set(0_u8..6, 0..6);
@@ -36,16 +36,16 @@
         prop_assert_eq!(delta.apply(&old).unwrap(), new);
     }
 
-    /// A daemon whose base is not what the sender thinks applies the changes all the same, and
-    /// runs a mix of two documents. The hash covers the whole result, so a mix is refused.
+    /// Guards against a daemon that applies a delta to another base than the sender expected, and then
+    /// runs a mix of two documents. The hash covers the whole result, so a mix is rejected.
     #[test]
-    fn never_yields_a_mix(old in document(), new in document(), other in document()) {
+    fn other_base_never_yields_a_mix(old in document(), new in document(), other in document()) {
         let delta = Delta::between(&old, &new);
         match delta.apply(&other) {
             Ok(result) => prop_assert_eq!(result, new),
             Err(error) => {
-                let refused = matches!(error, Error::Delta);
-                prop_assert!(refused);
+                let rejected = matches!(error, Error::Delta);
+                prop_assert!(rejected);
             }
         }
     }
--- a/tests/document_normalization.rs
+++ b/tests/document_normalization.rs
@@ -1,4 +1,4 @@
-//! Bringing what a platform has accepted within limits.
+//! Normalization of documents that a control plane has accepted.
 
 mod common;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn fitting_one_stays() {
+fn valid_document_is_unchanged() {
     let before = numbered(3);
     let (after, faults) = normalize(before.clone());
     assert_eq!(after, before.sorted());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn routes_keep_their_requests() {
+fn renamed_routes_keep_their_paths() {
     let mut document = numbered(1);
     document.routes = vec![
         route("one", "/a", "shelf"),
@@ -39,29 +39,37 @@
         route(&"é".repeat(100), "/d", "shelf"),
         route("twin", "/a", "shelf"),
     ];
-    let (fitted, faults) = normalize(document);
-    let mut paths: Vec<&str> = fitted.routes.iter().map(|r| r.path.as_str()).collect();
+    let (normalized, faults) = normalize(document);
+    let mut paths: Vec<&str> = normalized.routes.iter().map(|r| r.path.as_str()).collect();
     paths.sort_unstable();
     assert_eq!(paths, ["/a", "/b", "/c", "/d"]);
-    assert!(names(&fitted).contains(&"one#2"), "{:?}", names(&fitted));
+    assert!(
+        names(&normalized).contains(&"one#2"),
+        "{:?}",
+        names(&normalized)
+    );
     assert_eq!(faults.len(), 4, "{faults:?}");
-    assert_eq!(check::document(&fitted), []);
+    assert_eq!(check::document(&normalized), []);
 }
 
 #[test]
 fn weights_keep_their_shares() {
     let mut document = numbered(1);
     document.routes[0].split = split(&[u32::MAX, u32::MAX, 0, 1]);
-    let (fitted, _) = normalize(document.clone());
-    let weights: Vec<u32> = fitted.routes[0].split.iter().map(|s| s.weight).collect();
+    let (normalized, _) = normalize(document.clone());
+    let weights: Vec<u32> = normalized.routes[0]
+        .split
+        .iter()
+        .map(|s| s.weight)
+        .collect();
     assert_eq!(weights[0], weights[1]);
     assert_eq!((weights[2], weights[3]), (0, 1));
     document.routes[0].split = split(&[0, 0]);
-    let (fitted, _) = normalize(document);
-    assert_eq!(fitted.routes[0].split, split(&[1, 1]));
+    let (normalized, _) = normalize(document);
+    assert_eq!(normalized.routes[0].split, split(&[1, 1]));
 }
 
-/// Guards against a document that contradicts itself and is taken since it was brought within limits.
+/// Guards against normalization that hides contradictions, so that an invalid document would be accepted.
 #[test]
 fn contradictions_stay() {
     let mut document = numbered(1);
@@ -70,17 +78,18 @@
     let mut never = route("never", "/y", "shelf");
     never.timeout_ms = Millis(0);
     document.routes.push(never);
-    let (fitted, faults) = normalize(document);
+    let (normalized, faults) = normalize(document);
     assert_eq!(faults, []);
-    assert_eq!(check::document(&fitted).len(), 3);
+    assert_eq!(check::document(&normalized).len(), 3);
 }
 
 proptest! {
     #![proptest_config(fixed(300))]
 
-    /// Guards against a version that is still refused, or changes again, after it was brought within limits.
+    /// Guards against a document that is still invalid after normalization, or that a second normalization
+    /// changes again.
     #[test]
-    fn fitted_is_valid(
+    fn normalized_document_is_valid(
         routes in prop::collection::vec(("[a-c]{0,1}|x{120,140}", "/[a-b]{0,2}/", any::<[u32; 2]>()), 0..12),
         hosts in prop::collection::vec("[Aa]{1,2}\\.?(:80)?", 12),
         attempts in 1_u32..40,
@@ -100,10 +109,10 @@
             route.split = split(weights);
             document.routes.push(route);
         }
-        let (fitted, _) = normalize(document);
-        prop_assert_eq!(check::document(&fitted), []);
-        let (again, faults) = normalize(fitted.clone());
-        prop_assert_eq!(again, fitted);
+        let (normalized, _) = normalize(document);
+        prop_assert_eq!(check::document(&normalized), []);
+        let (again, faults) = normalize(normalized.clone());
+        prop_assert_eq!(again, normalized);
         prop_assert_eq!(faults, []);
     }
 }
--- a/tests/hedged_fetches.rs
+++ b/tests/hedged_fetches.rs
@@ -1,4 +1,4 @@
-//! How many peers are asked for a version at the same time.
+//! Number of peers that are asked for a version at the same time.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn one_is_enough() {
+fn recent_fetch_blocks_another() {
     let fetches = Fetches::default();
     let now = Instant::now();
     let first = fetches.try_begin(peer(1), now);
@@ -20,24 +20,24 @@
     assert!(fetches.try_begin(peer(2), now).is_some());
 }
 
-/// Guards against a peer that never answers and keeps all others from being asked.
+/// Guards against a peer that never responds and thereby keeps the other peers from being asked.
 #[test]
-fn silent_peer() {
+fn unresponsive_peer_is_hedged() {
     let fetches = Fetches::default();
     let began = Instant::now();
-    let _silent = fetches.try_begin(peer(1), began).expect("nobody was asked");
+    let _unresponsive = fetches.try_begin(peer(1), began).expect("none in flight");
     let later = began + Duration::from_millis(300);
-    assert!(fetches.try_begin(peer(1), later).is_none(), "it was asked");
+    assert!(fetches.try_begin(peer(1), later).is_none(), "already asked");
     assert!(fetches.try_begin(peer(2), later).is_some());
 }
 
 #[test]
-fn bounded_number() {
+fn number_in_flight_is_bounded() {
     let fetches = Fetches::default();
     let began = Instant::now();
     let at = |number| began + Duration::from_secs(number);
-    let tickets: Vec<_> = (1..=20)
+    let fetches_begun: Vec<_> = (1..=20)
         .map(|number| fetches.try_begin(peer(number), at(u64::from(number))))
         .collect();
-    assert_eq!(tickets.iter().flatten().count(), 8);
+    assert_eq!(fetches_begun.iter().flatten().count(), 8);
 }
