--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -68,7 +68,7 @@
     /// Listed daemons.
     pub contacts: Vec<Contact>,
     /// Quarantined requests.
-    pub notes: Vec<(Fingerprint, Note)>,
+    pub quarantine_records: Vec<(Fingerprint, Note)>,
 }
 
 /// Access to an external control plane.
@@ -98,7 +98,7 @@
     /// status that is recorded now.
     ///
     /// The first verdict on an order is final, whichever daemon reports it and however often.
-    fn report_status<'a>(
+    fn report_rollout_status<'a>(
         &'a self,
         order: &'a Order,
         status: Status,
@@ -106,10 +106,14 @@
 
     /// Records when a roll-out began, in Unix milliseconds, unless that is recorded already; returns the
     /// time that is recorded now.
-    fn record_start<'a>(&'a self, order: &'a Order, begin_ms: u64) -> BoxFuture<'a, Result<u64>>;
+    fn record_rollout_start<'a>(
+        &'a self,
+        order: &'a Order,
+        begin_ms: u64,
+    ) -> BoxFuture<'a, Result<u64>>;
 
     /// Stores the note of a quarantined request, replacing an earlier one; `None` deletes it.
-    fn set_quarantine_note<'a>(
+    fn set_quarantine_record<'a>(
         &'a self,
         cause: Fingerprint,
         note: Option<&'a Note>,
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -101,13 +101,16 @@
 
     /// Reads who is listed, and takes in what the platform keeps of requests in quarantine.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
-        let Directory { contacts, notes } = self.origin.directory(enough).await?;
+        let Directory {
+            contacts,
+            quarantine_records,
+        } = self.origin.directory(enough).await?;
         let (now, memory) = (clock::unix_ms(), self.board.settings.quarantine_ms);
-        self.board.quarantine.recall(&notes, now);
-        for (cause, note) in notes {
+        self.board.quarantine.recall(&quarantine_records, now);
+        for (cause, note) in quarantine_records {
             if note.age(now) >= Millis(FORGOTTEN * memory.0) {
                 // One that stays is read once more, and counts for nothing.
-                let _ = self.origin.set_quarantine_note(cause, None).await;
+                let _ = self.origin.set_quarantine_record(cause, None).await;
             }
         }
         Ok(contacts)
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -37,10 +37,10 @@
     ///
     /// # Errors
     ///
-    /// As [`ControlPlane::set_quarantine_note`] and [`Log::append`].
+    /// As [`ControlPlane::set_quarantine_record`] and [`Log::append`].
     pub async fn note(&self, cause: Fingerprint, note: Option<&Note>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.set_quarantine_note(cause, note).await,
+            Self::Platform(origin) => origin.set_quarantine_record(cause, note).await,
             Self::Log(log) => {
                 let note = note.cloned();
                 let record = Record { cause, note };
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -353,7 +353,7 @@
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
-    let stands = origin.report_status(order, status).await?;
+    let stands = origin.report_rollout_status(order, status).await?;
     if let Some(verdict) = stands.verdict() {
         if board.rollouts.conclude(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
@@ -372,7 +372,7 @@
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
     let begin = origin
-        .record_start(order, now_ms.saturating_sub(age_ms))
+        .record_rollout_start(order, now_ms.saturating_sub(age_ms))
         .await?;
     let before = Duration::from_millis(now_ms.saturating_sub(begin));
     if let Some(given) = Instant::now().checked_sub(before) {
