--- a/src/configuration/check.rs
+++ b/src/configuration/check.rs
@@ -114,7 +114,7 @@
                     let problem = format!("duplicate name {name:?}");
                     self.require(false, path, problem, "give each resource its own name");
                 }
-                Err(place) => seen.insert(place, name),
+                Err(index) => seen.insert(index, name),
             }
         }
         let problem = format!("{} resources", seen.len());
@@ -189,8 +189,8 @@
         let duplicate = self
             .duplicates
             .binary_search_by_key(&index, |duplicate| duplicate.0);
-        if let Ok(place) = duplicate {
-            let first = &document.routes[self.duplicates[place].1];
+        if let Ok(found) = duplicate {
+            let first = &document.routes[self.duplicates[found].1];
             let problem = format!("matches the same requests as {:?}", first.name);
             self.require(false, at("path"), problem, "remove one of the two");
         }
@@ -221,12 +221,12 @@
         let fits = bounds.max_head >= MIN_HEAD_BYTES;
         let problem = format!("{} bytes", bounds.max_head);
         self.require(fits, at("max_head"), problem, "use 8192 or more");
-        for (field, span) in [("head_ms", bounds.head_ms), ("idle_ms", bounds.idle_ms)] {
-            let fits = (1..=MAX_TIMEOUT_MS).contains(&span.0);
+        for (field, time) in [("head_ms", bounds.head_ms), ("idle_ms", bounds.idle_ms)] {
+            let fits = (1..=MAX_TIMEOUT_MS).contains(&time.0);
             self.require(
                 fits,
                 at(field),
-                format!("{span} ms"),
+                format!("{time} ms"),
                 "use 1 to 86400000 ms",
             );
         }
--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -67,7 +67,7 @@
 pub struct Directory {
     /// Listed daemons.
     pub contacts: Vec<Contact>,
-    /// Quarantined requests.
+    /// Records of quarantined requests.
     pub quarantine_records: Vec<(Fingerprint, Note)>,
 }
 
@@ -112,7 +112,7 @@
         begin_ms: u64,
     ) -> BoxFuture<'a, Result<u64>>;
 
-    /// Stores the note of a quarantined request, replacing an earlier one; `None` deletes it.
+    /// Stores the record of a quarantined request, replacing an earlier one; `None` deletes it.
     fn set_quarantine_record<'a>(
         &'a self,
         cause: Fingerprint,
--- a/src/configuration/normalize.rs
+++ b/src/configuration/normalize.rs
@@ -119,19 +119,19 @@
 
 /// Gives each route a unique valid name. The routes must be sorted by name.
 fn normalize_names(routes: &mut [Route], faults: &mut Vec<Fault>) {
-    let mut taken: Vec<String> = Vec::with_capacity(routes.len());
+    let mut used: Vec<String> = Vec::with_capacity(routes.len());
     for route in routes {
         let mut name = normalize_name(&route.name);
         let mut count = 1;
-        let place = loop {
-            let Err(place) = taken.binary_search(&name) else {
+        let index = loop {
+            let Err(index) = used.binary_search(&name) else {
                 count += 1;
                 name = format!("{}#{count}", normalize_name(&route.name));
                 continue;
             };
-            break place;
+            break index;
         };
-        taken.insert(place, name.clone());
+        used.insert(index, name.clone());
         if name != route.name {
             let path = format!("routes[{name:?}].name");
             let problem = format!(
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -89,7 +89,7 @@
     /// Reads for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         let mut rosters = self.board.rosters();
-        let mut lost = false;
+        let mut failing = false;
         let mut is_reader = false;
         let mut backoff = RETRY_BACKOFF;
         if matches!(self.source, Source::ControlPlane(_)) {
@@ -115,7 +115,7 @@
             };
             let began = Instant::now();
             if let Err(error) = self.read_once(wait).await {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut failing, true) {
                     warn!(self.board.logger, "reading the source failed"; "error" => %error,
                         "took_ms" => Millis::from(began.elapsed()).0, "version" => self.board.digest().version.0);
                 }
@@ -123,7 +123,7 @@
                 continue;
             }
             backoff.succeeded();
-            if std::mem::take(&mut lost) {
+            if std::mem::take(&mut failing) {
                 info!(self.board.logger, "source available again";
                     "version" => self.board.digest().version.0);
             }
@@ -262,14 +262,14 @@
 
     /// Logs each fault of unreadable records, but not the same one twice in a row.
     fn log_unreadable(&self, faults: &[String]) {
-        let mut noted = self
+        let mut last_fault = self
             .last_fault
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         for fault in faults {
-            if noted.as_ref() != Some(fault) {
+            if last_fault.as_ref() != Some(fault) {
                 warn!(self.board.logger, "unreadable record skipped"; "problem" => fault);
-                *noted = Some(fault.clone());
+                *last_fault = Some(fault.clone());
             }
         }
     }
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -53,10 +53,10 @@
 /// Children of `me` in the tree over `order`, in which each daemon has up to `fanout` children.
 #[must_use]
 pub fn children(order: &[SocketAddr], me: SocketAddr, fanout: usize) -> Vec<SocketAddr> {
-    let Some(place) = order.iter().position(|peer| *peer == me) else {
+    let Some(index) = order.iter().position(|peer| *peer == me) else {
         return Vec::new();
     };
-    let first = place * fanout + 1;
+    let first = index * fanout + 1;
     order.iter().skip(first).take(fanout).copied().collect()
 }
 
@@ -141,7 +141,7 @@
     /// As [`Links::send`].
     pub async fn pull(&self, peer: SocketAddr) -> Result<Digest> {
         let began = Instant::now();
-        let Some(_ticket) = self.fetches.try_begin(peer, began) else {
+        let Some(_fetch) = self.fetches.try_begin(peer, began) else {
             return Ok(self.board.digest());
         };
         let result = self.fetch(peer).await;
@@ -207,14 +207,14 @@
         }
     }
 
-    async fn deliver(&self, peer: SocketAddr, reply: Bytes) -> Result<()> {
-        let answer: Reply = self.links.exchange(peer, PUSH_PATH, reply).await?;
-        if let Reply::Need(digest) = answer
+    async fn deliver(&self, peer: SocketAddr, update: Bytes) -> Result<()> {
+        let reply: Reply = self.links.exchange(peer, PUSH_PATH, update).await?;
+        if let Reply::Need(digest) = reply
             && digest.version < self.board.digest().version
         {
             let update = self.store.encoded_update(digest.version);
-            let answer: Reply = self.links.exchange(peer, PUSH_PATH, update.reply).await?;
-            if let Reply::Need(_) = answer {
+            let reply: Reply = self.links.exchange(peer, PUSH_PATH, update.reply).await?;
+            if let Reply::Need(_) = reply {
                 let whole = self.store.encoded_update(Version(0));
                 let _: Reply = self.links.exchange(peer, PUSH_PATH, whole.reply).await?;
             }
@@ -223,8 +223,8 @@
     }
 }
 
-/// A random part of `span`: full jitter, which spreads out daemons that act at the same time.
+/// A random part of `duration`: full jitter, which spreads out daemons that act at the same time.
 #[must_use]
-pub fn jitter(span: Duration) -> Duration {
-    span.mul_f64(rand::rng().random_range(0.0..1.0))
+pub fn jitter(duration: Duration) -> Duration {
+    duration.mul_f64(rand::rng().random_range(0.0..1.0))
 }
--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -156,7 +156,7 @@
         while ledger.next() <= offset {
             self.read(ledger).await?;
         }
-        ledger.forget_before(self.horizon());
+        ledger.forget_before(self.horizon_ms());
         Ok(())
     }
 
@@ -198,8 +198,8 @@
     /// Reads a ledger of all claims that are still remembered.
     async fn load_ledger(&self) -> Result<Ledger> {
         let bounds = self.log.bounds(self.stream.clone()).await?;
-        let horizon = self.horizon();
-        let start = self.first_since(&bounds, horizon).await?;
+        let horizon_ms = self.horizon_ms();
+        let start = self.first_since(&bounds, horizon_ms).await?;
         // If the log's retention is shorter than the time for which keys are remembered, the key of an
         // expired claim may have run.
         if bounds.first > Offset(0) && start == bounds.first {
@@ -214,9 +214,9 @@
         Ok(ledger)
     }
 
-    /// First offset whose record was written at or after `horizon`, in milliseconds since 1970, by binary
+    /// First offset whose record was written at or after `horizon_ms` (since 1970), by binary
     /// search.
-    async fn first_since(&self, bounds: &Page, horizon: u64) -> Result<Offset> {
+    async fn first_since(&self, bounds: &Page, horizon_ms: u64) -> Result<Offset> {
         let (mut low, mut high) = (bounds.first.0, bounds.head.0);
         while low < high {
             let middle = low.midpoint(high);
@@ -226,7 +226,7 @@
                 .await?;
             let batch = page.records.first();
             let batch = batch.and_then(|s| serde_json::from_str::<Batch>(&s.value).ok());
-            if batch.is_some_and(|batch| batch.at_ms < horizon) {
+            if batch.is_some_and(|batch| batch.at_ms < horizon_ms) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -235,9 +235,9 @@
         Ok(Offset(low))
     }
 
-    fn horizon(&self) -> u64 {
-        let span = self.board.settings.key_memory_ms.0;
-        clock::unix_ms().saturating_sub(span + MAX_CLOCK_SKEW_MS)
+    fn horizon_ms(&self) -> u64 {
+        let retention_ms = self.board.settings.key_memory_ms.0;
+        clock::unix_ms().saturating_sub(retention_ms + MAX_CLOCK_SKEW_MS)
     }
 
     fn pending(&self) -> MutexGuard<'_, Vec<PendingEntry>> {
--- a/src/idempotency/deduplicator.rs
+++ b/src/idempotency/deduplicator.rs
@@ -402,10 +402,10 @@
         result: Result<Response<Body>, Reason>,
     ) -> Result<Response<Body>, Reason> {
         match result {
-            Ok(answered) => {
-                let (state, answered) = store_response(answered).await;
+            Ok(response) => {
+                let (state, response) = store_response(response).await;
                 self.end(Some(state));
-                answered
+                response
             }
             Err(reason) => {
                 let state = (reason.fate() == Fate::Unknown).then_some(State::InDoubt);
--- a/src/idempotency/sidecars.rs
+++ b/src/idempotency/sidecars.rs
@@ -30,14 +30,14 @@
         .map(|member| {
             let open = member.offer.as_ref().is_some_and(|offer| offer.open);
             let serving = open && member.stage.takes_calls() && !leaving.contains(&member.peer);
-            let standing = if serving {
+            let liveness = if serving {
                 Liveness::Serving
             } else {
                 Liveness::Leaving
             };
             Peer {
                 address: member.peer,
-                liveness: standing,
+                liveness,
             }
         });
     let lost = roster
