--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -1,8 +1,8 @@
-//! Relaying versions between daemons.
+//! Distribution of versions between daemons.
 //!
-//! Within a data centre the daemons form a tree by rendezvous rank. A daemon that gets a newer
-//! version sends it to its children; a daemon that pulled it, outside the tree, also sends it to
-//! the root. The digest on every probe and answer repairs whatever the tree lost.
+//! The daemons of a data centre form a tree by rendezvous rank. A daemon that gets a newer version
+//! pushes it to its children; a daemon that pulled it, outside the tree, also pushes it to the root.
+//! The digests on probes and their replies repair what the tree has lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +16,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::board::Board;
-use crate::configuration::config::{Store, Way};
-use crate::configuration::exchange::{Digest, Packed, Pull, Reply};
+use crate::configuration::exchange::{CompressedUpdate, Digest, Pull, Reply};
 use crate::configuration::fetches::Fetches;
+use crate::configuration::store::{Channel, Store};
 use crate::error::Result;
 use crate::membership::member::{Health, Member};
 use crate::peer::Links;
@@ -27,18 +27,19 @@
 use crate::wire;
 
 /// Path of a pushed update.
-pub const PUSH: &str = "/control/push";
-/// Path of a request for content.
-pub const PULL: &str = "/control/pull";
+pub const PUSH_PATH: &str = "/control/push";
+/// Path of a pull.
+pub const PULL_PATH: &str = "/control/pull";
 
-/// Longest time that a daemon is told to wait before it asks again.
-const COME_BACK_MS: u64 = 250;
-/// Times that a busy peer is asked.
-const PULL_TRIES: usize = 5;
+/// Longest time that a daemon is told to wait before it pulls again.
+const MAX_RETRY_DELAY_MS: u64 = 250;
+/// Most requests to one peer in a pull.
+const MAX_PULL_ATTEMPTS: usize = 5;
 
-/// The daemons of one data centre in rendezvous order: the same on every daemon with the same view.
+/// The alive daemons of one data centre in rendezvous order, which is the same on every daemon with the
+/// same view.
 #[must_use]
-pub fn order(members: &[Member], home: &DataCentre) -> Vec<SocketAddr> {
+pub fn rendezvous_order(members: &[Member], home: &DataCentre) -> Vec<SocketAddr> {
     let here = members
         .iter()
         .filter(|m| m.data_centre == *home && m.health == Health::Alive);
@@ -49,17 +50,17 @@
     ranked.into_iter().map(|(_, peer)| peer).collect()
 }
 
-/// Children of `me` in the tree over `order`, where each daemon has up to `fanout`.
+/// Children of `me` in the tree over `order`, in which each daemon has up to `fanout` children.
 #[must_use]
 pub fn children(order: &[SocketAddr], me: SocketAddr, fanout: usize) -> Vec<SocketAddr> {
-    let Some(place) = order.iter().position(|peer| *peer == me) else {
+    let Some(index) = order.iter().position(|peer| *peer == me) else {
         return Vec::new();
     };
-    let first = place * fanout + 1;
+    let first = index * fanout + 1;
     order.iter().skip(first).take(fanout).copied().collect()
 }
 
-/// Sends and fetches content.
+/// Pushes and pulls versions.
 #[derive(Debug)]
 pub struct Relay {
     board: Arc<Board>,
@@ -67,7 +68,7 @@
     links: Arc<Links>,
     transfers: Semaphore,
     fetches: Fetches,
-    /// Whether the version in force came by a pull, outside the tree.
+    /// Whether a version was pulled, outside the tree, since the last push.
     pulled: AtomicBool,
 }
 
@@ -86,61 +87,61 @@
         }
     }
 
-    /// Pushes each newer version on, for as long as the daemon runs.
+    /// Pushes each newer version, for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         let mut versions = self.board.versions();
         while versions.changed().await.is_ok() {
             versions.borrow_and_update();
             if self.board.settings.delivery != Delivery::Poll {
-                self.push_all();
+                self.push_to_children();
             }
         }
     }
 
-    /// Takes a pushed update.
+    /// Handles a push.
     #[must_use]
-    pub fn take(&self, reply: Reply) -> Reply {
+    pub fn accept_push(&self, reply: Reply) -> Reply {
         let Reply::Update(packed) = reply else {
             return Reply::Have(self.board.digest());
         };
-        match self.accept(&packed, Way::Push) {
+        match self.accept(&packed, Channel::Push) {
             Ok(digest) => Reply::Have(digest),
             Err(_) => Reply::Need(self.board.digest()),
         }
     }
 
-    fn accept(&self, packed: &Packed, way: Way) -> Result<Digest> {
-        self.store.accept(packed.unpack()?, way)
+    fn accept(&self, packed: &CompressedUpdate, way: Channel) -> Result<Digest> {
+        self.store.accept(packed.decompress()?, way)
     }
 
-    /// Answers a request for content; whole documents only a few at a time.
-    pub async fn serve(&self, pull: &Pull) -> Bytes {
+    /// Handles a pull; only a few whole documents are sent at the same time.
+    pub async fn answer_pull(&self, pull: &Pull) -> Bytes {
         let digest = self.board.digest();
         if digest.version <= pull.have {
             return wire::encode(&Reply::Have(digest));
         }
-        let parcel = self.store.parcel(pull.have);
-        if !parcel.whole {
-            return parcel.reply;
+        let update = self.store.encoded_update(pull.have);
+        if !update.whole {
+            return update.reply;
         }
-        // Guards against a storm: after a data centre's power cut, hundreds of daemons ask at
-        // once, and sending to all would take the sender's processor and links from its calls.
+        // After a power cut of a data centre, hundreds of daemons pull at once. Sending to all of them
+        // would take processor time and bandwidth from the sender's calls.
         let Ok(_transfer) = self.transfers.try_acquire() else {
-            let wait = rand::rng().random_range(COME_BACK_MS / 5..=COME_BACK_MS);
+            let wait = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..=MAX_RETRY_DELAY_MS);
             return wire::encode(&Reply::Busy(Millis(wait)));
         };
         tokio::task::yield_now().await;
-        parcel.reply
+        update.reply
     }
 
-    /// Fetches what `peer` has in force, unless enough fetches are under way.
+    /// Pulls the active version of `peer`, unless [`Fetches`] allows no further fetch now.
     ///
     /// # Errors
     ///
-    /// As [`Links::send`], or what is wrong with the content.
+    /// As [`Links::send`].
     pub async fn pull(&self, peer: SocketAddr) -> Result<Digest> {
         let began = Instant::now();
-        let Some(_ticket) = self.fetches.begin(peer, began) else {
+        let Some(_fetch) = self.fetches.try_begin(peer, began) else {
             return Ok(self.board.digest());
         };
         let result = self.fetch(peer).await;
@@ -153,14 +154,14 @@
 
     async fn fetch(&self, peer: SocketAddr) -> Result<Digest> {
         let mut have = self.board.digest().version;
-        for _ in 0..PULL_TRIES {
-            match self.links.send(peer, PULL, &Pull { have }).await? {
-                Reply::Update(packed) => match self.accept(&packed, Way::Pull) {
+        for _ in 0..MAX_PULL_ATTEMPTS {
+            match self.links.send(peer, PULL_PATH, &Pull { have }).await? {
+                Reply::Update(packed) => match self.accept(&packed, Channel::Pull) {
                     Ok(digest) => {
                         self.pulled.store(true, Ordering::Release);
                         return Ok(digest);
                     }
-                    // The base has moved meanwhile or is not what it seemed: ask for the whole.
+                    // The base was replaced meanwhile or differs: request the whole document.
                     Err(_) => have = Version(0),
                 },
                 Reply::Busy(wait) => tokio::time::sleep(wait.duration()).await,
@@ -170,56 +171,60 @@
         Ok(self.board.digest())
     }
 
-    fn push_all(self: &Arc<Self>) {
+    fn push_to_children(self: &Arc<Self>) {
         let settings = &self.board.settings;
         let roster = self.board.roster();
-        let order = order(&roster.members, &settings.data_centre);
+        let order = rendezvous_order(&roster.members, &settings.data_centre);
         let mut receivers = children(&order, settings.identity(), settings.fanout);
-        let outside = self.pulled.swap(false, Ordering::AcqRel);
+        let pulled = self.pulled.swap(false, Ordering::AcqRel);
         let root = order
             .first()
-            .filter(|root| outside && **root != settings.identity());
+            .filter(|root| pulled && **root != settings.identity());
         receivers.extend(root);
-        let parcel = self.store.parcel(self.store.previous());
+        let update = self.store.encoded_update(self.store.previous_version());
         for peer in receivers {
             let relay = Arc::clone(self);
-            let (reply, order) = (parcel.reply.clone(), order.clone());
+            let (reply, order) = (update.reply.clone(), order.clone());
             tokio::spawn(async move { relay.push(peer, reply, &order).await });
         }
     }
 
     async fn push(&self, peer: SocketAddr, reply: Bytes, order: &[SocketAddr]) {
-        let mut waiting = vec![(peer, reply)];
-        while let Some((peer, reply)) = waiting.pop() {
+        let mut pending = vec![(peer, reply)];
+        while let Some((peer, reply)) = pending.pop() {
             if self.deliver(peer, reply.clone()).await.is_ok() {
                 continue;
             }
-            // Guards against a dead parent: until the view drops it, its whole branch would wait
-            // for a probe. Its children are served in its place.
+            // Until the view drops a dead parent, its whole branch would have to wait for a probe.
+            // Push to its children instead.
             debug!(self.board.logger, "push failed"; "peer" => %peer);
-            let orphans = children(order, peer, self.board.settings.fanout);
-            waiting.extend(orphans.into_iter().map(|orphan| (orphan, reply.clone())));
+            let grandchildren = children(order, peer, self.board.settings.fanout);
+            pending.extend(
+                grandchildren
+                    .into_iter()
+                    .map(|child| (child, reply.clone())),
+            );
         }
     }
 
-    async fn deliver(&self, peer: SocketAddr, reply: Bytes) -> Result<()> {
-        let answer: Reply = self.links.exchange(peer, PUSH, reply).await?;
-        if let Reply::Need(digest) = answer
+    async fn deliver(&self, peer: SocketAddr, update: Bytes) -> Result<()> {
+        let reply: Reply = self.links.exchange(peer, PUSH_PATH, update).await?;
+        if let Reply::Need(digest) = reply
             && digest.version < self.board.digest().version
         {
-            let parcel = self.store.parcel(digest.version);
-            let answer: Reply = self.links.exchange(peer, PUSH, parcel.reply).await?;
-            if let Reply::Need(_) = answer {
-                let whole = self.store.parcel(Version(0));
-                let _: Reply = self.links.exchange(peer, PUSH, whole.reply).await?;
+            let update = self.store.encoded_update(digest.version);
+            let reply: Reply = self.links.exchange(peer, PUSH_PATH, update.reply).await?;
+            if let Reply::Need(_) = reply {
+                let whole = self.store.encoded_update(Version(0));
+                let _: Reply = self.links.exchange(peer, PUSH_PATH, whole.reply).await?;
             }
         }
         Ok(())
     }
 }
 
-/// A random part of `span`: full jitter, so that a herd does not stay one.
+/// A random part of `duration`: full jitter, which spreads out daemons that act at the same time.
 #[must_use]
-pub fn jitter(span: Duration) -> Duration {
-    span.mul_f64(rand::rng().random_range(0.0..1.0))
+pub fn jitter(duration: Duration) -> Duration {
+    duration.mul_f64(rand::rng().random_range(0.0..1.0))
 }
--- a/src/configuration/config.rs
+++ b/src/configuration/store.rs
@@ -1,7 +1,7 @@
-//! The configuration controller: the fold, what is in force, and content for peers.
+//! The configuration controller: the replica, the active version, and updates for peers.
 //!
-//! Everything that may change the configuration goes through [`Store`], which keeps the fold, puts
-//! each newer version on the board as one swap, and encodes content for peers once.
+//! Every change of the configuration goes through [`Store`], which holds the replica, installs each
+//! newer version on the board in one swap, and encodes updates for peers once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -14,30 +14,31 @@
 use crate::configuration::check;
 use crate::configuration::delta::Delta;
 use crate::configuration::document::Document;
-use crate::configuration::exchange::{Body, Digest, Packed, Reply, Update};
-use crate::configuration::fold::{
-    Base, Checkpoint, Content, Edit, Fold, Proposal, Record, Verdict,
-};
+use crate::configuration::exchange::{Body, CompressedUpdate, Digest, Reply, Update};
 use crate::configuration::log::Stored;
+use crate::configuration::replica::{
+    Base, Checkpoint, Content, Edit, Proposal, Record, Replica, Verdict,
+};
 use crate::error::{Error, Result};
 use crate::settings::Delivery;
 use crate::units::{EditId, Offset, Version};
 use crate::wire;
 
-/// Earlier versions that deltas can start from; whoever is further behind takes the whole document.
+/// Versions that deltas can start from, the active one included; peers that are further behind get the
+/// whole document.
 ///
-/// A document of some hundred routes takes about half a megabyte of memory.
-const HISTORY: usize = 4;
+/// A document with some hundred routes takes about half a megabyte of memory.
+const MAX_HISTORY: usize = 4;
 
-/// How a version reaches a daemon.
+/// How a version reached this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Way {
-    /// Read from the log or the platform.
+pub enum Channel {
+    /// Read from the log or the control plane.
     Read,
-    /// Sent by a peer.
+    /// Pushed by a peer.
     Push,
-    /// Fetched from a peer.
+    /// Pulled from a peer.
     Pull,
 }
 
@@ -50,42 +51,42 @@
 
 #[derive(Debug)]
 struct State {
-    fold: Fold,
-    /// Documents that were in force, oldest first, the current one last.
-    history: Vec<Past>,
-    /// Encoded updates to the current version, by the version they start from.
-    encoded: Vec<Encoded>,
+    replica: Replica,
+    /// Recently active documents, oldest first, the active one last.
+    history: Vec<HistoryEntry>,
+    /// Encoded updates to the active version, one for each base version requested so far.
+    encoded: Vec<CachedUpdate>,
     checkpoint_seen: Instant,
 }
 
 #[derive(Debug)]
-struct Past {
+struct HistoryEntry {
     version: Version,
     document: Arc<Document>,
 }
 
 #[derive(Debug)]
-struct Encoded {
+struct CachedUpdate {
     base: Version,
     reply: Bytes,
     whole: bool,
 }
 
-/// Content for a peer, encoded.
+/// An encoded update for a peer.
 #[derive(Debug, Clone)]
-pub struct Parcel {
+pub struct EncodedUpdate {
     /// A [`Reply::Update`].
     pub reply: Bytes,
-    /// Whether it is a whole document.
+    /// Whether it contains the whole document.
     pub whole: bool,
 }
 
 impl Store {
-    /// A store that holds nothing.
+    /// An empty store.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let state = State {
-            fold: Fold::new(),
+            replica: Replica::new(),
             history: Vec::new(),
             encoded: Vec::new(),
             checkpoint_seen: Instant::now(),
@@ -96,24 +97,24 @@
         }
     }
 
-    /// First offset not folded yet.
+    /// Offset of the next record to apply.
     #[must_use]
     pub fn next(&self) -> Offset {
-        self.state().fold.next()
+        self.state().replica.next()
     }
 
-    /// The state to write to the log; `None` while records are missing or there is nothing.
+    /// The state to write to the log; `None` while records are missing or no version is active.
     #[must_use]
     pub fn checkpoint(&self) -> Option<Checkpoint> {
         let state = self.state();
-        let known = !state.fold.gapped() && state.fold.version() > Version(0);
-        known.then(|| state.fold.checkpoint().clone())
+        let known = !state.replica.has_gap() && state.replica.version() > Version(0);
+        known.then(|| state.replica.checkpoint().clone())
     }
 
     /// Whether records are missing.
     #[must_use]
-    pub fn gapped(&self) -> bool {
-        self.state().fold.gapped()
+    pub fn has_gap(&self) -> bool {
+        self.state().replica.has_gap()
     }
 
     /// Time since a checkpoint was read from the log.
@@ -122,39 +123,39 @@
         self.state().checkpoint_seen.elapsed()
     }
 
-    /// Verdict on an edit, while it is remembered.
+    /// Verdict on an edit, if it is still remembered.
     #[must_use]
     pub fn verdict(&self, id: &EditId) -> Option<Verdict> {
-        self.state().fold.verdict(id).cloned()
+        self.state().replica.verdict(id).cloned()
     }
 
-    /// The edit for a proposal, in the fewest bytes.
+    /// The edit for a proposal: a delta where possible, otherwise the whole document.
     #[must_use]
-    pub fn prepare(&self, proposal: Proposal) -> Edit {
+    pub fn build_edit(&self, proposal: Proposal) -> Edit {
         let state = self.state();
         let Proposal { id, base, document } = proposal;
         let document = document.sorted();
-        // Every fold that could accept the edit holds its base, so the changes are enough.
-        let known = base == Base::Version(state.fold.version());
+        // Every replica that could accept the edit holds its base, so the delta is enough.
+        let known = base == Base::Version(state.replica.version());
         let content = if known && self.board.settings.delivery == Delivery::Delta {
-            Content::Delta(Delta::between(state.fold.document(), &document))
+            Content::Delta(Delta::between(state.replica.document(), &document))
         } else {
             Content::Whole(document)
         };
         Edit { id, base, content }
     }
 
-    /// Notes that all records before `first` have expired.
+    /// Records that all records before `first` have expired.
     pub fn expire(&self, first: Offset) {
-        self.state().fold.expire(first);
+        self.state().replica.expire(first);
     }
 
-    /// Folds records of the log that were read from offset `from` on.
-    pub fn fold(&self, from: Offset, records: &[Stored]) {
+    /// Applies records of the log that were read from offset `from` on.
+    pub fn apply_records(&self, from: Offset, records: &[Stored]) {
         let mut state = self.state();
-        // Guards against a page that was asked for before a checkpoint took the fold back: it
+        // The page may have been requested before a checkpoint moved the replica back. Applying it
         // would look as if the records in between had expired.
-        if from > state.fold.next() {
+        if from > state.replica.next() {
             return;
         }
         for stored in records {
@@ -165,100 +166,100 @@
                 }
                 Verdict::Restored => {
                     info!(self.board.logger, "restored from checkpoint";
-                        "version" => state.fold.version().0, "next" => state.fold.next().0);
-                    // Folding goes on from the checkpoint's own place; what follows in this page
-                    // is read again from there.
+                        "version" => state.replica.version().0, "next" => state.replica.next().0);
+                    // The next read starts at the checkpoint's `next`, so the rest of this page is
+                    // read again.
                     break;
                 }
                 _ => {}
             }
         }
-        self.publish(&mut state, Way::Read);
+        self.activate(&mut state, Channel::Read);
     }
 
-    /// Takes an update that came by a way.
+    /// Applies an update that arrived through `channel`, unless it is not newer than the active version.
     ///
     /// # Errors
     ///
-    /// [`Error::Delta`] when it starts from a version that is not in force here, or does not lead
-    /// to what it promises; [`Error::Faults`] when its document contradicts itself.
-    pub fn accept(&self, update: Update, way: Way) -> Result<Digest> {
+    /// [`Error::Delta`] when its base is not the active version, or the result has another hash than
+    /// stated; [`Error::Faults`] when its document is invalid.
+    pub fn accept(&self, update: Update, channel: Channel) -> Result<Digest> {
         let mut state = self.state();
         let Update {
             version,
             body,
             accepted,
         } = update;
-        if version <= state.fold.version() {
+        if version <= state.replica.version() {
             return Ok(self.board.digest());
         }
         let document = match body {
-            Body::Delta { base, delta } if base == state.fold.version() => {
-                delta.apply(state.fold.document())?
+            Body::Delta { base, delta } if base == state.replica.version() => {
+                delta.apply(state.replica.document())?
             }
             Body::Delta { .. } => return Err(Error::Delta),
             Body::Whole(document) => document,
         };
-        // Guards against a peer that sends a document no fold accepted: every daemon checks the
-        // whole of it again, and holds on to what it has when a fault turns up.
+        // A peer may send a document that no replica accepted. Every daemon therefore validates the
+        // whole document again, and keeps its active version if there are faults.
         let faults = check::document(&document);
         if !faults.is_empty() {
-            warn!(self.board.logger, "refused a faulty document"; "way" => %way,
-                "version" => version.0, "keeps" => state.fold.version().0, "faults" => faults.len(),
+            warn!(self.board.logger, "rejected an invalid document"; "way" => %channel,
+                "version" => version.0, "keeps" => state.replica.version().0, "faults" => faults.len(),
                 "first" => faults.first().map(ToString::to_string));
             return Err(Error::Faults { faults });
         }
-        state.fold.adopt(version, Arc::new(document), accepted);
-        self.publish(&mut state, way);
+        state.replica.adopt(version, Arc::new(document), accepted);
+        self.activate(&mut state, channel);
         Ok(self.board.digest())
     }
 
-    /// Content that leads a peer from `have` to what is in force.
+    /// The update that leads a peer from version `have` to the active one.
     #[must_use]
-    pub fn parcel(&self, have: Version) -> Parcel {
+    pub fn encoded_update(&self, have: Version) -> EncodedUpdate {
         let mut state = self.state();
         if let Some(done) = state.encoded.iter().find(|encoded| encoded.base == have) {
-            return Parcel {
+            return EncodedUpdate {
                 reply: done.reply.clone(),
                 whole: done.whole,
             };
         }
         let update = state.update(have, self.board.settings.delivery);
         let whole = matches!(update.body, Body::Whole(_));
-        let reply = wire::encode(&Reply::Update(Packed::new(&update)));
-        state.encoded.push(Encoded {
+        let reply = wire::encode(&Reply::Update(CompressedUpdate::new(&update)));
+        state.encoded.push(CachedUpdate {
             base: have,
             reply: reply.clone(),
             whole,
         });
-        Parcel { reply, whole }
+        EncodedUpdate { reply, whole }
     }
 
-    /// The version in force before the current one: what peers most likely hold.
+    /// The version before the active one, which most peers are likely to hold.
     #[must_use]
-    pub fn previous(&self) -> Version {
+    pub fn previous_version(&self) -> Version {
         let state = self.state();
         let index = state.history.len().checked_sub(2);
         index.map_or(Version(0), |index| state.history[index].version)
     }
 
-    fn publish(&self, state: &mut State, way: Way) {
-        let version = state.fold.version();
+    fn activate(&self, state: &mut State, channel: Channel) {
+        let version = state.replica.version();
         if version <= self.board.digest().version {
             return;
         }
-        let document = Arc::clone(state.fold.document());
+        let document = Arc::clone(state.replica.document());
         state.encoded.clear();
-        state.history.push(Past {
+        state.history.push(HistoryEntry {
             version,
             document: Arc::clone(&document),
         });
-        if state.history.len() > HISTORY {
+        if state.history.len() > MAX_HISTORY {
             state.history.remove(0);
         }
         if self.board.install(Snapshot::compile(version, document)) {
-            info!(self.board.logger, "configuration in force"; "version" => version.0,
-                "way" => %way);
+            info!(self.board.logger, "configuration active"; "version" => version.0,
+                "way" => %channel);
         }
     }
 
@@ -274,17 +275,16 @@
                 if matches!(record, Record::Checkpoint(_)) {
                     self.checkpoint_seen = Instant::now();
                 }
-                self.fold.apply(stored.offset, &record)
+                self.replica.apply(stored.offset, &record)
             }
-            // Something foreign on the stream: it takes an offset and changes nothing, in every
-            // fold alike.
-            Err(_) => self.fold.pass(stored.offset),
+            // A foreign record takes up an offset but changes nothing, in every replica alike.
+            Err(_) => self.replica.skip(stored.offset),
         }
     }
 
     fn update(&self, have: Version, delivery: Delivery) -> Update {
-        let version = self.fold.version();
-        let document = self.fold.document();
+        let version = self.replica.version();
+        let document = self.replica.document();
         let known = self
             .history
             .binary_search_by_key(&have, |past| past.version);
@@ -298,7 +298,7 @@
         Update {
             version,
             body,
-            accepted: self.fold.accepted_since(base),
+            accepted: self.replica.accepted_since(base),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One small daemon runs beside each target. Operators publish a [`document`](configuration::document) of routes, upstream
 //! groups and retry rules to an append-only [`log`](configuration::log); the
-//! [`fold`](configuration::fold) of the log decides, alike on every daemon, which edits are accepted. A few
+//! [`replica`](configuration::replica) of the log decides, alike on every daemon, which edits are accepted. A few
 //! daemons of each data centre read the log and relay versions to the others as
 //! [`delta`](configuration::delta)s. Daemons find each other by the [`membership`] protocol, a
 //! [`view`](membership::view) of [`member`](membership::member)s, without a list.
@@ -19,7 +19,7 @@
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
-//! use jackdawpulley::configuration::fold::{Base, Content, Edit, Fold, Record, Verdict};
+//! use jackdawpulley::configuration::replica::{Base, Content, Edit, Record, Replica, Verdict};
 //! use jackdawpulley::units::{Offset, Version};
 //!
 //! let text = br#"{
@@ -35,9 +35,9 @@
 //!     base: Base::Version(Version(0)),
 //!     content: Content::Whole(document.clone()),
 //! });
-//! let mut fold = Fold::new();
-//! assert_eq!(fold.apply(Offset(0), &edit("a")), Verdict::Accepted { version: Version(1) });
-//! assert_eq!(fold.apply(Offset(1), &edit("b")), Verdict::Conflict { current: Version(1) });
+//! let mut replica = Replica::new();
+//! assert_eq!(replica.apply(Offset(0), &edit("a")), Verdict::Accepted { version: Version(1) });
+//! assert_eq!(replica.apply(Offset(1), &edit("b")), Verdict::Conflict { current: Version(1) });
 //! # Ok::<(), jackdawpulley::Error>(())
 //! ```
 //!
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -11,11 +11,11 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::config::Store;
-use crate::configuration::floor::Floor;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::reader::Reader;
+use crate::configuration::readiness::Requirement;
 use crate::configuration::relay::jitter;
+use crate::configuration::store::Store;
 use crate::error::Result;
 use crate::membership::announce::Endpoint;
 use crate::membership::contacts::{Contacts, RENEWAL_INTERVAL};
@@ -61,7 +61,7 @@
     /// List of contacts on the log.
     pub contacts: Contacts,
     /// Control plane, if one keeps the configuration and lists daemons.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// Stored quarantine notes.
     pub archive: Archive,
     /// Endpoint that finds the target of a daemon that was killed.
@@ -146,7 +146,7 @@
             let peers_suffice = (list_received || late)
                 && welcomes
                     .floor
-                    .met_by_peers(version, self.count_data_centres());
+                    .is_met_by_peers(version, self.count_data_centres());
             if has_version && !waits_for_welcome && (read || peers_suffice) {
                 break;
             }
@@ -229,7 +229,7 @@
         let reader = Arc::clone(&self.reader);
         Box::pin(async move {
             tokio::time::sleep(pause).await;
-            reader.turn(FIRST_VERSION_WAIT).await
+            reader.read_once(FIRST_VERSION_WAIT).await
         })
     }
 
@@ -308,13 +308,13 @@
             let floor = &mut welcomes.floor;
             let log_read = self.read_log(floor).await;
             let version = self.board.digest().version;
-            if log_read && floor.met_by_log(version, self.store.next()) {
+            if log_read && floor.is_met_by_log(version, self.store.next()) {
                 return;
             }
             let before_deadline = began.elapsed() < self.board.settings.log_patience_ms.duration();
             if !log_read
                 && !before_deadline
-                && floor.met_by_peers(version, self.count_data_centres())
+                && floor.is_met_by_peers(version, self.count_data_centres())
             {
                 warn!(self.board.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
                 return;
@@ -331,12 +331,12 @@
     }
 
     /// Reads the log to its head; returns `false` while it is unavailable.
-    async fn read_log(&self, floor: &mut Floor) -> bool {
+    async fn read_log(&self, floor: &mut Requirement) -> bool {
         loop {
-            let Ok(head) = self.reader.turn(Millis(0)).await else {
+            let Ok(head) = self.reader.read_once(Millis(0)).await else {
                 return false;
             };
-            floor.read_head(head);
+            floor.set_log_head(head);
             if self.store.next() >= head {
                 return true;
             }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -8,7 +8,7 @@
 
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::origin::{Contact, Directory, Origin};
+use crate::configuration::control_plane::{Contact, ControlPlane, Directory};
 use crate::error::Result;
 use crate::membership::seeds::Peers;
 use crate::units::Millis;
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone)]
 pub struct Registration {
     board: Arc<Board>,
-    origin: Arc<dyn Origin>,
+    origin: Arc<dyn ControlPlane>,
 }
 
 impl Registration {
     /// Creates the registration of the daemon of `board` in the list of `origin`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
+    pub const fn new(board: Arc<Board>, origin: Arc<dyn ControlPlane>) -> Self {
         Self { board, origin }
     }
 
@@ -64,11 +64,11 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::list`].
+    /// As [`ControlPlane::register`].
     pub async fn register(&self) -> Result<()> {
         // The request may succeed although no response arrives.
         self.board.set_listed();
-        self.origin.list(&self.contact()).await
+        self.origin.register(&self.contact()).await
     }
 
     /// Reads the whole list, and lists this daemon if too few of those listed are members.
@@ -94,20 +94,23 @@
     /// As [`Origin::unlist`].
     pub async fn deregister(&self) -> Result<()> {
         if self.board.is_listed() {
-            self.origin.unlist(&self.contact()).await?;
+            self.origin.deregister(&self.contact()).await?;
         }
         Ok(())
     }
 
     /// Reads the list, and restores the quarantine notes that come with it; deletes those that are outdated.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
-        let Directory { contacts, notes } = self.origin.directory(enough).await?;
+        let Directory {
+            contacts,
+            quarantine_records,
+        } = self.origin.directory(enough).await?;
         let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
-        self.board.quarantine.restore(&notes, now);
-        for (cause, note) in notes {
+        self.board.quarantine.restore(&quarantine_records, now);
+        for (cause, note) in quarantine_records {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // A note that cannot be deleted is read again and has no effect.
-                let _ = self.origin.note(cause, None).await;
+                let _ = self.origin.set_quarantine_record(cause, None).await;
             }
         }
         Ok(contacts)
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -21,7 +21,7 @@
 use crate::membership::member::{Health, Member, Offer, Stage};
 use crate::membership::rounds::Rounds;
 use crate::membership::timing::Timing;
-use crate::units::{DataCentre, Era, Incarnation, Slots, Version};
+use crate::units::{DataCentre, Generation, Incarnation, Slots, Version};
 use crate::wire;
 
 /// Daemons that are asked for an indirect probe; also receivers of a change of the own entry.
@@ -77,7 +77,7 @@
     me: Member,
     digest: Digest,
     watermark: Option<Report>,
-    era: Era,
+    era: Generation,
     gossip_hash: u64,
     entries: Entries,
     pending: Vec<Pending>,
@@ -96,7 +96,7 @@
             me,
             digest: Digest::default(),
             watermark: None,
-            era: Era(0),
+            era: Generation(0),
             gossip_hash: 0,
             entries: Entries::default(),
             pending: Vec::new(),
@@ -143,7 +143,7 @@
     }
 
     /// Sets the highest generation of the control plane's store that the own daemon knows.
-    pub const fn set_era(&mut self, era: Era) {
+    pub const fn set_era(&mut self, era: Generation) {
         self.era = era;
     }
 
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -16,10 +16,10 @@
 use crate::calls::sidecar::Sidecar;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
-use crate::configuration::fold::Proposal;
 use crate::configuration::publish::Publisher;
+use crate::configuration::replica::Proposal;
 use crate::error::{Error, Result};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::member::Member;
 use crate::operation::state::{Brief, Dump};
 use crate::rollout::progress::Progress;
@@ -83,7 +83,7 @@
     /// Read for the state dump.
     pub gate: Arc<Sidecar>,
     /// Read for the state dump.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Renders metrics.
     pub metrics: Option<PrometheusHandle>,
 }
@@ -188,7 +188,7 @@
     fn gauge(&self) {
         let control = self.board.meter.read();
         metrics::gauge!("jackdaw_config_version").set(self.board.digest().version.0 as f64);
-        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.offered().0 as f64);
+        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.received().0 as f64);
         metrics::gauge!("jackdaw_members").set(self.board.roster().members.len() as f64);
         metrics::gauge!("jackdaw_in_flight").set(self.board.in_flight() as f64);
         metrics::counter!("jackdaw_control_bytes_total", "to" => "peers")
@@ -217,7 +217,7 @@
 
     fn look_up(&self, id: &str) -> Answer {
         let id = EditId::from(id);
-        match self.publisher.known(&id) {
+        match self.publisher.verdict(&id) {
             Ok(Some(version)) => answer(&id, Ok(version)),
             Ok(None) => answer(&id, Err(Error::Undecided { id: id.clone() })),
             Err(error) => answer(&id, Err(error)),
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -16,7 +16,7 @@
 use crate::rollout::plan::Step;
 use crate::rollout::progress::LocalProgress;
 use crate::rollout::significance::Test;
-use crate::units::{CallKey, Era, Revision, Service};
+use crate::units::{Generation, IdempotencyKey, Revision, Service};
 
 /// Interval between ticks during a rollout.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
@@ -39,7 +39,7 @@
     /// Synchronization of the status with the platform.
     pub sync: Arc<PlatformSync>,
     /// Time and era of the last call to the platform.
-    pub last_checked: Option<(Instant, Era)>,
+    pub last_checked: Option<(Instant, Generation)>,
     step: Step,
     step_since: Instant,
     /// When requests were counted last, and the counts of the new and the old revision then.
@@ -201,7 +201,7 @@
     service: &Service,
     members: impl Iterator<Item = &'a Member>,
 ) -> Vec<SocketAddr> {
-    let key = CallKey(service.to_string());
+    let key = IdempotencyKey(service.to_string());
     let mut peers: Vec<SocketAddr> = members.map(|member| member.peer).collect();
     peers.sort_by_cached_key(|peer| Reverse(keys::rank(&key, *peer)));
     peers
--- a/tests/ledger.rs
+++ b/tests/claim_ledger.rs
@@ -1,18 +1,21 @@
-//! Claims on the log: one holder at a time, the first in log order.
+//! Claims on the log: a key has one holder at a time, the first claim in log order.
 
 mod common;
 
 use common::fixed;
 use jackdawpulley::idempotency::keys::Holder;
 use jackdawpulley::idempotency::ledger::{Claim, Entry, Ledger};
-use jackdawpulley::units::{CallKey, Offset};
+use jackdawpulley::units::{IdempotencyKey, Offset};
 use proptest::prelude::*;
 
 fn claim(key: u8, gate: u16, number: u64) -> Claim {
     let gate = ([127, 0, 0, 1], gate).into();
     Claim {
-        key: CallKey(format!("till/{key}")),
-        holder: Holder { gate, life: 1 },
+        key: IdempotencyKey(format!("till/{key}")),
+        holder: Holder {
+            sidecar: gate,
+            run_id: 1,
+        },
         number,
     }
 }
@@ -31,16 +34,16 @@
 proptest! {
     #![proptest_config(fixed(400))]
 
-    /// Gates fold the same records in pages of their own, and some records twice. All have to
-    /// name the same holder of every key, or two of them would run it.
+    /// Guards against a key that two sidecars run since their ledgers name different holders, although they
+    /// applied the same records, some of them twice.
     #[test]
-    fn every_gate_names_the_same_holder(
+    fn all_ledgers_name_the_same_holder(
         records in prop::collection::vec(prop::collection::vec(entry(), 1..4), 1..40),
         repeats in prop::collection::vec(0_usize..40, 0..20),
     ) {
         let mut one = Ledger::new(Offset(0));
         let mut other = Ledger::new(Offset(0));
-        // The plain rule: first claim holds until its own release.
+        // The reference: the first claim holds until its own release.
         let mut holders: Vec<Option<Claim>> = vec![None; 4];
         for (offset, entries) in records.iter().enumerate() {
             one.apply(Offset(offset as u64), 0, entries);
@@ -68,10 +71,10 @@
     }
 }
 
-/// A gate's claim loses, and its release of that claim arrives late. Were it to free the key, a
-/// third gate would run what the winner is running.
+/// Guards against a late release of a claim that lost. If it freed the key, a third sidecar would run it
+/// while the winner does.
 #[test]
-fn loser_cannot_free_the_key() {
+fn losing_claim_cannot_free_the_key() {
     let mut ledger = Ledger::new(Offset(0));
     let (winner, loser) = (claim(1, 1, 0), claim(1, 2, 0));
     ledger.apply(
@@ -88,7 +91,7 @@
     let mut ledger = Ledger::new(Offset(5));
     ledger.apply(Offset(5), 1_000, &[Entry::Claim(claim(1, 1, 0))]);
     ledger.apply(Offset(6), 2_000, &[Entry::Claim(claim(2, 1, 0))]);
-    ledger.forget(1_500);
+    ledger.forget_before(1_500);
     assert_eq!(ledger.len(), 1);
     assert!(ledger.holder(&claim(1, 1, 0).key).is_none());
 }
--- a/tests/rollout_decisions.rs
+++ b/tests/rollout_decisions.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
-use jackdawpulley::configuration::origin::Position;
+use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::membership::member::{Health, Member, Offer, Stage};
 use jackdawpulley::membership::roster::{Departed, Roster};
 use jackdawpulley::rollout::analysis::Analysis;
@@ -21,7 +21,7 @@
 use jackdawpulley::rollout::stable::Revisions;
 use jackdawpulley::rollout::tracker::{Sidecars, Tracker};
 use jackdawpulley::units::{
-    DataCentre, Era, Incarnation, Millis, Offset, Revision, Service, Slots,
+    DataCentre, Generation, Incarnation, Millis, Offset, Revision, Service, Slots,
 };
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
 
 fn at(era: u64, offset: u64) -> Position {
     Position {
-        era: Era(era),
+        generation: Generation(era),
         offset: Offset(offset),
     }
 }
