--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -10,7 +10,6 @@
 use http::{HeaderValue, Response};
 use volo_http::body::Body;
 
-use crate::board::Board;
 use crate::calls::balancer::Balancer;
 use crate::calls::call::{Attempt, Call};
 use crate::calls::outcome::{OUTCOME, Outcome, REASON, Reason};
@@ -20,6 +19,7 @@
 use crate::configuration::document::{Ejection, Retry};
 use crate::membership::roster::Upstream;
 use crate::settings::{Retries, Settings};
+use crate::shared_state::SharedState;
 
 /// Divisor of the time left: after that part, a repeatable call is also sent to a second upstream.
 const HEDGE_DELAY_DIVISOR: u32 = 2;
@@ -36,7 +36,7 @@
 /// Makes attempts on behalf of an ingress.
 #[derive(Debug)]
 pub struct Sender {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     sidecar: Arc<Sidecar>,
     budgets: Budgets,
     /// Chooses the upstream of each attempt.
@@ -46,29 +46,29 @@
 impl Sender {
     /// A sender that passes calls for the local target directly to `sidecar`.
     #[must_use]
-    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
+    pub fn new(shared: Arc<SharedState>, sidecar: Arc<Sidecar>) -> Self {
         let Settings {
             retry_reserve,
             shared_reserve,
             ..
-        } = board.settings;
+        } = shared.settings;
         Self {
-            chooser: Balancer::new(Arc::clone(&board)),
+            chooser: Balancer::new(Arc::clone(&shared)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
-            board,
+            shared,
             sidecar,
         }
     }
 
     /// The retry budget of a call's service.
     pub fn budget(&self, call: &Call) -> Arc<Budget> {
-        let daemons = self.board.roster().members.len();
+        let daemons = self.shared.roster().members.len();
         self.budgets.for_service(&call.metadata.service, daemons)
     }
 
     /// Withdraws one more request from the retry budget; `false` if the budget does not allow it.
     pub fn withdraw_retry(&self, rule: &Retry, call: &Call) -> bool {
-        let fixed = self.board.settings.retries == Retries::Fixed;
+        let fixed = self.shared.settings.retries == Retries::Fixed;
         fixed
             || self
                 .budget(call)
@@ -86,7 +86,7 @@
         let expected_time = self.chooser.expected_time(upstream, &typical);
         let mut first =
             Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
-        let fixed = self.board.settings.retries == Retries::Fixed;
+        let fixed = self.shared.settings.retries == Retries::Fixed;
         // The first attempt is counted once it has failed or a second one starts.
         let alone = fixed || !call.may_hedge() || self.chooser.is_suspect(call);
         if alone || call.attempts + 2 > rule.attempts {
@@ -127,7 +127,7 @@
         let route = attempt.metadata.route.clone();
         let began = Instant::now();
         let exchange = async {
-            if upstream.peer == self.board.settings.identity() {
+            if upstream.peer == self.shared.settings.identity() {
                 Ok(self.sidecar.run(attempt.metadata, attempt.request).await)
             } else {
                 attempt.forward(upstream).await
@@ -146,7 +146,7 @@
         };
         let experience = &self.chooser.statistics;
         if experience.record(upstream, seen, load, began, &route) {
-            let roster = self.board.roster();
+            let roster = self.shared.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
             let ejected = upstreams.iter().filter(|other| other.ejected(now)).count();
--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -10,7 +10,6 @@
 use rand::{RngExt, SeedableRng};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::board::Board;
 use crate::calls::call::Call;
 use crate::calls::latency::Baseline;
 use crate::calls::pick::{self, Candidate, Cost};
@@ -18,12 +17,13 @@
 use crate::idempotency::keys;
 use crate::membership::roster::{Roster, Upstream};
 use crate::rollout::rules::Side;
+use crate::shared_state::SharedState;
 use crate::units::{IdempotencyKey, Revision};
 
 /// Load balancer over the upstreams of the current roster.
 #[derive(Debug)]
 pub struct Balancer {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     /// Statistics learnt from responses.
     pub statistics: Statistics,
 }
@@ -31,9 +31,9 @@
 impl Balancer {
     /// Creates a balancer without statistics.
     #[must_use]
-    pub fn new(board: Arc<Board>) -> Self {
+    pub fn new(shared: Arc<SharedState>) -> Self {
         Self {
-            board,
+            shared,
             statistics: Statistics::default(),
         }
     }
@@ -44,7 +44,7 @@
     /// another data centre would displace a local one there. It may use a free remote slot, but
     /// waits only for the time that its transfer cost leaves.
     pub fn expected_time(&self, upstream: &Upstream, baseline: &Baseline) -> Duration {
-        let settings = &self.board.settings;
+        let settings = &self.shared.settings;
         let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
         baseline.processing() + upstream.transfer_cost(baseline, far_ms)
     }
@@ -52,7 +52,7 @@
     /// Chooses the upstream for the next attempt, if any is left: by idempotency key if the call
     /// has one, by fingerprint if it must be isolated, else by the configured policy.
     pub fn choose(&self, call: &Call) -> Option<Arc<Upstream>> {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let untried = self.eligible(&roster, call);
         let by_key = |key: &IdempotencyKey| {
             let indices = 0..untried.len();
@@ -77,10 +77,10 @@
         let upstreams = roster.upstreams(service).iter();
         let revisions = upstreams.zip(roster.revisions(service));
         let untried = revisions.filter(|(upstream, _)| !call.tried.contains(&upstream.peer));
-        let rules = self.board.rollouts.rules();
+        let rules = self.shared.rollouts.rules();
         let Some(rule) = rules.get(service) else {
             let stable = roster.stable_revisions.get(service, Instant::now());
-            let staged = self.board.settings.exposure_share.is_some();
+            let staged = self.shared.settings.exposure_share.is_some();
             let may_receive = |revision: &Option<Revision>| {
                 !staged || stable.is_none() || revision.is_none() || revision.as_ref() == stable
             };
@@ -106,7 +106,10 @@
     /// Whether a call must be isolated because targets have crashed while running the same request.
     pub fn is_suspect(&self, call: &Call) -> bool {
         let fingerprint = call.metadata.fingerprint;
-        self.board.quarantine.assessment(fingerprint).must_isolate()
+        self.shared
+            .quarantine
+            .assessment(fingerprint)
+            .must_isolate()
     }
 
     /// Selects one of `upstreams` by the configured policy and returns its index.
@@ -117,7 +120,7 @@
         baseline: &Baseline,
         now: Instant,
     ) -> Option<usize> {
-        let settings = &self.board.settings;
+        let settings = &self.shared.settings;
         let mut rng = SmallRng::from_rng(&mut rand::rng());
         let all = upstreams.iter();
         if settings.pick == pick::Policy::Expected {
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -9,7 +9,6 @@
 use http_body_util::{BodyExt, Full, Limited};
 use volo_http::body::Body;
 
-use crate::board::Snapshot;
 use crate::calls::dialect::Dialect;
 use crate::calls::metadata::{Metadata, write_metadata};
 use crate::calls::outcome::Reason;
@@ -21,6 +20,7 @@
 use crate::membership::roster::Upstream;
 use crate::peer::Failure;
 use crate::quarantine::fingerprint::{Content, Fingerprint};
+use crate::shared_state::Snapshot;
 use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Header with the caller's idempotency key.
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -10,7 +10,6 @@
 use http_body_util::Full;
 use volo_http::body::Body;
 
-use crate::board::{Board, InFlight, Target};
 use crate::calls::admission::{Options, Permit, Queue};
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
@@ -25,6 +24,7 @@
 use crate::quarantine::running::{Completion, Run};
 use crate::rollout::counters::Outcome;
 use crate::settings::Limits;
+use crate::shared_state::{InFlight, SharedState, Target};
 use crate::units::{Millis, Service};
 
 /// Divisor of the time left: a request may wait for a slot for that part.
@@ -69,7 +69,7 @@
 /// Queues requests for the target's slots and runs them.
 #[derive(Debug)]
 pub struct Executor {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     dispatcher: Dispatcher,
     crash_detector: Detector,
     queue: Arc<Queue>,
@@ -78,13 +78,13 @@
 }
 
 impl Executor {
-    /// An executor for the target that the board currently names.
+    /// An executor for the target that the shared state currently names.
     #[must_use]
-    pub fn new(board: Arc<Board>) -> Self {
-        let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
+    pub fn new(shared: Arc<SharedState>) -> Self {
+        let dispatcher = Dispatcher::new(shared.settings.target_idle_ms.duration());
         Self {
-            crash_detector: Detector::new(Arc::clone(&board)),
-            board,
+            crash_detector: Detector::new(Arc::clone(&shared)),
+            shared,
             dispatcher,
             queue: Arc::default(),
             body_queue: Arc::default(),
@@ -111,15 +111,15 @@
 
     /// The target to dispatch to, if it accepts this call now.
     fn target(&self, metadata: &Metadata) -> Result<Arc<Target>, Reason> {
-        if self.board.stage() == Stage::Draining {
+        if self.shared.stage() == Stage::Draining {
             return Err(Reason::Draining);
         }
-        let target = self.board.target().ok_or(Reason::NoTarget)?;
+        let target = self.shared.target().ok_or(Reason::NoTarget)?;
         let now = Instant::now();
         let offered = target.service == metadata.service && now < target.lease_until;
         // An ingress that has not heard of a rollout, or of its end, would keep sending a bad
         // revision its share. So each sidecar also bounds what its target may receive.
-        if offered && self.board.admits(&target, now) {
+        if offered && self.shared.admits(&target, now) {
             Ok(target)
         } else {
             Err(Reason::NoTarget)
@@ -133,7 +133,7 @@
     /// hold idempotency keys, that it can't serve.
     fn handle_failure(&self, reason: Reason, target: &Arc<Target>) {
         if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
-            self.board.drop_target(target);
+            self.shared.drop_target(target);
         }
         if matches!(reason, Reason::Unreachable | Reason::Broken) {
             self.crash_detector.check_target(target);
@@ -142,11 +142,11 @@
 
     /// Number of slots and of queue places of the call's group.
     fn queue_limits(&self, metadata: &Metadata) -> (u32, u32) {
-        if self.board.settings.limits == Limits::Off {
+        if self.shared.settings.limits == Limits::Off {
             return (UNLIMITED, UNLIMITED);
         }
-        let slots = self.board.target().map_or(1, |target| target.slots.0);
-        let config = self.board.config();
+        let slots = self.shared.target().map_or(1, |target| target.slots.0);
+        let config = self.shared.config();
         match config.document.group(&metadata.group) {
             Some(group) => {
                 let bound = group.slots.map_or(slots, |bound| slots.min(bound.0));
@@ -286,7 +286,7 @@
             in_flight,
         } = self.received;
         let left = deadline.saturating_duration_since(Instant::now());
-        let dialect = &executor.board.dialect;
+        let dialect = &executor.shared.dialect;
         write_target_headers(
             request.headers_mut(),
             dialect,
@@ -302,7 +302,7 @@
             began,
         });
         let run = run?;
-        let mut recorder = Recorder::begin(&executor.board, &metadata.route, deadline);
+        let mut recorder = Recorder::begin(&executor.shared, &metadata.route, deadline);
         let exchange = async {
             let sending =
                 executor
@@ -376,7 +376,7 @@
 
 /// Records the outcome of a request for the rollout of its target's revision.
 struct Recorder<'a> {
-    board: &'a Board,
+    shared: &'a SharedState,
     route: &'a str,
     began: Instant,
     deadline: Instant,
@@ -384,10 +384,10 @@
 }
 
 impl<'a> Recorder<'a> {
-    fn begin(board: &'a Board, route: &'a str, deadline: Instant) -> Self {
-        board.rollouts.count_request();
+    fn begin(shared: &'a SharedState, route: &'a str, deadline: Instant) -> Self {
+        shared.rollouts.count_request();
         Self {
-            board,
+            shared,
             route,
             began: Instant::now(),
             deadline,
@@ -405,7 +405,7 @@
             // The request has not run.
             Err(_) => return,
         };
-        self.board.rollouts.count_answer(self.route, outcome);
+        self.shared.rollouts.count_answer(self.route, outcome);
     }
 }
 
@@ -414,7 +414,7 @@
         // Counts requests that a silent target held until their callers gave up, which are dropped
         // here. A caller that leaves earlier proves nothing about the target.
         if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
-            self.board
+            self.shared
                 .rollouts
                 .count_answer(self.route, Outcome::Failed);
         }
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -23,10 +23,10 @@
 use volo_http::context::ServerContext;
 use volo_http::server::{IntoResponse, Router};
 
-use crate::board::Board;
 use crate::calls::callers::{self, Callers};
 use crate::calls::stream::Guarded;
 use crate::configuration::document::Bounds;
+use crate::shared_state::SharedState;
 use crate::units::Version;
 
 /// Delay after a failed accept, which is mostly due to a lack of file descriptors. Some become free
@@ -53,14 +53,14 @@
     /// Constant bounds.
     Fixed(Bounds),
     /// Bounds of the configuration in force.
-    InForce(Arc<Board>),
+    InForce(Arc<SharedState>),
 }
 
 impl BoundsSource {
     fn current(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
-            Self::InForce(board) => board.config().document.bounds,
+            Self::InForce(shared) => shared.config().document.bounds,
         }
     }
 
@@ -69,8 +69,8 @@
     /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
     /// earlier version would refuse with 431 a request that the version in force allows.
     async fn wait_for_larger_head(&self, largest: u32) {
-        if let Self::InForce(board) = self {
-            let mut versions = board.versions();
+        if let Self::InForce(shared) = self {
+            let mut versions = shared.versions();
             let allows = |_: &Version| self.current().max_head > largest;
             if versions.wait_for(allows).await.is_ok() {
                 return;
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -13,7 +13,6 @@
 use slog::{debug, info};
 use volo_http::body::Body;
 
-use crate::board::{Board, Snapshot};
 use crate::calls::attempt::{Reply, Sender};
 use crate::calls::call::Call;
 use crate::calls::outcome::{self, OUTCOME, REASON, Reason};
@@ -23,6 +22,7 @@
 use crate::configuration::document::Retry;
 use crate::membership::member::Stage;
 use crate::membership::roster::Upstream;
+use crate::shared_state::{SharedState, Snapshot};
 use crate::units::{Millis, Service, Version};
 
 /// Header with the configuration version by which a call was routed.
@@ -51,7 +51,7 @@
 /// Serves callers' requests.
 #[derive(Debug)]
 pub struct Ingress {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     calls: AtomicU64,
     sender: Sender,
 }
@@ -59,10 +59,10 @@
 impl Ingress {
     /// An ingress that passes calls for the local target directly to `sidecar`.
     #[must_use]
-    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
+    pub fn new(shared: Arc<SharedState>, sidecar: Arc<Sidecar>) -> Self {
         Self {
-            sender: Sender::new(Arc::clone(&board), sidecar),
-            board,
+            sender: Sender::new(Arc::clone(&shared), sidecar),
+            shared,
             calls: AtomicU64::new(0),
         }
     }
@@ -70,16 +70,16 @@
     /// Serves one request of a caller.
     pub async fn serve(&self, request: Request<Body>) -> Response<Body> {
         let began = Instant::now();
-        let in_flight = self.board.begin();
+        let in_flight = self.shared.begin();
         self.await_start(&request).await;
-        let config = self.board.config();
+        let config = self.shared.config();
         let id = self.call_id(&request);
         let host = request.headers().get(header::HOST).cloned();
         let named = id.as_deref().ok_or(Reason::Unnamed);
         let prepared = match named {
             Ok(id) => tokio::select! {
                 prepared = self.prepare(id, &config, request, began) => prepared,
-                () = self.board.until_cut() => Err(Reason::Draining),
+                () = self.shared.until_cut() => Err(Reason::Draining),
             },
             Err(reason) => Err(reason),
         };
@@ -91,17 +91,17 @@
         let quarantined = response.extensions_mut().remove::<QuarantineEnd>();
         let headers = response.headers_mut();
         if let Ok(id) = HeaderValue::from_str(&id) {
-            headers.insert(&self.board.dialect.call_id, id);
+            headers.insert(&self.shared.dialect.call_id, id);
         }
         headers.remove(LOAD);
-        if self.board.dialect.fractional_retry_after && headers.contains_key(header::RETRY_AFTER) {
+        if self.shared.dialect.fractional_retry_after && headers.contains_key(header::RETRY_AFTER) {
             headers.insert(header::RETRY_AFTER, jittered_retry_after());
         }
         if let Some(QuarantineEnd(until)) = quarantined {
             headers.insert(header::RETRY_AFTER, seconds_until(until));
         }
         headers.insert(VERSION, HeaderValue::from(config.digest.version.0));
-        if self.board.stage().is_stopping() {
+        if self.shared.stage().is_stopping() {
             // A planned stop closes a connection after a response, never within one.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -128,15 +128,15 @@
     /// A restarted daemon is ready a moment after it accepts connections. A caller that was refused
     /// twice meanwhile would have no retries left and lose its request to a short outage.
     async fn await_start(&self, request: &Request<Body>) {
-        if self.board.stage() != Stage::Starting {
+        if self.shared.stage() != Stage::Starting {
             return;
         }
-        let caller_timeout = request.headers().get(&self.board.dialect.timeout);
+        let caller_timeout = request.headers().get(&self.shared.dialect.timeout);
         let caller_timeout = caller_timeout.and_then(|ms| ms.to_str().ok()?.parse::<Millis>().ok());
         let max_wait = caller_timeout.map_or(MAX_START_WAIT, |caller_timeout| {
             caller_timeout.duration() / START_WAIT_DIVISOR
         });
-        let mut stages = self.board.stages();
+        let mut stages = self.shared.stages();
         let started = stages.wait_for(|stage| *stage != Stage::Starting);
         // If the daemon has not started by then, the request is refused later.
         let _ = tokio::time::timeout(max_wait.min(MAX_START_WAIT), started).await;
@@ -150,20 +150,20 @@
         config: &Snapshot,
         began: Instant,
     ) {
-        if self.board.lines.admit(Instant::now()) {
-            info!(self.board.logger, "call refused"; "call" => id, "reason" => reason,
+        if self.shared.lines.admit(Instant::now()) {
+            info!(self.shared.logger, "call refused"; "call" => id, "reason" => reason,
                 "host" => host.and_then(|host| host.to_str().ok()),
                 "version" => config.digest.version.0,
-                "watermark_ms" => self.board.freshness.age(Instant::now()).map(|age| age.0),
+                "watermark_ms" => self.shared.freshness.age(Instant::now()).map(|age| age.0),
                 "after_ms" => Millis::from(began.elapsed()).0);
         }
     }
 
     /// Logs a failed attempt, with the values that decide whether there will be another one.
     fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, will_retry: bool) {
-        if self.board.lines.admit(Instant::now()) {
+        if self.shared.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
-            info!(self.board.logger, "attempt failed"; "call" => &call.metadata.id,
+            info!(self.shared.logger, "attempt failed"; "call" => &call.metadata.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
                 "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
@@ -173,7 +173,7 @@
 
     /// The caller's identifier, or a new one unless only callers may assign them.
     fn call_id(&self, request: &Request<Body>) -> Option<String> {
-        let dialect = &self.board.dialect;
+        let dialect = &self.shared.dialect;
         let given = request
             .headers()
             .get(&dialect.call_id)
@@ -187,7 +187,7 @@
     fn new_id(&self) -> String {
         let count = self.calls.fetch_add(1, Ordering::Relaxed);
         let random = rand::random::<u32>();
-        format!("{}-{count}-{random:08x}", self.board.settings.call_addr)
+        format!("{}-{count}-{random:08x}", self.shared.settings.call_addr)
     }
 
     async fn prepare(
@@ -199,12 +199,12 @@
     ) -> Result<Call, Reason> {
         // A daemon that is stopped before it has any configuration knows no routes, which does not
         // prove that none matches.
-        if self.board.stage() == Stage::Starting || config.digest.version == Version(0) {
+        if self.shared.stage() == Stage::Starting || config.digest.version == Version(0) {
             return Err(Reason::Starting);
         }
-        let Board {
+        let SharedState {
             settings, dialect, ..
-        } = &*self.board;
+        } = &*self.shared;
         if let Some(name) = &dialect.caller_service {
             let service = settings.service.as_ref().map_or("", Service::as_str);
             let value = HeaderValue::from_str(service).map_err(|_| Reason::Unnamed)?;
@@ -241,7 +241,7 @@
         }
         let answered = tokio::select! {
             answered = self.run_attempts(&mut call) => answered,
-            () = self.board.until_cut() => {
+            () = self.shared.until_cut() => {
                 let reason = if call.sent { Reason::CutShort } else { Reason::Draining };
                 call.record_failure(reason);
                 None
@@ -318,7 +318,7 @@
 
     fn refuse(&self, call: &Call) -> Response<Body> {
         let reason = call.reason.unwrap_or(Reason::NoTarget);
-        debug!(self.board.logger, "call failed";
+        debug!(self.shared.logger, "call failed";
             "call" => &call.metadata.id, "reason" => %reason, "tried" => call.tried.len());
         let mut response = outcome::caller_refusal(&call.metadata.id, reason);
         if let Some(until) = self
@@ -332,7 +332,7 @@
 
     /// When the quarantine of a call ends, if targets have crashed while running the same request.
     fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
-        let standing = self.board.quarantine.assessment(call.metadata.fingerprint);
+        let standing = self.shared.quarantine.assessment(call.metadata.fingerprint);
         let until = standing
             .quarantined_until
             .filter(|until| Instant::now() < *until);
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -13,12 +13,12 @@
 use slog::info;
 use volo_http::body::Body;
 
-use crate::board::Board;
 use crate::calls::executor::{Executor, QueueTime, Received};
 use crate::calls::metadata::Metadata;
 use crate::calls::nesting::Detector;
 use crate::calls::outcome::{self, Reason};
 use crate::idempotency::deduplicator::Deduplicator;
+use crate::shared_state::SharedState;
 use crate::units::{Millis, Service};
 
 /// Header with a sidecar's [`Load`].
@@ -27,7 +27,7 @@
 /// Runs requests at the co-located target.
 #[derive(Debug)]
 pub struct Sidecar {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     executor: Arc<Executor>,
     keys: Arc<Deduplicator>,
     /// Locked only briefly, and never across an await.
@@ -75,12 +75,12 @@
 }
 
 impl Sidecar {
-    /// A sidecar for the target that the board currently names.
+    /// A sidecar for the target that the shared state currently names.
     #[must_use]
-    pub fn new(board: Arc<Board>, keys: Arc<Deduplicator>) -> Self {
-        let executor = Arc::new(Executor::new(Arc::clone(&board)));
+    pub fn new(shared: Arc<SharedState>, keys: Arc<Deduplicator>) -> Self {
+        let executor = Arc::new(Executor::new(Arc::clone(&shared)));
         Self {
-            board,
+            shared,
             executor,
             keys,
             origins: Mutex::default(),
@@ -97,7 +97,7 @@
     pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
         let (id, key) = (metadata.id.clone(), metadata.key.clone());
         let nested = self.record_origin(&metadata);
-        let received = Received::new(metadata, request, self.board.begin());
+        let received = Received::new(metadata, request, self.shared.begin());
         let result = match key {
             Some(key) => self.keys.run_once(key, received, &self.executor).await,
             None => self.executor.run(received).await,
@@ -105,12 +105,12 @@
         let mut response = match result {
             Ok(response) => response,
             Err(reason) => {
-                if reason != Reason::Overloaded && self.board.lines.admit(Instant::now()) {
+                if reason != Reason::Overloaded && self.shared.lines.admit(Instant::now()) {
                     let instance = self
-                        .board
+                        .shared
                         .target()
                         .and_then(|target| target.instance.clone());
-                    info!(self.board.logger, "request failed at sidecar"; "call" => &id,
+                    info!(self.shared.logger, "request failed at sidecar"; "call" => &id,
                         "reason" => %reason, "running" => self.load().0,
                         "instance" => instance.map(|instance| instance.0));
                 }
@@ -130,7 +130,7 @@
         if metadata.caller_service == Service::default() {
             return false;
         }
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
         origins.record(
             &metadata.route,
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -9,13 +9,13 @@
 
 use slog::{info, warn};
 
-use crate::board::Board;
 use crate::configuration::check;
 use crate::configuration::log::{Log, Stream};
 use crate::configuration::reader::Reader;
 use crate::configuration::replica::{Proposal, Record, Verdict};
 use crate::configuration::store::Store;
 use crate::error::{Error, Result};
+use crate::shared_state::SharedState;
 use crate::units::{EditId, Millis, Offset, Version};
 
 /// Pause between two attempts.
@@ -24,7 +24,7 @@
 /// Publishes edits on behalf of operators.
 #[derive(Debug)]
 pub struct Publisher {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     store: Arc<Store>,
     reader: Arc<Reader>,
     log: Log,
@@ -33,9 +33,14 @@
 impl Publisher {
     /// A publisher that appends to `log` and learns verdicts through `reader`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, store: Arc<Store>, reader: Arc<Reader>, log: Log) -> Self {
+    pub const fn new(
+        shared: Arc<SharedState>,
+        store: Arc<Store>,
+        reader: Arc<Reader>,
+        log: Log,
+    ) -> Self {
         Self {
-            board,
+            shared,
             store,
             reader,
             log,
@@ -65,7 +70,7 @@
             let offset = match self.log.append(Stream::Config, &record).await {
                 Ok(offset) => Some(offset),
                 Err(error) => {
-                    warn!(self.board.logger, "append not confirmed";
+                    warn!(self.shared.logger, "append not confirmed";
                         "edit" => %id, "error" => %error);
                     None
                 }
@@ -95,7 +100,7 @@
     pub fn verdict(&self, id: &EditId) -> Result<Option<Version>> {
         match self.store.verdict(id) {
             Some(Verdict::Accepted { version }) => {
-                info!(self.board.logger, "edit active"; "edit" => %id, "version" => version.0);
+                info!(self.shared.logger, "edit active"; "edit" => %id, "version" => version.0);
                 Ok(Some(version))
             }
             Some(Verdict::Conflict { current }) => Err(Error::Conflict { current }),
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -11,7 +11,6 @@
 use slog::{debug, info, warn};
 
 use crate::backoff::Backoff;
-use crate::board::Board;
 use crate::configuration::control_plane::{ControlPlane, Release};
 use crate::configuration::exchange::{Body, Update};
 use crate::configuration::fault::Fault;
@@ -25,6 +24,7 @@
 use crate::membership::member::Stage;
 use crate::rollout::order::Change;
 use crate::settings::Delivery;
+use crate::shared_state::SharedState;
 use crate::units::{Millis, Offset, Version};
 
 /// Time that a read waits at the log for a first record.
@@ -46,19 +46,19 @@
 /// A stopping daemon stays a reader until it leaves: callers use their connections until then, and if all
 /// daemons stop together no other daemon would read.
 #[must_use]
-pub fn reader_rank(board: &Board) -> Option<usize> {
-    let settings = &board.settings;
+pub fn reader_rank(shared: &SharedState) -> Option<usize> {
+    let settings = &shared.settings;
     if settings.delivery == Delivery::Poll {
         return Some(0);
     }
-    let order = rendezvous_order(&board.roster().members, &settings.data_centre);
+    let order = rendezvous_order(&shared.roster().members, &settings.data_centre);
     rank(&order, settings.identity()).filter(|rank| *rank < settings.readers)
 }
 
 /// Reads the source while this daemon is a reader.
 #[derive(Debug)]
 pub struct Reader {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     store: Arc<Store>,
     source: Source,
     /// The last fault of an unreadable record that was logged.
@@ -77,9 +77,9 @@
 impl Reader {
     /// A reader of `source` into `store`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, store: Arc<Store>, source: Source) -> Self {
+    pub const fn new(shared: Arc<SharedState>, store: Arc<Store>, source: Source) -> Self {
         Self {
-            board,
+            shared,
             store,
             source,
             last_fault: Mutex::new(None),
@@ -88,17 +88,17 @@
 
     /// Reads for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
-        let mut rosters = self.board.rosters();
+        let mut rosters = self.shared.rosters();
         let mut failing = false;
         let mut is_reader = false;
         let mut backoff = RETRY_BACKOFF;
         if matches!(self.source, Source::ControlPlane(_)) {
             // While starting, the joining task reads the control plane itself.
-            let mut stages = self.board.stages();
+            let mut stages = self.shared.stages();
             let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
         }
         loop {
-            let was_reader = std::mem::replace(&mut is_reader, reader_rank(&self.board).is_some());
+            let was_reader = std::mem::replace(&mut is_reader, reader_rank(&self.shared).is_some());
             if is_reader != was_reader {
                 self.log_role_change(is_reader);
             }
@@ -108,24 +108,24 @@
             }
             let wait = match self.source {
                 // A longer wait would delay a checkpoint that becomes due meanwhile.
-                Source::Log(_) => LONG_POLL_WAIT.min(self.board.settings.checkpoint_ms),
+                Source::Log(_) => LONG_POLL_WAIT.min(self.shared.settings.checkpoint_ms),
                 // Short compared to the time within which a version must become active, since a broken
                 // connection may show only by the missing response.
-                Source::ControlPlane(_) => Limits::within(self.board.settings.apply_ms).wait,
+                Source::ControlPlane(_) => Limits::within(self.shared.settings.apply_ms).wait,
             };
             let began = Instant::now();
             if let Err(error) = self.read_once(wait).await {
                 if !std::mem::replace(&mut failing, true) {
-                    warn!(self.board.logger, "reading the source failed"; "error" => %error,
-                        "took_ms" => Millis::from(began.elapsed()).0, "version" => self.board.digest().version.0);
+                    warn!(self.shared.logger, "reading the source failed"; "error" => %error,
+                        "took_ms" => Millis::from(began.elapsed()).0, "version" => self.shared.digest().version.0);
                 }
                 tokio::time::sleep(backoff.next_delay()).await;
                 continue;
             }
             backoff.reset();
             if std::mem::take(&mut failing) {
-                info!(self.board.logger, "source available again";
-                    "version" => self.board.digest().version.0);
+                info!(self.shared.logger, "source available again";
+                    "version" => self.shared.digest().version.0);
             }
             self.write_checkpoint().await;
         }
@@ -137,8 +137,8 @@
         } else {
             "no longer a reader"
         };
-        info!(self.board.logger, "{}", message; "version" => self.board.digest().version.0,
-            "stage" => %self.board.stage());
+        info!(self.shared.logger, "{}", message; "version" => self.shared.digest().version.0,
+            "stage" => %self.shared.stage());
     }
 
     /// Reads and applies one page; waits up to `wait` for its first record. Returns the head of the log, or
@@ -163,7 +163,7 @@
                 Ok(page.head)
             }
             Err(Error::Expired { first }) => {
-                warn!(self.board.logger, "records expired before they were read"; "first" => first.0);
+                warn!(self.shared.logger, "records expired before they were read"; "first" => first.0);
                 self.store.expire(first);
                 Ok(first)
             }
@@ -177,7 +177,7 @@
         control_plane: &dyn ControlPlane,
         wait: Millis,
     ) -> Result<Offset> {
-        let from = self.board.freshness.latest().next;
+        let from = self.shared.freshness.latest().next;
         let mut began = Instant::now();
         let found = match from {
             Some(from) => control_plane.read_from(from, wait).await,
@@ -206,7 +206,7 @@
             began
         };
         let as_of = Some(as_of).filter(|_| found.at_end);
-        self.board.freshness.record_read(found.next, as_of);
+        self.shared.freshness.record_read(found.next, as_of);
         Ok(found.next.offset)
     }
 
@@ -216,8 +216,8 @@
     /// together with it would never become active.
     fn accept_newest(&self, releases: Vec<Release>) {
         for Release { version, document } in releases.into_iter().rev() {
-            self.board.freshness.note_received(version);
-            if version <= self.board.digest().version {
+            self.shared.freshness.note_received(version);
+            if version <= self.shared.digest().version {
                 return;
             }
             let (document, faults) = normalize(document);
@@ -236,26 +236,26 @@
     /// Logs that normalization changed a version.
     fn log_normalized(&self, version: Version, faults: &[Fault]) {
         if let Some(first) = faults.first() {
-            warn!(self.board.logger, "version normalized to the supported limits"; "version" => version.0,
+            warn!(self.shared.logger, "version normalized to the supported limits"; "version" => version.0,
                 "faults" => faults.len(), "first" => %first);
         }
     }
 
     fn apply_order(&self, notice: &Change) {
-        if !self.board.rollouts.apply_change(notice) {
+        if !self.shared.rollouts.apply_change(notice) {
             return;
         }
         let Some(order) = &notice.order else {
-            info!(self.board.logger, "roll-out order withdrawn"; "service" => %notice.service);
+            info!(self.shared.logger, "roll-out order withdrawn"; "service" => %notice.service);
             return;
         };
-        info!(self.board.logger, "roll-out order received"; "service" => %order.service,
+        info!(self.shared.logger, "roll-out order received"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
             "era" => notice.position.generation.0, "offset" => notice.position.offset.0);
-        let config = self.board.config();
+        let config = self.shared.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
-            warn!(self.board.logger, "no group has the service of the roll-out order; publish one, or correct the order";
+            warn!(self.shared.logger, "no group has the service of the roll-out order; publish one, or correct the order";
                 "service" => %order.service);
         }
     }
@@ -268,7 +268,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         for fault in faults {
             if last_fault.as_ref() != Some(fault) {
-                warn!(self.board.logger, "unreadable record skipped"; "problem" => fault);
+                warn!(self.shared.logger, "unreadable record skipped"; "problem" => fault);
                 *last_fault = Some(fault.clone());
             }
         }
@@ -279,10 +279,10 @@
         let Source::Log(log) = &self.source else {
             return;
         };
-        let Some(rank) = reader_rank(&self.board) else {
+        let Some(rank) = reader_rank(&self.shared) else {
             return;
         };
-        let interval = self.board.settings.checkpoint_ms.duration();
+        let interval = self.shared.settings.checkpoint_ms.duration();
         // Higher ranks wait longer and the delay is jittered, so that usually only one daemon writes.
         let max_age = interval.mul_f64(1.0 + 0.2 * f64::from(u32::try_from(rank).unwrap_or(1)));
         if self.store.checkpoint_age() < max_age + jitter(interval / 4) {
@@ -293,11 +293,11 @@
             let record = Record::Checkpoint(checkpoint);
             match log.append(Stream::Config, &record).await {
                 Ok(offset) => {
-                    info!(self.board.logger, "checkpoint written";
+                    info!(self.shared.logger, "checkpoint written";
                         "version" => version, "offset" => offset.0);
                 }
                 Err(error) => {
-                    debug!(self.board.logger, "checkpoint failed"; "error" => %error);
+                    debug!(self.shared.logger, "checkpoint failed"; "error" => %error);
                 }
             }
         }
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -15,14 +15,14 @@
 use tokio::sync::Semaphore;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::board::Board;
 use crate::configuration::exchange::{CompressedUpdate, Digest, Pull, Reply};
 use crate::configuration::fetches::Fetches;
 use crate::configuration::store::{Channel, Store};
 use crate::error::Result;
 use crate::membership::member::{Health, Member};
-use crate::peer::Links;
+use crate::peer::LinkPool;
 use crate::settings::Delivery;
+use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Millis, Version};
 use crate::wire;
 
@@ -63,9 +63,9 @@
 /// Pushes and pulls versions.
 #[derive(Debug)]
 pub struct Relay {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     store: Arc<Store>,
-    links: Arc<Links>,
+    links: Arc<LinkPool>,
     transfers: Semaphore,
     fetches: Fetches,
     /// Whether a version was pulled, outside the tree, since the last push.
@@ -75,10 +75,10 @@
 impl Relay {
     /// A relay between `store` and the peers behind `links`.
     #[must_use]
-    pub fn new(board: Arc<Board>, store: Arc<Store>, links: Arc<Links>) -> Self {
-        let transfers = Semaphore::new(board.settings.transfers);
+    pub fn new(shared: Arc<SharedState>, store: Arc<Store>, links: Arc<LinkPool>) -> Self {
+        let transfers = Semaphore::new(shared.settings.transfers);
         Self {
-            board,
+            shared,
             store,
             links,
             transfers,
@@ -89,10 +89,10 @@
 
     /// Pushes each newer version, for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
-        let mut versions = self.board.versions();
+        let mut versions = self.shared.versions();
         while versions.changed().await.is_ok() {
             versions.borrow_and_update();
-            if self.board.settings.delivery != Delivery::Poll {
+            if self.shared.settings.delivery != Delivery::Poll {
                 self.push_to_children();
             }
         }
@@ -102,11 +102,11 @@
     #[must_use]
     pub fn accept_push(&self, reply: Reply) -> Reply {
         let Reply::Update(packed) = reply else {
-            return Reply::Have(self.board.digest());
+            return Reply::Have(self.shared.digest());
         };
         match self.accept(&packed, Channel::Push) {
             Ok(digest) => Reply::Have(digest),
-            Err(_) => Reply::Need(self.board.digest()),
+            Err(_) => Reply::Need(self.shared.digest()),
         }
     }
 
@@ -116,7 +116,7 @@
 
     /// Handles a pull; only a few whole documents are sent at the same time.
     pub async fn answer_pull(&self, pull: &Pull) -> Bytes {
-        let digest = self.board.digest();
+        let digest = self.shared.digest();
         if digest.version <= pull.have {
             return wire::encode(&Reply::Have(digest));
         }
@@ -138,22 +138,22 @@
     ///
     /// # Errors
     ///
-    /// As [`Links::send`].
+    /// As [`LinkPool::send`].
     pub async fn pull(&self, peer: SocketAddr) -> Result<Digest> {
         let began = Instant::now();
         let Some(_fetch) = self.fetches.try_begin(peer, began) else {
-            return Ok(self.board.digest());
+            return Ok(self.shared.digest());
         };
         let result = self.fetch(peer).await;
         if let Err(error) = &result {
-            info!(self.board.logger, "fetch failed"; "peer" => %peer,
+            info!(self.shared.logger, "fetch failed"; "peer" => %peer,
                 "took_ms" => Millis::from(began.elapsed()).0, "error" => %error);
         }
         result
     }
 
     async fn fetch(&self, peer: SocketAddr) -> Result<Digest> {
-        let mut have = self.board.digest().version;
+        let mut have = self.shared.digest().version;
         for _ in 0..MAX_PULL_ATTEMPTS {
             match self.links.send(peer, PULL_PATH, &Pull { have }).await? {
                 Reply::Update(packed) => match self.accept(&packed, Channel::Pull) {
@@ -168,12 +168,12 @@
                 Reply::Have(_) | Reply::Need(_) => break,
             }
         }
-        Ok(self.board.digest())
+        Ok(self.shared.digest())
     }
 
     fn push_to_children(self: &Arc<Self>) {
-        let settings = &self.board.settings;
-        let roster = self.board.roster();
+        let settings = &self.shared.settings;
+        let roster = self.shared.roster();
         let order = rendezvous_order(&roster.members, &settings.data_centre);
         let mut receivers = children(&order, settings.identity(), settings.fanout);
         let pulled = self.pulled.swap(false, Ordering::AcqRel);
@@ -197,8 +197,8 @@
             }
             // Until the view drops a dead parent, its whole branch would have to wait for a probe.
             // Push to its children instead.
-            debug!(self.board.logger, "push failed"; "peer" => %peer);
-            let grandchildren = children(order, peer, self.board.settings.fanout);
+            debug!(self.shared.logger, "push failed"; "peer" => %peer);
+            let grandchildren = children(order, peer, self.shared.settings.fanout);
             pending.extend(
                 grandchildren
                     .into_iter()
@@ -210,7 +210,7 @@
     async fn deliver(&self, peer: SocketAddr, update: Bytes) -> Result<()> {
         let reply: Reply = self.links.exchange(peer, PUSH_PATH, update).await?;
         if let Reply::Need(digest) = reply
-            && digest.version < self.board.digest().version
+            && digest.version < self.shared.digest().version
         {
             let update = self.store.encoded_update(digest.version);
             let reply: Reply = self.links.exchange(peer, PUSH_PATH, update.reply).await?;
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -1,7 +1,7 @@
 //! The configuration controller: the replica, the active version, and updates for peers.
 //!
 //! Every change of the configuration goes through [`Store`], which holds the replica, installs each
-//! newer version on the board in one swap, and encodes updates for peers once.
+//! newer version on the shared state in one swap, and encodes updates for peers once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,7 +10,6 @@
 use slog::{info, warn};
 use strum::Display;
 
-use crate::board::{Board, Snapshot};
 use crate::configuration::check;
 use crate::configuration::delta::Delta;
 use crate::configuration::document::Document;
@@ -21,6 +20,7 @@
 };
 use crate::error::{Error, Result};
 use crate::settings::Delivery;
+use crate::shared_state::{SharedState, Snapshot};
 use crate::units::{EditId, Offset, Version};
 use crate::wire;
 
@@ -45,7 +45,7 @@
 /// Holds the configuration and its history.
 #[derive(Debug)]
 pub struct Store {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     state: Mutex<State>,
 }
 
@@ -84,7 +84,7 @@
 impl Store {
     /// An empty store.
     #[must_use]
-    pub fn new(board: Arc<Board>) -> Self {
+    pub fn new(shared: Arc<SharedState>) -> Self {
         let state = State {
             replica: Replica::new(),
             history: Vec::new(),
@@ -92,7 +92,7 @@
             checkpoint_seen: Instant::now(),
         };
         Self {
-            board,
+            shared,
             state: Mutex::new(state),
         }
     }
@@ -137,7 +137,7 @@
         let document = document.sorted();
         // Every replica that could accept the edit holds its base, so the delta is enough.
         let known = base == Base::Version(state.replica.version());
-        let content = if known && self.board.settings.delivery == Delivery::Delta {
+        let content = if known && self.shared.settings.delivery == Delivery::Delta {
             Content::Delta(Delta::between(state.replica.document(), &document))
         } else {
             Content::Whole(document)
@@ -162,10 +162,10 @@
             let verdict = state.apply(stored);
             match &verdict {
                 Verdict::Accepted { version } => {
-                    info!(self.board.logger, "edit accepted"; "version" => version.0);
+                    info!(self.shared.logger, "edit accepted"; "version" => version.0);
                 }
                 Verdict::Restored => {
-                    info!(self.board.logger, "restored from checkpoint";
+                    info!(self.shared.logger, "restored from checkpoint";
                         "version" => state.replica.version().0, "next" => state.replica.next().0);
                     // The next read starts at the checkpoint's `next`, so the rest of this page is
                     // read again.
@@ -191,7 +191,7 @@
             accepted,
         } = update;
         if version <= state.replica.version() {
-            return Ok(self.board.digest());
+            return Ok(self.shared.digest());
         }
         let document = match body {
             Body::Delta { base, delta } if base == state.replica.version() => {
@@ -204,14 +204,14 @@
         // whole document again, and keeps its active version if there are faults.
         let faults = check::document(&document);
         if !faults.is_empty() {
-            warn!(self.board.logger, "rejected an invalid document"; "way" => %channel,
+            warn!(self.shared.logger, "rejected an invalid document"; "way" => %channel,
                 "version" => version.0, "keeps" => state.replica.version().0, "faults" => faults.len(),
                 "first" => faults.first().map(ToString::to_string));
             return Err(Error::Faults { faults });
         }
         state.replica.adopt(version, Arc::new(document), accepted);
         self.activate(&mut state, channel);
-        Ok(self.board.digest())
+        Ok(self.shared.digest())
     }
 
     /// The update that leads a peer from version `have` to the active one.
@@ -224,7 +224,7 @@
                 whole: done.whole,
             };
         }
-        let update = state.update(have, self.board.settings.delivery);
+        let update = state.update(have, self.shared.settings.delivery);
         let whole = matches!(update.body, Body::Whole(_));
         let reply = wire::encode(&Reply::Update(CompressedUpdate::new(&update)));
         state.encoded.push(CachedUpdate {
@@ -245,7 +245,7 @@
 
     fn activate(&self, state: &mut State, channel: Channel) {
         let version = state.replica.version();
-        if version <= self.board.digest().version {
+        if version <= self.shared.digest().version {
             return;
         }
         let document = Arc::clone(state.replica.document());
@@ -257,8 +257,8 @@
         if state.history.len() > MAX_HISTORY {
             state.history.remove(0);
         }
-        if self.board.install(Snapshot::compile(version, document)) {
-            info!(self.board.logger, "configuration active"; "version" => version.0,
+        if self.shared.install(Snapshot::compile(version, document)) {
+            info!(self.shared.logger, "configuration active"; "version" => version.0,
                 "way" => %channel);
         }
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: builds the parts, connects them to the board, and runs them to a planned stop.
+//! The daemon: builds the parts, connects them to the shared state, and runs them to a planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,6 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::board::Board;
 use crate::calls::callers::Callers;
 use crate::calls::http_server::{self, Phase};
 use crate::calls::ingress::Ingress;
@@ -34,14 +33,15 @@
 use crate::membership::member::Stage;
 use crate::membership::refresh::Refresher;
 use crate::operation::operator::Operator;
-use crate::peer::Links;
+use crate::peer::LinkPool;
 use crate::peer::server::Server;
 use crate::quarantine::archive::Archive;
 use crate::quarantine::replicator::Replicator;
 use crate::rollout::controller::Controller;
 use crate::settings::Settings;
-use crate::stop::Stopping;
-pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
+use crate::shared_state::SharedState;
+use crate::shutdown::Shutdown;
+pub use crate::shutdown::{EXIT_INTERRUPTED, EXIT_STOPPED};
 use crate::telemetry;
 use crate::units::{Generation, Millis};
 
@@ -133,60 +133,60 @@
         reread,
         faces,
     } = extension;
-    let board = Arc::new(Board::new(settings, dialect, logger));
-    let store = Arc::new(Store::new(Arc::clone(&board)));
-    let links = Arc::new(Links::new(
-        board.settings.peer_addr.ip(),
-        Arc::clone(&board.meter),
+    let shared = Arc::new(SharedState::new(settings, dialect, logger));
+    let store = Arc::new(Store::new(Arc::clone(&shared)));
+    let links = Arc::new(LinkPool::new(
+        shared.settings.peer_addr.ip(),
+        Arc::clone(&shared.meter),
     ));
-    let (log, source) = sources(&board, origin.as_ref());
+    let (log, source) = sources(&shared, origin.as_ref());
     let archive = origin
         .clone()
         .map_or_else(|| Archive::Log(log.clone()), Archive::Platform);
     let relay = Arc::new(Relay::new(
-        Arc::clone(&board),
+        Arc::clone(&shared),
         Arc::clone(&store),
         Arc::clone(&links),
     ));
-    let membership = Membership::open(Arc::clone(&board), Arc::clone(&relay)).await?;
+    let membership = Membership::open(Arc::clone(&shared), Arc::clone(&relay)).await?;
     let membership = Arc::new(membership);
-    let reader = Arc::new(Reader::new(Arc::clone(&board), Arc::clone(&store), source));
+    let reader = Arc::new(Reader::new(Arc::clone(&shared), Arc::clone(&store), source));
     let keys = Arc::new(Deduplicator::new(
-        Arc::clone(&board),
+        Arc::clone(&shared),
         Arc::clone(&links),
         log.clone(),
     ));
-    let gate = Arc::new(Sidecar::new(Arc::clone(&board), Arc::clone(&keys)));
+    let gate = Arc::new(Sidecar::new(Arc::clone(&shared), Arc::clone(&keys)));
     let server = Arc::new(Server {
-        board: Arc::clone(&board),
+        shared: Arc::clone(&shared),
         gate: Arc::clone(&gate),
         keys: Arc::clone(&keys),
         relay: Arc::clone(&relay),
         membership: Arc::clone(&membership),
     });
     let publisher = Publisher::new(
-        Arc::clone(&board),
+        Arc::clone(&shared),
         Arc::clone(&store),
         Arc::clone(&reader),
         log.clone(),
     );
-    let operator = operator(&board, publisher, &gate, &keys);
-    let desk = Arc::new(Endpoint::new(Arc::clone(&board), Arc::clone(&membership)));
+    let operator = operator(&shared, publisher, &gate, &keys);
+    let desk = Arc::new(Endpoint::new(Arc::clone(&shared), Arc::clone(&membership)));
     let contacts = Contacts {
-        board: Arc::clone(&board),
+        shared: Arc::clone(&shared),
         log,
         links: Arc::clone(&links),
         membership: Arc::clone(&membership),
     };
     let greeting = Arc::new(JoinClient {
-        board: Arc::clone(&board),
+        shared: Arc::clone(&shared),
         links,
         membership: Arc::clone(&membership),
         relay: Arc::clone(&relay),
         keys: Arc::clone(&keys),
     });
     let joiner = Joiner {
-        board: Arc::clone(&board),
+        shared: Arc::clone(&shared),
         store,
         membership: Arc::clone(&membership),
         join_client: greeting,
@@ -196,13 +196,13 @@
         archive: archive.clone(),
         endpoint: Arc::clone(&desk),
     };
-    let entry = Arc::new(Ingress::new(Arc::clone(&board), gate));
-    let refresher = Refresher::new(&board, &membership, &reader);
+    let entry = Arc::new(Ingress::new(Arc::clone(&shared), gate));
+    let refresher = Refresher::new(&shared, &membership, &reader);
 
     let listener = server.listen().await?;
     let phases = watch::Sender::new(Phase::Open);
-    serve_faces(&board, &desk, operator, faces).await?;
-    tokio::spawn(serve_calls(Arc::clone(&board), entry, phases.subscribe()));
+    serve_faces(&shared, &desk, operator, faces).await?;
+    tokio::spawn(serve_calls(Arc::clone(&shared), entry, phases.subscribe()));
     tokio::spawn(server.run(listener));
     tokio::spawn(Arc::clone(&membership).run());
     tokio::spawn(relay.run());
@@ -211,9 +211,9 @@
     if origin.is_some() {
         tokio::spawn(refresher.run());
     }
-    spawn_keepers(&board, &membership, origin.clone(), archive);
-    let stopping = Stopping {
-        board,
+    spawn_keepers(&shared, &membership, origin.clone(), archive);
+    let stopping = Shutdown {
+        shared,
         membership,
         keys,
         phases,
@@ -225,36 +225,36 @@
 
 /// Has what the daemons know together kept in step: eras, roll-outs and requests in quarantine.
 fn spawn_keepers(
-    board: &Arc<Board>,
+    shared: &Arc<SharedState>,
     membership: &Arc<Membership>,
     origin: Option<Arc<dyn ControlPlane>>,
     archive: Archive,
 ) {
     if let Some(origin) = &origin {
-        tokio::spawn(follow_eras(Arc::clone(board), origin.generations()));
+        tokio::spawn(follow_eras(Arc::clone(shared), origin.generations()));
     }
-    tokio::spawn(Controller::new(board, membership, origin).run());
-    tokio::spawn(Replicator::new(board, membership, archive).run());
+    tokio::spawn(Controller::new(shared, membership, origin).run());
+    tokio::spawn(Replicator::new(shared, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
-async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Generation>) {
+async fn follow_eras(shared: Arc<SharedState>, mut eras: watch::Receiver<Generation>) {
     while eras.changed().await.is_ok() {
         let era = *eras.borrow_and_update();
-        info!(board.logger, "platform in another era"; "era" => era.0);
-        board.note_era(era);
+        info!(shared.logger, "platform in another era"; "era" => era.0);
+        shared.note_era(era);
     }
 }
 
 /// What operators are served by.
 fn operator(
-    board: &Arc<Board>,
+    shared: &Arc<SharedState>,
     publisher: Publisher,
     gate: &Arc<Sidecar>,
     keys: &Arc<Deduplicator>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
-        board: Arc::clone(board),
+        shared: Arc::clone(shared),
         publisher,
         gate: Arc::clone(gate),
         keys: Arc::clone(keys),
@@ -263,8 +263,8 @@
 }
 
 /// The log, which stays closed where a platform keeps the configuration, and what readers read.
-fn sources(board: &Board, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
-    let (address, meter) = (board.settings.log_addr, Arc::clone(&board.meter));
+fn sources(shared: &SharedState, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
+    let (address, meter) = (shared.settings.log_addr, Arc::clone(&shared.meter));
     match origin {
         None => {
             let log = Log::new(address, meter);
@@ -295,18 +295,18 @@
 
 /// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
 async fn serve_faces(
-    board: &Arc<Board>,
+    shared: &Arc<SharedState>,
     desk: &Arc<Endpoint>,
     operator: Arc<Operator>,
     faces: Vec<Face>,
 ) -> Result<()> {
     let handles = Handles {
-        board: Arc::clone(board),
+        shared: Arc::clone(shared),
         endpoint: Arc::clone(desk),
     };
     let mut routers = vec![
-        (board.settings.operator_addr, operator.router()),
-        (board.settings.target_addr, Arc::clone(desk).router()),
+        (shared.settings.operator_addr, operator.router()),
+        (shared.settings.target_addr, Arc::clone(desk).router()),
     ];
     for face in faces {
         routers.retain(|(address, _)| *address != face.address);
@@ -336,24 +336,28 @@
 
 /// Serves callers. A host that another daemon can stand in for refuses them until this one is
 /// ready; where callers know no other daemon, each is told to come back.
-async fn serve_calls(board: Arc<Board>, entry: Arc<Ingress>, phases: watch::Receiver<Phase>) {
-    if board.settings.accept_ms == Millis(0) {
-        let mut stages = board.stages();
+async fn serve_calls(
+    shared: Arc<SharedState>,
+    entry: Arc<Ingress>,
+    phases: watch::Receiver<Phase>,
+) {
+    if shared.settings.accept_ms == Millis(0) {
+        let mut stages = shared.stages();
         let ready = stages.wait_for(|stage| *stage != Stage::Starting).await;
         if ready.is_ok_and(|stage| stage.is_stopping()) {
             return;
         }
     }
-    let listener = match bind(board.settings.call_addr).await {
+    let listener = match bind(shared.settings.call_addr).await {
         Ok(listener) => listener,
         Err(error) => {
-            error!(board.logger, "callers can't be served"; "error" => %error);
-            board.leave();
+            error!(shared.logger, "callers can't be served"; "error" => %error);
+            shared.leave();
             return;
         }
     };
-    let callers = Callers::new(board.settings.callers);
-    let limits = http_server::BoundsSource::InForce(board);
+    let callers = Callers::new(shared.settings.callers);
+    let limits = http_server::BoundsSource::InForce(shared);
     let handler = move |request| {
         let entry = Arc::clone(&entry);
         async move { entry.serve(request).await }
--- a/src/extension.rs
+++ b/src/extension.rs
@@ -5,12 +5,12 @@
 
 use volo_http::server::Router;
 
-use crate::board::Board;
 use crate::calls::dialect::Dialect;
 use crate::configuration::control_plane::ControlPlane;
 use crate::membership::announce::Endpoint;
 use crate::membership::member::Stage;
 use crate::settings::Settings;
+use crate::shared_state::SharedState;
 
 /// What a platform's adapter adds to a daemon.
 #[derive(Default)]
@@ -39,7 +39,7 @@
 /// Parts of a running daemon, for the routes of a [`Face`].
 #[derive(Debug, Clone)]
 pub struct Handles {
-    pub(crate) board: Arc<Board>,
+    pub(crate) shared: Arc<SharedState>,
     /// Takes announcements of the co-located target.
     pub endpoint: Arc<Endpoint>,
 }
@@ -48,7 +48,7 @@
     /// Whether callers are welcome: a configuration is in force and no stop is under way.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.board.stage() == Stage::Serving
+        self.shared.stage() == Stage::Serving
     }
 }
 
--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -11,13 +11,13 @@
 use slog::{debug, warn};
 use tokio::sync::{Notify, oneshot};
 
-use crate::board::Board;
 use crate::calls::outcome::Reason;
 use crate::clock;
 use crate::configuration::log::{Log, Page, Stream};
 use crate::error::{Error, Result};
 use crate::idempotency::keys::Holder;
 use crate::idempotency::ledger::{Batch, Claim, Entry, Ledger};
+use crate::shared_state::SharedState;
 use crate::units::{IdempotencyKey, Millis, Offset, Service};
 
 /// Allowed clock difference between hosts, in milliseconds.
@@ -30,7 +30,7 @@
 /// Claims of one service at one sidecar.
 #[derive(Debug)]
 pub struct Claims {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     log: Log,
     stream: Stream,
     holder: Holder,
@@ -49,9 +49,14 @@
 impl Claims {
     /// Starts the task that writes claims of `service` on behalf of `holder`.
     #[must_use]
-    pub fn start(board: Arc<Board>, log: Log, service: Service, holder: Holder) -> Arc<Self> {
+    pub fn start(
+        shared: Arc<SharedState>,
+        log: Log,
+        service: Service,
+        holder: Holder,
+    ) -> Arc<Self> {
         let claims = Arc::new(Self {
-            board,
+            shared,
             log,
             stream: Stream::Claims(service),
             holder,
@@ -117,7 +122,7 @@
     async fn flush(&self, ledger: &mut Option<Ledger>, mut batch: Vec<PendingEntry>) -> Result<()> {
         let written = self.write(ledger, &batch).await;
         if let Err(error) = &written {
-            debug!(self.board.logger, "writing claims failed"; "error" => %error, "count" => batch.len());
+            debug!(self.shared.logger, "writing claims failed"; "error" => %error, "count" => batch.len());
         }
         for pending in &mut batch {
             let Some(reply) = pending.reply.take() else {
@@ -176,7 +181,7 @@
         // Bounds the queue during a long outage; the keys of dropped entries stay in doubt, which is safe.
         let excess = pending.len().saturating_sub(MAX_BATCH_ENTRIES * 4);
         if excess > 0 {
-            warn!(self.board.logger, "queued claims dropped, their keys stay in doubt"; "count" => excess);
+            warn!(self.shared.logger, "queued claims dropped, their keys stay in doubt"; "count" => excess);
             pending.drain(..excess);
         }
     }
@@ -236,7 +241,7 @@
     }
 
     fn horizon_ms(&self) -> u64 {
-        let retention_ms = self.board.settings.key_memory_ms.0;
+        let retention_ms = self.shared.settings.key_memory_ms.0;
         clock::unix_ms().saturating_sub(retention_ms + MAX_CLOCK_SKEW_MS)
     }
 
--- a/src/idempotency/deduplicator.rs
+++ b/src/idempotency/deduplicator.rs
@@ -11,7 +11,6 @@
 use tokio::sync::watch;
 use volo_http::body::Body;
 
-use crate::board::Board;
 use crate::calls::executor::{Executor, Received};
 use crate::calls::outcome::{Outcome, Reason};
 use crate::configuration::document::Guard;
@@ -23,7 +22,8 @@
 };
 use crate::idempotency::replay::{replay_response, store_response};
 use crate::idempotency::sidecars::{self, ReceivedHandoffs};
-use crate::peer::Links;
+use crate::peer::LinkPool;
+use crate::shared_state::SharedState;
 use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Path of an [`Intent`].
@@ -36,8 +36,8 @@
 /// The idempotency keys of one sidecar.
 #[derive(Debug)]
 pub struct Deduplicator {
-    board: Arc<Board>,
-    links: Arc<Links>,
+    shared: Arc<SharedState>,
+    links: Arc<LinkPool>,
     log: Log,
     memory: Mutex<Memory>,
     /// Sorted by service.
@@ -57,10 +57,10 @@
 impl Deduplicator {
     /// A deduplicator that remembers no keys yet.
     #[must_use]
-    pub fn new(board: Arc<Board>, links: Arc<Links>, log: Log) -> Self {
-        let retention = board.settings.key_memory_ms.duration();
+    pub fn new(shared: Arc<SharedState>, links: Arc<LinkPool>, log: Log) -> Self {
+        let retention = shared.settings.key_memory_ms.duration();
         Self {
-            board,
+            shared,
             links,
             log,
             memory: Mutex::new(Memory::new(retention)),
@@ -190,8 +190,8 @@
         match claims.binary_search_by(|(known, _)| known.cmp(service)) {
             Ok(index) => Arc::clone(&claims[index].1),
             Err(index) => {
-                let (board, log) = (Arc::clone(&self.board), self.log.clone());
-                let started = Claims::start(board, log, service.clone(), self.holder());
+                let (shared, log) = (Arc::clone(&self.shared), self.log.clone());
+                let started = Claims::start(shared, log, service.clone(), self.holder());
                 claims.insert(index, (service.clone(), Arc::clone(&started)));
                 started
             }
@@ -201,7 +201,7 @@
     /// This sidecar in the current daemon process.
     fn holder(&self) -> Holder {
         Holder {
-            sidecar: self.board.settings.identity(),
+            sidecar: self.shared.settings.identity(),
             run_id: self.run_id,
         }
     }
@@ -218,7 +218,7 @@
             Some(State::Done(stored)) => Ok(Admission::Replay(Arc::clone(stored))),
             Some(State::InDoubt) => Err(Reason::KeyInDoubt),
             Some(State::Intent(holder)) => {
-                let is_member = self.board.roster().member(holder.sidecar).is_some();
+                let is_member = self.shared.roster().member(holder.sidecar).is_some();
                 Err(if is_member {
                     Reason::Moved
                 } else {
@@ -236,11 +236,11 @@
     ) -> Result<(), Reason> {
         let (service, leaving) = (received.service(), received.draining());
         let own = LocalSidecar {
-            address: self.board.settings.identity(),
+            address: self.shared.settings.identity(),
             age: self.started_at.elapsed(),
             predecessor_lost: self.predecessor_lost.load(Ordering::Acquire),
         };
-        let retention = self.board.settings.key_memory_ms.duration();
+        let retention = self.shared.settings.key_memory_ms.duration();
         let peers = self.peers(service, leaving);
         let intent = Intent {
             key: key.clone(),
@@ -372,8 +372,8 @@
     }
 
     fn peers(&self, service: &Service, leaving: &[SocketAddr]) -> Vec<Peer> {
-        let me = self.board.settings.identity();
-        sidecars::others(&self.board.roster(), service, me, leaving, Instant::now())
+        let me = self.shared.settings.identity();
+        sidecars::others(&self.shared.roster(), service, me, leaving, Instant::now())
     }
 
     fn memory(&self) -> MutexGuard<'_, Memory> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -45,7 +45,6 @@
 
 pub mod authority;
 pub mod backoff;
-pub mod board;
 pub mod calls;
 pub mod clock;
 pub mod configuration;
@@ -58,13 +57,14 @@
 pub mod quarantine;
 pub mod rollout;
 pub mod settings;
+pub mod shared_state;
 pub mod telemetry;
 pub mod units;
 pub mod wire;
 
 mod error;
 mod peer;
-mod stop;
+mod shutdown;
 
 pub use configuration::document::Document;
 pub use error::{Error, Result};
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -15,13 +15,13 @@
 use volo_http::server::Router;
 use volo_http::server::route::{get, post};
 
-use crate::board::{Board, Target};
 use crate::calls::dispatch::Dispatcher;
 use crate::clock;
 use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
 use crate::membership::target::{Process, Processes, Recency, Renewal};
 use crate::quarantine::detector::{Detector, lock_running};
+use crate::shared_state::{SharedState, Target};
 use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime, Version};
 
 /// Longest lease, in milliseconds.
@@ -100,7 +100,7 @@
 /// HTTP endpoint for the co-located target.
 #[derive(Debug)]
 pub struct Endpoint {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
     crash_detector: Detector,
@@ -114,12 +114,12 @@
 pub struct Rejection(pub &'static str);
 
 impl Endpoint {
-    /// Creates an endpoint that records the target on `board`.
+    /// Creates an endpoint that records the target on `shared`.
     #[must_use]
-    pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
+    pub fn new(shared: Arc<SharedState>, membership: Arc<Membership>) -> Self {
         Self {
-            crash_detector: Detector::new(Arc::clone(&board)),
-            board,
+            crash_detector: Detector::new(Arc::clone(&shared)),
+            shared,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
             processes: Mutex::default(),
@@ -140,7 +140,7 @@
             async move { endpoint.leave().await }
         };
         let stage = move || {
-            let stage = self.board.stage().to_string();
+            let stage = self.shared.stage().to_string();
             async move { (StatusCode::OK, stage) }
         };
         Router::new()
@@ -181,12 +181,12 @@
         };
         match recency {
             Recency::Stale | Recency::Ended => {
-                debug!(self.board.logger, "late announcement ignored";
+                debug!(self.shared.logger, "late announcement ignored";
                     "instance" => %renewal.process.instance, "sequence" => renewal.sequence);
                 return Ok(());
             }
             Recency::New => {
-                info!(self.board.logger, "target announced"; "service" => %renewal.service,
+                info!(self.shared.logger, "target announced"; "service" => %renewal.service,
                     "instance" => %renewal.process.instance, "born" => renewal.process.start_time.map(|start_time| start_time.0),
                     "sequence" => renewal.sequence,
                     "revision" => renewal.revision.as_ref().map(ToString::to_string),
@@ -232,7 +232,7 @@
     /// An announcement of an unknown service is not the target's. Accepted as one of its next process, it would
     /// take the running process out of service until that announces itself again.
     fn service_problem(&self, renewal: &Renewal) -> Option<&'static str> {
-        let config = self.board.config();
+        let config = self.shared.config();
         let groups = &config.document.groups;
         let named = groups.iter().any(|group| group.service == renewal.service);
         if config.digest.version != Version(0) && !named {
@@ -244,7 +244,7 @@
     /// Records that an announcement was rejected, and why.
     pub fn record_rejected(&self, problem: &str) {
         metrics::counter!("jackdaw_bad_announcements_total").increment(1);
-        warn!(self.board.logger, "announcement rejected"; "problem" => problem);
+        warn!(self.shared.logger, "announcement rejected"; "problem" => problem);
     }
 
     /// Handles the end of a target process, which gets no new requests.
@@ -260,7 +260,7 @@
     /// After a daemon is killed and restarted beside a healthy target, the target would otherwise be idle until
     /// its next announcement, and its share of the requests would go to the others.
     pub async fn discover_target(&self, slots: Option<Slots>) {
-        let settings = &self.board.settings;
+        let settings = &self.shared.settings;
         let (Some(address), Some(service)) = (settings.service_addr, settings.service.clone())
         else {
             return;
@@ -275,7 +275,7 @@
             return;
         }
         self.processes().confirm(&instance);
-        info!(self.board.logger, "target found"; "instance" => %instance, "slots" => ?slots);
+        info!(self.shared.logger, "target found"; "instance" => %instance, "slots" => ?slots);
         self.set_target(Target {
             instance: Some(instance),
             start_time: None,
@@ -291,10 +291,10 @@
 
     /// Returns the instance that is healthy at `address`, if targets of the service report it.
     async fn check_health(&self, address: SocketAddr, service: &Service) -> Option<Instance> {
-        let config = self.board.config();
+        let config = self.shared.config();
         let mut groups = config.document.groups.iter();
         let group = groups.find(|group| group.service == *service)?;
-        let name = self.board.dialect.instance.as_ref()?;
+        let name = self.shared.dialect.instance.as_ref()?;
         let request = Request::builder()
             .method(Method::GET)
             .uri(group.health_path.as_ref()?)
@@ -313,19 +313,19 @@
 
     async fn set_target(&self, target: Target) {
         let identity = |target: &Target| (target.instance.clone(), target.start_time);
-        let before = self.board.target();
+        let before = self.shared.target();
         let same = before.is_some_and(|before| identity(&before) == identity(&target));
-        lock_running(&self.board.running).mark_ready(!same);
-        self.board.set_target(Some(target));
+        lock_running(&self.shared.running).mark_ready(!same);
+        self.shared.set_target(Some(target));
         self.membership.publish_own_entry().await;
     }
 
     async fn clear_target(&self, event: &'static str, instance: &Instance) {
-        if self.board.target().is_some() {
-            info!(self.board.logger, "{}", event; "instance" => %instance);
+        if self.shared.target().is_some() {
+            info!(self.shared.logger, "{}", event; "instance" => %instance);
         }
-        lock_running(&self.board.running).mark_draining();
-        self.board.set_target(None);
+        lock_running(&self.shared.running).mark_draining();
+        self.shared.set_target(None);
         self.membership.publish_own_entry().await;
     }
 
@@ -354,13 +354,13 @@
         if let Some(problem) = announcement.problem() {
             return (StatusCode::UNPROCESSABLE_ENTITY, problem.to_owned());
         }
-        if self.board.stage() == Stage::Draining {
+        if self.shared.stage() == Stage::Draining {
             return (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the daemon is draining".to_owned(),
             );
         }
-        let known = self.board.target().is_some();
+        let known = self.shared.target().is_some();
         let target = Target {
             instance: None,
             start_time: announcement.start_time,
@@ -372,7 +372,7 @@
             lease_until: Instant::now() + announcement.lease_ms.duration(),
         };
         if !known {
-            info!(self.board.logger, "target announced"; "service" => %target.service);
+            info!(self.shared.logger, "target announced"; "service" => %target.service);
         }
         if self.replaces_earlier(target.start_time) {
             self.crash_detector.target_restarted(&target);
@@ -391,9 +391,9 @@
     }
 
     async fn leave(&self) -> (StatusCode, String) {
-        info!(self.board.logger, "target left");
-        lock_running(&self.board.running).mark_draining();
-        self.board.set_target(None);
+        info!(self.shared.logger, "target left");
+        lock_running(&self.shared.running).mark_draining();
+        self.shared.set_target(None);
         self.membership.publish_own_entry().await;
         (StatusCode::OK, "left".to_owned())
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -8,13 +8,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::board::Board;
 use crate::configuration::log::{Log, Stream};
 use crate::configuration::relay::{jitter, rendezvous_order};
 use crate::membership::controller::Membership;
 use crate::membership::datagram::{Join, Welcome};
-use crate::peer::Links;
+use crate::peer::LinkPool;
 use crate::peer::server::JOIN;
+use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Millis, Offset};
 
 /// Latest records of the contacts stream that a daemon reads.
@@ -37,11 +37,11 @@
 #[derive(Debug)]
 pub struct Contacts {
     /// State shared by the daemon's controllers.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Log with the list.
     pub log: Log,
     /// Connections to peers.
-    pub links: Arc<Links>,
+    pub links: Arc<LinkPool>,
     /// Membership controller.
     pub membership: Arc<Membership>,
 }
@@ -69,9 +69,9 @@
 
     /// Keeps a bounded number of contacts of each data centre on the log, and joins unknown ones.
     pub async fn maintain(&self) {
-        let settings = &self.board.settings;
+        let settings = &self.shared.settings;
         loop {
-            let order = rendezvous_order(&self.board.roster().members, &settings.data_centre);
+            let order = rendezvous_order(&self.shared.roster().members, &settings.data_centre);
             let is_publisher = order
                 .iter()
                 .take(LISTED_PER_DATA_CENTRE)
@@ -90,7 +90,7 @@
 
     /// Joins contacts that are not members, which heals a partition that outlasts the retention of gone members.
     async fn join_unknown(&self) {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let join = Join {
             member: self.membership.me(),
         };
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -10,7 +10,6 @@
 use snafu::ResultExt;
 use tokio::net::UdpSocket;
 
-use crate::board::Board;
 use crate::configuration::relay::Relay;
 use crate::error::{ListenSnafu, Result};
 use crate::membership::datagram::{Datagram, Join, Message, Welcome};
@@ -22,6 +21,7 @@
 use crate::membership::view::{Effects, Send, View};
 use crate::rollout::stable::Revisions;
 use crate::settings::{Delivery, Settings};
+use crate::shared_state::SharedState;
 use crate::units::{Incarnation, Millis, Revision, Service};
 use crate::{clock, wire};
 
@@ -31,7 +31,7 @@
 /// Controller of the membership view.
 #[derive(Debug)]
 pub struct Membership {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     relay: Arc<Relay>,
     socket: UdpSocket,
     initial_incarnation: Incarnation,
@@ -54,8 +54,8 @@
     /// # Errors
     ///
     /// [`Error::Listen`](crate::Error::Listen) if the address cannot be bound.
-    pub async fn open(board: Arc<Board>, relay: Arc<Relay>) -> Result<Self> {
-        let settings = &board.settings;
+    pub async fn open(shared: Arc<SharedState>, relay: Arc<Relay>) -> Result<Self> {
+        let settings = &shared.settings;
         let address = settings.peer_addr;
         let socket = UdpSocket::bind(address)
             .await
@@ -71,7 +71,7 @@
             stable_revisions: Revisions::default(),
         });
         let membership = Self {
-            board,
+            shared,
             relay,
             socket,
             initial_incarnation,
@@ -89,7 +89,7 @@
         tokio::spawn(async move { announcer.announce_version().await });
         let voucher = Arc::clone(&self);
         tokio::spawn(async move { voucher.send_watermark().await });
-        let period = self.board.settings.probe_period_ms;
+        let period = self.shared.settings.probe_period_ms;
         let mut throttle = Throttle::default();
         let mut ticks =
             tokio::time::interval(Millis((period.0 / TICKS_PER_PERIOD).max(1)).duration());
@@ -98,9 +98,9 @@
             ticks.tick().await;
             self.publish_own_entry().await;
             self.close_idle_links();
-            let live = self.board.roster().members.len();
+            let live = self.shared.roster().members.len();
             if let Some(before) = throttle.due(Instant::now(), live) {
-                info!(self.board.logger, "members"; "live" => live, "before" => before);
+                info!(self.shared.logger, "members"; "live" => live, "before" => before);
             }
             let effects = {
                 let mut guard = self.state();
@@ -115,17 +115,17 @@
     }
 
     fn close_idle_links(&self) {
-        for (_, upstream) in self.board.roster().all_upstreams() {
+        for (_, upstream) in self.shared.roster().all_upstreams() {
             upstream.link.close_idle();
         }
     }
 
-    /// Updates the own entry from the board, and sends it to peers if it has changed.
+    /// Updates the own entry from the shared state, and sends it to peers if it has changed.
     pub async fn publish_own_entry(&self) {
-        let stage = self.board.stage();
+        let stage = self.shared.stage();
         let now = Instant::now();
         let target = self
-            .board
+            .shared
             .target()
             .filter(|target| now < target.lease_until);
         let sends = {
@@ -172,12 +172,12 @@
         }
         Welcome {
             members,
-            digest: self.board.digest(),
+            digest: self.shared.digest(),
             highest_version,
             slots,
-            crashes: self.board.quarantine.snapshot(),
-            rollouts: self.board.rollouts.snapshot(),
-            era: self.board.era(),
+            crashes: self.shared.quarantine.snapshot(),
+            rollouts: self.shared.rollouts.snapshot(),
+            era: self.shared.era(),
             stable_revisions: guard.stable_revisions.snapshot(),
         }
     }
@@ -217,30 +217,30 @@
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            self.board.meter.received(length);
+            self.shared.meter.received(length);
             match wire::decode::<Datagram>(&buffer[..length]) {
                 Ok(datagram) if datagram.release == wire::RELEASE => {
                     self.handle(&datagram).await;
                 }
                 Ok(_) => {
-                    debug!(self.board.logger, "datagram of another release"; "from" => %sender);
+                    debug!(self.shared.logger, "datagram of another release"; "from" => %sender);
                 }
                 Err(error) => {
                     metrics::counter!("jackdaw_bad_datagrams_total").increment(1);
-                    debug!(self.board.logger, "invalid datagram"; "from" => %sender, "error" => %error);
+                    debug!(self.shared.logger, "invalid datagram"; "from" => %sender, "error" => %error);
                 }
             }
         }
     }
 
     async fn handle(&self, datagram: &Datagram) {
-        self.board.note_era(datagram.era);
+        self.shared.note_era(datagram.era);
         self.note_watermark(datagram);
         match &datagram.message {
-            Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
-            Message::Rollouts(told) => self.board.rollouts.merge(told),
+            Message::Crashes(crashes) => self.shared.quarantine.merge(crashes),
+            Message::Rollouts(told) => self.shared.rollouts.merge(told),
             Message::Report(report) => {
-                self.board
+                self.shared
                     .rollouts
                     .add_report(datagram.from.peer, report.clone());
             }
@@ -258,7 +258,7 @@
 
     /// Hash of the target crashes and rollouts that this daemon knows.
     pub(super) fn gossip_hash(&self) -> u64 {
-        self.board.quarantine.hash() ^ self.board.rollouts.hash()
+        self.shared.quarantine.hash() ^ self.shared.rollouts.hash()
     }
 
     fn rebuild_if_changed(&self, state: &mut State, effects: &Effects) {
@@ -279,7 +279,7 @@
 
     /// Fetches a configuration that the relay tree did not deliver from a peer with a newer one.
     fn pull_from(&self, peer: SocketAddr) {
-        if self.board.settings.delivery == Delivery::Poll {
+        if self.shared.settings.delivery == Delivery::Poll {
             return;
         }
         let relay = Arc::clone(&self.relay);
@@ -289,13 +289,13 @@
     pub(super) async fn send(&self, sends: Vec<Send>) {
         for send in sends {
             let bytes = wire::encode(&send.datagram);
-            self.board.meter.probe(bytes.len());
+            self.shared.meter.probe(bytes.len());
             let _ = self.socket.send_to(&bytes, send.to).await;
         }
     }
 
     fn published_incarnation(&self, view: &View) -> Incarnation {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         roster
             .member(view.me().peer)
             .map_or(Incarnation(0), |me| me.incarnation)
@@ -303,8 +303,8 @@
 
     fn rebuild_roster(&self, state: &mut State) {
         let now = Instant::now();
-        let previous = self.board.roster();
-        let settings = &self.board.settings;
+        let previous = self.shared.roster();
+        let settings = &self.shared.settings;
         let address = settings.peer_addr.ip();
         let location = Location {
             data_centre: settings.data_centre.clone(),
@@ -329,20 +329,20 @@
         let stable_revisions = state.stable_revisions.clone();
         let roster = Roster::build(live, gone, &location, &previous, stable_revisions, now);
         state.stable_revisions.clone_from(&roster.stable_revisions);
-        self.board.set_roster(roster);
+        self.shared.set_roster(roster);
     }
 
-    pub(super) fn board(&self) -> &Board {
-        &self.board
+    pub(super) fn shared(&self) -> &SharedState {
+        &self.shared
     }
 
     /// Updates what the view sends about the state of this daemon.
     pub(super) fn refresh_view(&self, state: &mut State) {
         // Read before the version, which may rise meanwhile: the watermark is also valid for a newer one.
-        let latest = self.board.freshness.latest();
+        let latest = self.shared.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
-        state.view.set_digest(self.board.digest());
-        state.view.set_era(self.board.era());
+        state.view.set_digest(self.shared.digest());
+        state.view.set_era(self.shared.era());
         state.view.set_gossip_hash(self.gossip_hash());
     }
 
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -73,8 +73,8 @@
     /// the same.
     pub(super) fn full_sync(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
-        let crashes = self.board().quarantine.snapshot();
-        let rollouts = self.board().rollouts.snapshot();
+        let crashes = self.shared().quarantine.snapshot();
+        let rollouts = self.shared().rollouts.snapshot();
         let mut guard = self.state();
         let last = guard.last_full_sync;
         let too_soon = last.is_some_and(|last| now.saturating_duration_since(last) < SYNC_INTERVAL);
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -9,7 +9,6 @@
 use tokio::sync::mpsc;
 
 use crate::backoff::Backoff;
-use crate::board::Board;
 use crate::clock;
 use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::reader::Reader;
@@ -25,6 +24,7 @@
 use crate::membership::registration::Registration;
 use crate::membership::seeds::{Peers, choose_seeds};
 use crate::quarantine::archive::Archive;
+use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Millis, Offset, Version};
 
 /// Responses after which a daemon sends no more join requests, if a control plane lists daemons: when many start
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Joiner {
     /// State shared by the daemon's controllers.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Store of the active configuration.
     pub store: Arc<Store>,
     /// Membership controller.
@@ -81,7 +81,7 @@
             self.contacts.maintain().await;
             return;
         };
-        let registration = Registration::new(Arc::clone(&self.board), origin);
+        let registration = Registration::new(Arc::clone(&self.shared), origin);
         let listed = self.start_from_control_plane(&registration).await;
         self.serve().await;
         self.join_late_peers(listed).await;
@@ -97,19 +97,19 @@
     /// Restores the stored quarantine notes. While the log is unavailable, the peers have sent them.
     async fn restore_quarantine(&self) {
         match self.archive.load().await {
-            Ok(notes) => self.board.quarantine.restore(&notes, clock::unix_ms()),
+            Ok(notes) => self.shared.quarantine.restore(&notes, clock::unix_ms()),
             Err(error) => {
-                warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
+                warn!(self.shared.logger, "the quarantine notes cannot be read"; "error" => %error);
             }
         }
     }
 
     /// Starts to serve, unless a stop has been requested meanwhile.
     async fn serve(&self) {
-        if self.board.stage() == Stage::Starting {
-            self.board.advance(Stage::Serving);
+        if self.shared.stage() == Stage::Starting {
+            self.shared.advance(Stage::Serving);
             self.membership.publish_own_entry().await;
-            info!(self.board.logger, "serving"; "version" => self.board.digest().version.0);
+            info!(self.shared.logger, "serving"; "version" => self.shared.digest().version.0);
         }
     }
 
@@ -122,22 +122,23 @@
         self: &Arc<Self>,
         registration: &Registration,
     ) -> mpsc::Receiver<Peers> {
-        let deadline = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
+        let deadline =
+            tokio::time::Instant::now() + self.shared.settings.log_patience_ms.duration();
         let mut list_received = false;
         let mut welcomes = Welcomes::default();
         let mut requests = Requests::new(&self.join_client);
-        requests.ask(self.board.settings.contacts.clone());
-        let mut rosters = self.board.rosters();
-        let mut versions = self.board.versions();
-        let mut stages = self.board.stages();
+        requests.ask(self.shared.settings.contacts.clone());
+        let mut rosters = self.shared.rosters();
+        let mut versions = self.shared.versions();
+        let mut stages = self.shared.stages();
         let (sender, mut listed) = mpsc::channel(1);
         tokio::spawn(Arc::clone(self).discover(registration.clone(), sender));
         let mut pauses = RETRY_BACKOFF;
         let mut reading = self.read_after(ROUND_PAUSE);
         let mut read = false;
-        while self.board.stage() == Stage::Starting {
+        while self.shared.stage() == Stage::Starting {
             let late = tokio::time::Instant::now() >= deadline;
-            let version = self.board.digest().version;
+            let version = self.shared.digest().version;
             let has_version = version > Version(0) && version >= welcomes.floor.version();
             // Responses of peers contain the targets that this daemon's callers need, and what its own target
             // offered.
@@ -155,7 +156,7 @@
                 result = &mut reading => {
                     read = result.is_ok();
                     let pause = if read {
-                        read_delay(self.board.roster().members.len())
+                        read_delay(self.shared.roster().members.len())
                     } else {
                         pauses.next_delay()
                     };
@@ -174,15 +175,15 @@
                 _ = rosters.changed() => candidates = self.known_peers(),
                 _ = versions.changed() => {}
                 () = tokio::time::sleep_until(deadline), if !late => {
-                    warn!(self.board.logger, "not ready yet: no configuration known to be recent enough"; "version" => version.0, "read" => read);
+                    warn!(self.shared.logger, "not ready yet: no configuration known to be recent enough"; "version" => version.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
             if welcomes.count < ENOUGH_WELCOMES {
-                requests.ask_seeds(candidates, &self.board.settings.data_centre);
+                requests.ask_seeds(candidates, &self.shared.settings.data_centre);
             }
         }
-        if !self.board.settings.first_start {
+        if !self.shared.settings.first_start {
             self.endpoint.discover_target(welcomes.slots()).await;
         }
         tokio::spawn(requests.finish(welcomes));
@@ -202,11 +203,11 @@
     /// Joins through a few of `peers` that are not members yet, and through others if none of those responds,
     /// since a list may be full of hosts that are gone.
     async fn join_unknown(&self, mut peers: Peers) {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         peers.retain(|(peer, _)| roster.member(*peer).is_none());
         let mut welcomes = Welcomes::default();
         while !peers.is_empty() {
-            let candidates = choose_seeds(peers.clone(), &self.board.settings.data_centre);
+            let candidates = choose_seeds(peers.clone(), &self.shared.settings.data_centre);
             peers.retain(|(peer, _)| !candidates.contains(peer));
             if self
                 .join_client
@@ -221,7 +222,7 @@
 
     /// Whether no other daemon is known.
     fn is_alone(&self) -> bool {
-        self.board.roster().members.len() <= 1
+        self.shared.roster().members.len() <= 1
     }
 
     /// Reads the newest version after a pause, or waits a while for one.
@@ -236,7 +237,7 @@
     /// Sends the list of daemons to `found` as soon as the control plane returns it.
     async fn discover(self: Arc<Self>, registration: Registration, found: mpsc::Sender<Peers>) {
         let mut pauses = RETRY_BACKOFF;
-        while !self.board.stage().is_stopping() {
+        while !self.shared.stage().is_stopping() {
             if let Ok(listed) = registration.discover().await {
                 // The receiver may be gone: it may have found other peers meanwhile.
                 let _ = found.send(listed).await;
@@ -248,7 +249,7 @@
 
     /// Members that are not gone, as far as known.
     fn known_peers(&self) -> Peers {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let members = roster.members.iter();
         members.map(|m| (m.peer, m.data_centre.clone())).collect()
     }
@@ -256,7 +257,7 @@
     /// Keeps enough daemons listed, and joins those that were listed meanwhile.
     async fn maintain_registration(&self, registration: &Registration) {
         let mut pause_when_alone = ISOLATED_PAUSE;
-        let mut eras = self.board.eras();
+        let mut eras = self.shared.eras();
         loop {
             // Waits first, since the list has just been read.
             let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
@@ -290,7 +291,7 @@
     async fn register_again(&self, registration: &Registration) {
         let mut pauses = RETRY_BACKOFF;
         tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
-        while self.board.is_listed() && !self.board.stage().is_stopping() {
+        while self.shared.is_listed() && !self.shared.stage().is_stopping() {
             if registration.register().await.is_ok() {
                 return;
             }
@@ -302,27 +303,27 @@
         let began = Instant::now();
         let mut welcomes = Welcomes::default();
         let mut warned = false;
-        while self.board.stage() == Stage::Starting {
+        while self.shared.stage() == Stage::Starting {
             let contacts = self.seed_addresses().await;
             self.join_client.join_through(contacts, &mut welcomes).await;
             let floor = &mut welcomes.floor;
             let log_read = self.read_log(floor).await;
-            let version = self.board.digest().version;
+            let version = self.shared.digest().version;
             if log_read && floor.is_met_by_log(version, self.store.next()) {
                 return;
             }
-            let before_deadline = began.elapsed() < self.board.settings.log_patience_ms.duration();
+            let before_deadline = began.elapsed() < self.shared.settings.log_patience_ms.duration();
             if !log_read
                 && !before_deadline
                 && floor.is_met_by_peers(version, self.count_data_centres())
             {
-                warn!(self.board.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
+                warn!(self.shared.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
                 return;
             }
             if !before_deadline && !warned {
                 warned = true;
                 warn!(
-                    self.board.logger,
+                    self.shared.logger,
                     "not ready yet: neither the log nor enough peers respond"
                 );
             }
@@ -346,12 +347,12 @@
     /// Addresses to join through: known members and the contacts of the settings, or of the log if there are none
     /// in the settings.
     async fn seed_addresses(&self) -> Vec<SocketAddr> {
-        let me = self.board.settings.identity();
-        let roster = self.board.roster();
+        let me = self.shared.settings.identity();
+        let roster = self.shared.roster();
         let known = roster.members.iter().map(|member| member.peer);
         let mut contacts: Vec<SocketAddr> =
-            known.chain(self.board.settings.contacts.clone()).collect();
-        if self.board.settings.contacts.is_empty() {
+            known.chain(self.shared.settings.contacts.clone()).collect();
+        if self.shared.settings.contacts.is_empty() {
             contacts.extend(
                 self.contacts
                     .read_recent()
@@ -367,7 +368,7 @@
     }
 
     fn count_data_centres(&self) -> usize {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let mut names: Vec<&DataCentre> = roster.members.iter().map(|m| &m.data_centre).collect();
         names.sort_unstable();
         names.dedup();
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -7,7 +7,6 @@
 use rand::seq::SliceRandom;
 use tokio::sync::mpsc;
 
-use crate::board::Board;
 use crate::configuration::readiness::Requirement;
 use crate::configuration::relay::Relay;
 use crate::error::Result;
@@ -16,8 +15,9 @@
 use crate::membership::datagram::{Join, Welcome};
 use crate::membership::member::{Health, Member};
 use crate::membership::seeds::{JOIN_FANOUT, Peers, choose_seeds};
-use crate::peer::Links;
+use crate::peer::LinkPool;
 use crate::peer::server::JOIN;
+use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Slots};
 
 /// Content of all responses to a starting daemon's join requests.
@@ -45,9 +45,9 @@
 #[derive(Debug)]
 pub struct JoinClient {
     /// State shared by the daemon's controllers.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Connections to peers.
-    pub links: Arc<Links>,
+    pub links: Arc<LinkPool>,
     /// Membership controller.
     pub membership: Arc<Membership>,
     /// Fetches configurations from peers.
@@ -82,7 +82,7 @@
         welcomes: &mut Welcomes,
     ) -> usize {
         let before = welcomes.count;
-        contacts.retain(|peer| *peer != self.board.settings.identity());
+        contacts.retain(|peer| *peer != self.shared.settings.identity());
         contacts.shuffle(&mut rand::rng());
         contacts.truncate(JOIN_FANOUT);
         let asking = contacts
@@ -101,7 +101,7 @@
     }
 
     fn is_ahead(&self, welcome: &Welcome) -> bool {
-        welcome.digest.version > self.board.digest().version
+        welcome.digest.version > self.shared.digest().version
     }
 
     fn record(&self, welcome: &Welcome, welcomes: &mut Welcomes) {
@@ -112,9 +112,9 @@
             .floor
             .add_peer(&responder, welcome.digest.version, welcome.highest_version);
         welcomes.slots = welcome.slots.or(welcomes.slots);
-        self.board.note_era(welcome.era);
-        self.board.quarantine.merge(&welcome.crashes);
-        self.board.rollouts.merge(&welcome.rollouts);
+        self.shared.note_era(welcome.era);
+        self.shared.quarantine.merge(&welcome.crashes);
+        self.shared.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, welcomes);
         self.membership
             .merge_members(&welcome.members, &welcome.stable_revisions);
@@ -167,7 +167,7 @@
         let (sender, responses) = mpsc::channel(JOIN_FANOUT);
         Self {
             join_client: Arc::clone(join_client),
-            asked: vec![join_client.board.settings.identity()],
+            asked: vec![join_client.shared.settings.identity()],
             pending: 0,
             sender,
             responses,
--- a/src/membership/refresh.rs
+++ b/src/membership/refresh.rs
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 
 use crate::backoff::Backoff;
-use crate::board::Board;
 use crate::configuration::freshness::{Limits, Watermark};
 use crate::configuration::reader::Reader;
 use crate::configuration::relay::jitter;
 use crate::error::Result;
 use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
+use crate::shared_state::SharedState;
 use crate::units::{Millis, Offset};
 
 /// Longest pause between two queries of members.
@@ -29,7 +29,7 @@
 /// Keeps the watermark of one daemon fresh.
 #[derive(Debug)]
 pub struct Refresher {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     membership: Arc<Membership>,
     reader: Arc<Reader>,
     limits: Limits,
@@ -40,10 +40,14 @@
 impl Refresher {
     /// Creates a refresher that reads with `reader` and queries the members of `membership`.
     #[must_use]
-    pub fn new(board: &Arc<Board>, membership: &Arc<Membership>, reader: &Arc<Reader>) -> Self {
+    pub fn new(
+        shared: &Arc<SharedState>,
+        membership: &Arc<Membership>,
+        reader: &Arc<Reader>,
+    ) -> Self {
         Self {
-            limits: Limits::within(board.settings.apply_ms),
-            board: Arc::clone(board),
+            limits: Limits::within(shared.settings.apply_ms),
+            shared: Arc::clone(shared),
             membership: Arc::clone(membership),
             reader: Arc::clone(reader),
             serving_since: Instant::now(),
@@ -52,7 +56,7 @@
 
     /// Renews the watermark from the time that the daemon serves until its process ends.
     pub async fn run(mut self) {
-        let mut stages = self.board.stages();
+        let mut stages = self.shared.stages();
         // Until then the joiner reads.
         let _ = stages.wait_for(|stage| *stage != Stage::Starting).await;
         self.serving_since = Instant::now();
@@ -72,7 +76,7 @@
 
     /// Reads the source and queries members until the watermark is fresh again.
     async fn renew(&self) {
-        let mut watermarks = self.board.freshness.subscribe();
+        let mut watermarks = self.shared.freshness.subscribe();
         let mut pauses = Backoff::new(self.limits.retry, MAX_QUERY_PAUSE);
         let mut read_pauses = READ_BACKOFF;
         let mut reading = tokio::spawn(read(Arc::clone(&self.reader), Duration::ZERO));
@@ -83,8 +87,8 @@
             tokio::select! {
                 result = &mut reading => {
                     let pause = if matches!(result, Ok(Ok(_))) {
-                        info!(self.board.logger, "read in place of a reader";
-                            "version" => self.board.digest().version.0);
+                        info!(self.shared.logger, "read in place of a reader";
+                            "version" => self.shared.digest().version.0);
                         // If the watermark is still stale, more records follow those that were read.
                         Duration::ZERO
                     } else {
@@ -101,14 +105,14 @@
         }
         reading.abort();
         if warned {
-            info!(self.board.logger, "newest version known again";
-                "version" => self.board.digest().version.0);
+            info!(self.shared.logger, "newest version known again";
+                "version" => self.shared.digest().version.0);
         }
     }
 
     fn warn(&self) {
-        warn!(self.board.logger, "newest version not known";
-            "version" => self.board.digest().version.0,
+        warn!(self.shared.logger, "newest version not known";
+            "version" => self.shared.digest().version.0,
             "age_ms" => Millis::from(self.age()).0);
     }
 
@@ -119,7 +123,7 @@
     /// Age of the watermark, or the time since the daemon began to serve if there is none.
     fn age(&self) -> Duration {
         let now = Instant::now();
-        let age = self.board.freshness.latest().age(now);
+        let age = self.shared.freshness.latest().age(now);
         age.unwrap_or_else(|| now.saturating_duration_since(self.serving_since))
     }
 }
@@ -136,6 +140,6 @@
         let age = latest.age(Instant::now());
         age.is_some_and(|age| age < stale)
     };
-    // The board, which holds the sender, outlives every controller.
+    // The shared state, which holds the sender, outlives every controller.
     let _ = watermarks.wait_for(is_fresh).await;
 }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -6,11 +6,11 @@
 
 use std::sync::Arc;
 
-use crate::board::Board;
 use crate::clock;
 use crate::configuration::control_plane::{Contact, ControlPlane, Directory};
 use crate::error::Result;
 use crate::membership::seeds::Peers;
+use crate::shared_state::SharedState;
 use crate::units::Millis;
 
 /// Listed daemons with which a list is long enough: many more than a daemon joins through, so that hosts that
@@ -24,15 +24,15 @@
 /// Registration of one daemon.
 #[derive(Debug, Clone)]
 pub struct Registration {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     origin: Arc<dyn ControlPlane>,
 }
 
 impl Registration {
-    /// Creates the registration of the daemon of `board` in the list of `origin`.
+    /// Creates the registration of the daemon of `shared` in the list of `origin`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, origin: Arc<dyn ControlPlane>) -> Self {
-        Self { board, origin }
+    pub const fn new(shared: Arc<SharedState>, origin: Arc<dyn ControlPlane>) -> Self {
+        Self { shared, origin }
     }
 
     /// Reads the list, and lists this daemon if too few are listed.
@@ -67,7 +67,7 @@
     /// As [`ControlPlane::register`].
     pub async fn register(&self) -> Result<()> {
         // The request may succeed although no response arrives.
-        self.board.set_listed();
+        self.shared.set_listed();
         self.origin.register(&self.contact()).await
     }
 
@@ -78,10 +78,10 @@
     /// As [`Listing::consult`].
     pub async fn maintain(&self) -> Result<Peers> {
         let contacts = self.read(usize::MAX).await?;
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let live = contacts.iter().filter(|c| roster.member(c.peer).is_some());
         let too_few = live.count() < MIN_CONTACTS;
-        if too_few && !contacts.contains(&self.contact()) && !self.board.stage().is_stopping() {
+        if too_few && !contacts.contains(&self.contact()) && !self.shared.stage().is_stopping() {
             return self.register_and_read().await;
         }
         Ok(peers(contacts))
@@ -93,7 +93,7 @@
     ///
     /// As [`Origin::unlist`].
     pub async fn deregister(&self) -> Result<()> {
-        if self.board.is_listed() {
+        if self.shared.is_listed() {
             self.origin.deregister(&self.contact()).await?;
         }
         Ok(())
@@ -105,8 +105,8 @@
             contacts,
             quarantine_records,
         } = self.origin.directory(enough).await?;
-        let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
-        self.board.quarantine.restore(&quarantine_records, now);
+        let (now, span) = (clock::unix_ms(), self.shared.settings.quarantine_ms);
+        self.shared.quarantine.restore(&quarantine_records, now);
         for (cause, note) in quarantine_records {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // A note that cannot be deleted is read again and has no effect.
@@ -117,7 +117,7 @@
     }
 
     fn contact(&self) -> Contact {
-        let settings = &self.board.settings;
+        let settings = &self.shared.settings;
         Contact {
             peer: settings.identity(),
             data_centre: settings.data_centre.clone(),
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -8,13 +8,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use crate::board::Target;
 use crate::calls::latency::{Baseline, Outstanding, Profile};
 use crate::calls::pick::{self, Candidate, Cost, Detector};
 use crate::configuration::document::{Ejection, Group};
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
 use crate::rollout::stable::Revisions;
+use crate::shared_state::Target;
 use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
 const BYTES_PER_KB: f64 = 1_024.0;
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -17,12 +17,12 @@
 impl Membership {
     /// Notifies the other data centres of each version, while this daemon is a reader.
     pub(super) async fn announce_version(&self) {
-        let mut versions = self.board().versions();
+        let mut versions = self.shared().versions();
         while versions.changed().await.is_ok() {
             tokio::time::sleep(jitter(PROPAGATION_TIME)).await;
             versions.borrow_and_update();
-            if self.board().settings.delivery == Delivery::Poll
-                || reader_rank(self.board()).is_none()
+            if self.shared().settings.delivery == Delivery::Poll
+                || reader_rank(self.shared()).is_none()
             {
                 continue;
             }
@@ -38,18 +38,18 @@
 
     /// Sends the watermark to the local data centre after each read by this daemon.
     pub(super) async fn send_watermark(&self) {
-        if self.board().settings.delivery == Delivery::Poll {
+        if self.shared().settings.delivery == Delivery::Poll {
             // With polling, each daemon reads for itself.
             return;
         }
-        let mut watermarks = self.board().freshness.subscribe();
+        let mut watermarks = self.shared().freshness.subscribe();
         let mut sent = Version(0);
         while watermarks.changed().await.is_ok() {
             let own = watermarks.borrow_and_update().own;
-            if !own || self.board().stage() == Stage::Starting {
+            if !own || self.shared().stage() == Stage::Starting {
                 continue;
             }
-            let version = self.board().digest().version;
+            let version = self.shared().digest().version;
             if std::mem::replace(&mut sent, version) != version {
                 // A new version is first delivered through the relay tree; daemons that it does not reach are
                 // notified here.
@@ -77,13 +77,13 @@
 
     /// Adopts a watermark, unless its sender has a newer version active, which has to be fetched first.
     pub(super) fn note_watermark(&self, datagram: &Datagram) {
-        if datagram.digest.version > self.board().digest().version {
+        if datagram.digest.version > self.shared().digest().version {
             return;
         }
         if let Some(report) = &datagram.watermark {
             let complete = datagram.gossip_hash == self.gossip_hash();
             let now = Instant::now();
-            self.board().freshness.merge_report(report, complete, now);
+            self.shared().freshness.merge_report(report, complete, now);
         }
     }
 }
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -17,7 +17,7 @@
 use crate::membership::member::Member;
 use crate::operation::operator::{InForce, Published};
 use crate::operation::state::Brief;
-use crate::operation::survey::{Summary, summarise, table};
+use crate::operation::status::{Summary, summarise, table};
 use crate::rollout::progress::Progress;
 use crate::units::{EditId, Version};
 
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -7,4 +7,4 @@
 pub(crate) mod command;
 pub(crate) mod operator;
 pub(crate) mod state;
-pub(crate) mod survey;
+pub(crate) mod status;
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -12,7 +12,6 @@
 use volo_http::server::param::PathParams;
 use volo_http::server::route::{get, post};
 
-use crate::board::Board;
 use crate::calls::sidecar::Sidecar;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
@@ -23,6 +22,7 @@
 use crate::membership::member::Member;
 use crate::operation::state::{Brief, Dump};
 use crate::rollout::progress::Progress;
+use crate::shared_state::SharedState;
 use crate::units::{EditId, Version};
 
 /// Longest time that an operator waits for a verdict.
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub struct Operator {
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Publishes edits.
     pub publisher: Publisher,
     /// Read for the state dump.
@@ -132,7 +132,7 @@
     }
 
     fn ready(&self) -> Answer {
-        let brief = Brief::of(&self.board);
+        let brief = Brief::of(&self.shared);
         let status = if brief.ready {
             StatusCode::OK
         } else {
@@ -144,22 +144,22 @@
     fn state(&self) -> Answer {
         json(
             StatusCode::OK,
-            &Dump::of(&self.board, &self.gate, &self.keys),
+            &Dump::of(&self.shared, &self.gate, &self.keys),
         )
     }
 
     fn members(&self) -> Answer {
-        let members: Vec<Member> = self.board.roster().members.clone();
+        let members: Vec<Member> = self.shared.roster().members.clone();
         json(StatusCode::OK, &members)
     }
 
     fn rollouts(&self) -> Answer {
-        let told: Vec<Progress> = self.board.rollouts.snapshot();
+        let told: Vec<Progress> = self.shared.rollouts.snapshot();
         json(StatusCode::OK, &told)
     }
 
     fn config(&self) -> Answer {
-        let config = self.board.config();
+        let config = self.shared.config();
         let in_force = InForce {
             version: config.digest.version,
             hash: format!("{:016x}", config.digest.hash),
@@ -186,11 +186,11 @@
         reason = "gauges are floating-point numbers"
     )]
     fn gauge(&self) {
-        let control = self.board.meter.read();
-        metrics::gauge!("jackdaw_config_version").set(self.board.digest().version.0 as f64);
-        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.received().0 as f64);
-        metrics::gauge!("jackdaw_members").set(self.board.roster().members.len() as f64);
-        metrics::gauge!("jackdaw_in_flight").set(self.board.in_flight() as f64);
+        let control = self.shared.meter.read();
+        metrics::gauge!("jackdaw_config_version").set(self.shared.digest().version.0 as f64);
+        metrics::gauge!("jackdaw_version_offered").set(self.shared.freshness.received().0 as f64);
+        metrics::gauge!("jackdaw_members").set(self.shared.roster().members.len() as f64);
+        metrics::gauge!("jackdaw_in_flight").set(self.shared.in_flight() as f64);
         metrics::counter!("jackdaw_control_bytes_total", "to" => "peers")
             .absolute(control.peer_bytes);
         metrics::counter!("jackdaw_control_bytes_total", "to" => "probes")
@@ -199,9 +199,9 @@
     }
 
     fn drain(&self) -> Answer {
-        info!(self.board.logger, "drain asked for");
-        self.board.leave();
-        json(StatusCode::ACCEPTED, &Brief::of(&self.board))
+        info!(self.shared.logger, "drain asked for");
+        self.shared.leave();
+        json(StatusCode::ACCEPTED, &Brief::of(&self.shared))
     }
 
     /// Where the log ends, for an edit that is to replace whatever is in force.
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -5,7 +5,6 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::board::{Board, Target};
 use crate::calls::sidecar::Sidecar;
 use crate::configuration::reader;
 use crate::idempotency::deduplicator::Deduplicator;
@@ -14,6 +13,7 @@
 use crate::quarantine::crash_set::Assessments;
 use crate::rollout::progress::Progress;
 use crate::settings::Settings;
+use crate::shared_state::{SharedState, Target};
 use crate::telemetry::Reading;
 use crate::units::{DataCentre, Generation, Millis, Revision, Service, Version};
 
@@ -123,19 +123,19 @@
 }
 
 impl Brief {
-    /// Reads a board.
+    /// Reads the shared state.
     #[must_use]
-    pub fn of(board: &Board) -> Self {
-        let config = board.config();
+    pub fn of(shared: &SharedState) -> Self {
+        let config = shared.config();
         let digest = config.digest;
         Self {
             since_us: config.since_us,
-            ready: board.stage() == Stage::Serving,
-            stage: board.stage(),
+            ready: shared.stage() == Stage::Serving,
+            stage: shared.stage(),
             version: digest.version,
             hash: format!("{:016x}", digest.hash),
-            data_centre: board.settings.data_centre.clone(),
-            control: board.meter.read(),
+            data_centre: shared.settings.data_centre.clone(),
+            control: shared.meter.read(),
         }
     }
 }
@@ -143,34 +143,34 @@
 impl Dump {
     /// Reads a daemon.
     #[must_use]
-    pub fn of(board: &Board, gate: &Sidecar, keys: &Deduplicator) -> Self {
+    pub fn of(shared: &SharedState, gate: &Sidecar, keys: &Deduplicator) -> Self {
         let now = Instant::now();
-        let config = board.config();
-        let roster = board.roster();
+        let config = shared.config();
+        let roster = shared.roster();
         let (running, waiting) = gate.load();
-        let target = board.target();
+        let target = shared.target();
         let left = |until: Instant| until.saturating_duration_since(now);
         Self {
-            settings: board.settings.clone(),
-            stage: board.stage(),
+            settings: shared.settings.clone(),
+            stage: shared.stage(),
             version: config.digest.version,
             hash: format!("{:016x}", config.digest.hash),
-            offered: board.freshness.received(),
-            watermark_ms: board.freshness.age(now),
+            offered: shared.freshness.received(),
+            watermark_ms: shared.freshness.age(now),
             routes: config.table.len(),
-            reads_log: reader::reader_rank(board).is_some(),
+            reads_log: reader::reader_rank(shared).is_some(),
             lease_left_ms: target
                 .as_ref()
                 .map(|target| left(target.lease_until).into()),
             target: target.as_deref().cloned(),
-            in_flight: board.in_flight(),
+            in_flight: shared.in_flight(),
             running,
             waiting,
             keys: keys.len(),
-            rollouts: board.rollouts.snapshot(),
-            era: board.era(),
-            quarantined: quarantined(&board.quarantine.assessments(), now),
-            control: board.meter.read(),
+            rollouts: shared.rollouts.snapshot(),
+            era: shared.era(),
+            quarantined: quarantined(&shared.quarantine.assessments(), now),
+            control: shared.meter.read(),
             live: roster
                 .members
                 .iter()
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Link`] is one daemon's connection to another. Control messages are single POSTs with
 //! bincode bodies; calls are ordinary requests with a [`Metadata`](crate::calls::metadata::Metadata) in a
-//! header. Links for calls and links for control are separate connections, so that control bytes
+//! header. LinkPool for calls and links for control are separate connections, so that control bytes
 //! can be counted where they are sent.
 
 use std::io;
@@ -23,7 +23,7 @@
 use crate::calls::stream;
 use crate::clock;
 use crate::error::{Error, Result};
-use crate::peer::counted::Counted;
+use crate::peer::metered_stream::MeteredStream;
 use crate::telemetry::Meter;
 use crate::units::Millis;
 use crate::wire;
@@ -189,7 +189,7 @@
         stream
             .set_nodelay(true)
             .map_err(|e| self.unreachable(&e.to_string()))?;
-        let counted = Counted::new(stream, meter.cloned());
+        let counted = MeteredStream::new(stream, meter.cloned());
         let heard = counted.heard();
         let handshake = h2::client::Builder::new()
             .initial_window_size(WINDOW)
--- a/src/peer/links.rs
+++ b/src/peer/link_pool.rs
@@ -13,9 +13,9 @@
 use crate::telemetry::Meter;
 use crate::wire;
 
-/// Links for control messages, closed when idle.
+/// LinkPool for control messages, closed when idle.
 #[derive(Debug)]
-pub struct Links {
+pub struct LinkPool {
     home: IpAddr,
     meter: Arc<Meter>,
     /// Sorted by peer; never held while a message is on its way.
@@ -29,7 +29,7 @@
     used: Instant,
 }
 
-impl Links {
+impl LinkPool {
     /// No links yet; they will leave from the address `home`.
     #[must_use]
     pub const fn new(home: IpAddr, meter: Arc<Meter>) -> Self {
--- a/src/peer/counted.rs
+++ b/src/peer/metered_stream.rs
@@ -14,7 +14,7 @@
 
 /// A connection whose control bytes are counted.
 #[derive(Debug)]
-pub struct Counted {
+pub struct MeteredStream {
     stream: TcpStream,
     meter: Option<Arc<Meter>>,
     /// When bytes came last, in milliseconds since 1970.
@@ -23,7 +23,7 @@
     calls: Arc<AtomicBool>,
 }
 
-impl Counted {
+impl MeteredStream {
     /// Counts with `meter`, when there is one.
     #[must_use]
     pub fn new(stream: TcpStream, meter: Option<Arc<Meter>>) -> Self {
@@ -54,7 +54,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -72,7 +72,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -13,7 +13,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use volo_http::body::Body;
 
-use crate::board::Board;
 use crate::calls::metadata::{METADATA, read_metadata};
 use crate::calls::sidecar::Sidecar;
 use crate::calls::stream::{self, Continue, Incoming, REQUEST_WINDOW_BYTES};
@@ -25,8 +24,9 @@
 use crate::idempotency::keys::{Handoff, Intent};
 use crate::membership::controller::Membership;
 use crate::membership::datagram::Join;
-use crate::peer::counted::Counted;
 use crate::peer::link::{CONNECTION_WINDOW, collect};
+use crate::peer::metered_stream::MeteredStream;
+use crate::shared_state::SharedState;
 use crate::units::Millis;
 use crate::{clock, wire};
 
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Server {
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Takes calls.
     pub gate: Arc<Sidecar>,
     /// Takes notes of keys.
@@ -59,7 +59,7 @@
     ///
     /// [`Error::Listen`](crate::Error::Listen) when the address can't be had.
     pub async fn listen(&self) -> Result<TcpListener> {
-        let address = self.board.settings.peer_addr;
+        let address = self.shared.settings.peer_addr;
         TcpListener::bind(address)
             .await
             .context(ListenSnafu { address })
@@ -76,7 +76,7 @@
             let server = Arc::clone(&self);
             tokio::spawn(async move {
                 if let Err(error) = server.connection(stream).await {
-                    debug!(server.board.logger, "connection ended"; "error" => %error);
+                    debug!(server.shared.logger, "connection ended"; "error" => %error);
                 }
             });
         }
@@ -84,7 +84,7 @@
 
     async fn connection(self: &Arc<Self>, stream: TcpStream) -> Result<(), h2::Error> {
         let _ = stream.set_nodelay(true);
-        let counted = Counted::new(stream, Some(Arc::clone(&self.board.meter)));
+        let counted = MeteredStream::new(stream, Some(Arc::clone(&self.shared.meter)));
         let calls = counted.calls();
         let transit = Arc::new(Estimator::default());
         let mut connection = h2::server::Builder::new()
@@ -126,7 +126,7 @@
             }
             Err(error) => {
                 metrics::counter!("jackdaw_bad_frames_total").increment(1);
-                debug!(self.board.logger, "bad frame"; "path" => path, "error" => %error);
+                debug!(self.shared.logger, "bad frame"; "path" => path, "error" => %error);
                 respond.send_reset(H2Reason::PROTOCOL_ERROR);
             }
         }
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -8,12 +8,12 @@
 use slog::warn;
 use tokio::net::TcpStream;
 
-use crate::board::{Board, Target};
 use crate::calls::outcome::Reason;
 use crate::clock;
 use crate::quarantine::crash::{Crash, CrashId};
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::running::{Completion, Run, RunId, Running};
+use crate::shared_state::{SharedState, Target};
 use crate::units::Millis;
 
 /// Time after the first broken connection in which others that break with it are noticed.
@@ -26,7 +26,7 @@
 /// Tracks the requests that run at the target of one sidecar and reports its crashes.
 #[derive(Debug, Clone)]
 pub struct Detector {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
 }
 
 /// A request at the target. Counts as unresolved if it is dropped without [`RunGuard::finish`].
@@ -39,10 +39,10 @@
 }
 
 impl Detector {
-    /// A detector for the target that `board` names.
+    /// A detector for the target that `shared` names.
     #[must_use]
-    pub const fn new(board: Arc<Board>) -> Self {
-        Self { board }
+    pub const fn new(shared: Arc<SharedState>) -> Self {
+        Self { shared }
     }
 
     /// Admits a request to the target and tracks it.
@@ -52,7 +52,7 @@
     /// [`Reason::Quarantined`] if the request is quarantined; [`Reason::Overloaded`] if it must be isolated
     /// from a request that is running.
     pub fn begin(&self, run: Run) -> Result<RunGuard, Reason> {
-        let quarantine = &self.board.quarantine;
+        let quarantine = &self.shared.quarantine;
         let assessment = quarantine.assessment(run.fingerprint);
         // A request that crashes every target would otherwise be retried until few targets are left for all
         // callers. All sidecars refuse it by the same crash reports, so an ingress that has not received them
@@ -103,7 +103,7 @@
                 .running()
                 .finish_check(Instant::now(), refused_since);
             if refused_since.is_some() {
-                detector.board.drop_target(&target);
+                detector.shared.drop_target(&target);
             }
             if !runs.is_empty() {
                 detector.log_crash(&target, &runs);
@@ -130,7 +130,7 @@
     /// Reports that the target crashed `ago` while these requests were running. If they are more than a
     /// report holds, those with most crashes and those that began last are reported.
     fn report_crash(&self, mut runs: Vec<Run>, ago: Duration) {
-        let quarantine = &self.board.quarantine;
+        let quarantine = &self.shared.quarantine;
         runs.sort_by_key(|run| {
             Reverse((quarantine.assessment(run.fingerprint).crashes, run.began))
         });
@@ -149,12 +149,12 @@
         };
         let named: Vec<String> = runs.iter().take(MAX_LOGGED_REQUESTS).map(name).collect();
         let instance = target.instance.as_ref().map(ToString::to_string);
-        warn!(self.board.logger, "target crashed"; "instance" => instance,
+        warn!(self.shared.logger, "target crashed"; "instance" => instance,
             "address" => %target.address, "running" => runs.len(), "requests" => named.join(" "));
     }
 
     fn running(&self) -> MutexGuard<'_, Running> {
-        lock_running(&self.board.running)
+        lock_running(&self.shared.running)
     }
 }
 
@@ -164,7 +164,7 @@
         self.completion = completion;
         if completion == Completion::Answered {
             self.detector
-                .board
+                .shared
                 .quarantine
                 .record_answer(self.fingerprint);
         }
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -6,13 +6,13 @@
 use slog::{info, warn};
 
 use crate::backoff::Backoff;
-use crate::board::Board;
 use crate::clock;
 use crate::membership::controller::Membership;
 use crate::quarantine::archive::Archive;
 use crate::quarantine::crash_set::Assessments;
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::record::Record;
+use crate::shared_state::SharedState;
 
 /// Interval at which expired crashes are removed: short beside the duration of a quarantine.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
@@ -22,17 +22,17 @@
 /// Replicates the quarantine of one daemon to its peers and the archive.
 #[derive(Debug, Clone)]
 pub struct Replicator {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     membership: Arc<Membership>,
     archive: Archive,
 }
 
 impl Replicator {
-    /// A replicator of the quarantine on `board`, which stores records in `archive`.
+    /// A replicator of the quarantine on `shared`, which stores records in `archive`.
     #[must_use]
-    pub fn new(board: &Arc<Board>, membership: &Arc<Membership>, archive: Archive) -> Self {
+    pub fn new(shared: &Arc<SharedState>, membership: &Arc<Membership>, archive: Archive) -> Self {
         Self {
-            board: Arc::clone(board),
+            shared: Arc::clone(shared),
             membership: Arc::clone(membership),
             archive,
         }
@@ -40,8 +40,8 @@
 
     /// Replicates changes for as long as the daemon runs.
     pub async fn run(self) {
-        let mut changes = self.board.quarantine.changes();
-        let mut eras = self.board.eras();
+        let mut changes = self.shared.quarantine.changes();
+        let mut eras = self.shared.eras();
         let mut assessments: Arc<Assessments> = Arc::default();
         loop {
             // All but the expiry of crashes is signalled as a change.
@@ -50,12 +50,12 @@
                 _ = eras.changed() => self.store_all_again(&assessments),
                 () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
-            self.board.quarantine.expire();
-            let updates = self.board.quarantine.take_updates();
+            self.shared.quarantine.expire();
+            let updates = self.shared.quarantine.take_updates();
             if !updates.is_empty() {
                 self.membership.gossip_crashes(updates).await;
             }
-            let before = std::mem::replace(&mut assessments, self.board.quarantine.assessments());
+            let before = std::mem::replace(&mut assessments, self.shared.quarantine.assessments());
             self.apply_changes(&before, &assessments);
         }
     }
@@ -63,14 +63,14 @@
     fn apply_changes(&self, before: &Assessments, now: &Assessments) {
         for (cause, _) in now.quarantined() {
             if before.of(cause).quarantined_until.is_none() {
-                warn!(self.board.logger, "request quarantined";
+                warn!(self.shared.logger, "request quarantined";
                     "fingerprint" => %cause, "ends" => now.of(cause).crashes);
                 self.store(cause);
             }
         }
         for (cause, _) in before.quarantined() {
             if now.of(cause).quarantined_until.is_none() {
-                info!(self.board.logger, "request released from quarantine"; "fingerprint" => %cause);
+                info!(self.shared.logger, "request released from quarantine"; "fingerprint" => %cause);
                 self.store(cause);
             }
         }
@@ -94,15 +94,15 @@
     /// crash three targets again, and as many more as run it meanwhile. Every sidecar whose own target
     /// crashed under the request writes the record, so that the loss of one of them does not matter.
     fn store(&self, cause: Fingerprint) {
-        if !self.board.quarantine.has_local_crash(cause) {
+        if !self.shared.quarantine.has_local_crash(cause) {
             return;
         }
-        let (board, archive) = (Arc::clone(&self.board), self.archive.clone());
+        let (shared, archive) = (Arc::clone(&self.shared), self.archive.clone());
         tokio::spawn(async move {
             let mut backoff = RETRY_BACKOFF;
-            while !board.stage().is_stopping() {
-                let crashes = board.quarantine.crashes_of(cause);
-                let is_quarantined = board
+            while !shared.stage().is_stopping() {
+                let crashes = shared.quarantine.crashes_of(cause);
+                let is_quarantined = shared
                     .quarantine
                     .assessment(cause)
                     .quarantined_until
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -13,7 +13,6 @@
 use slog::{info, warn};
 
 use crate::backoff::Backoff;
-use crate::board::Board;
 use crate::clock;
 use crate::configuration::control_plane::ControlPlane;
 use crate::membership::controller::Membership;
@@ -29,6 +28,7 @@
 use crate::rollout::tracker::{
     MAX_OLD_REPORTERS, PROMOTION_TICK_INTERVAL, Sidecars, TICK_INTERVAL, Tracker, rendezvous_order,
 };
+use crate::shared_state::SharedState;
 use crate::units::Service;
 
 /// Tick interval while every rollout has a verdict.
@@ -52,7 +52,7 @@
 
 /// Runs this daemon's part of all rollouts.
 pub struct Controller {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
     membership: Arc<Membership>,
     origin: Option<Arc<dyn ControlPlane>>,
     limits: ExposureLimits,
@@ -62,16 +62,16 @@
 }
 
 impl Controller {
-    /// A controller of the rollouts on `board`.
+    /// A controller of the rollouts on `shared`.
     #[must_use]
     pub fn new(
-        board: &Arc<Board>,
+        shared: &Arc<SharedState>,
         membership: &Arc<Membership>,
         origin: Option<Arc<dyn ControlPlane>>,
     ) -> Self {
         Self {
-            limits: board.settings.exposure(),
-            board: Arc::clone(board),
+            limits: shared.settings.exposure(),
+            shared: Arc::clone(shared),
             membership: Arc::clone(membership),
             origin,
             trackers: Vec::new(),
@@ -81,10 +81,10 @@
 
     /// Runs for as long as the daemon does.
     pub async fn run(mut self) {
-        let mut changes = self.board.rollouts.changes();
+        let mut changes = self.shared.rollouts.changes();
         let mut next = Instant::now();
         loop {
-            let known = self.board.rollouts.list();
+            let known = self.shared.rollouts.list();
             if known.is_empty() {
                 let _ = changes.changed().await;
                 next = Instant::now();
@@ -97,7 +97,7 @@
             if Instant::now() < next {
                 continue;
             }
-            let known = self.board.rollouts.list();
+            let known = self.shared.rollouts.list();
             next = Instant::now() + tick_interval(&known);
             self.ticks += 1;
             self.send_report().await;
@@ -110,7 +110,7 @@
     }
 
     async fn propagate_updates(&self) {
-        let updates = self.board.rollouts.take_updates();
+        let updates = self.shared.rollouts.take_updates();
         if !updates.is_empty() {
             self.membership.gossip_rollouts(updates).await;
         }
@@ -118,14 +118,14 @@
 
     /// Reports the counts of the co-located target to the coordinators.
     async fn send_report(&self) {
-        let board = &self.board;
-        let target = board.target();
-        let rules = board.rollouts.rules();
+        let shared = &self.shared;
+        let target = shared.target();
+        let rules = shared.rollouts.rules();
         let rule = target
             .as_ref()
             .and_then(|target| rules.get(&target.service));
         let rule = rule.filter(|rule| rule.is_undecided());
-        board.rollouts.set_counting(rule.is_some());
+        shared.rollouts.set_counting(rule.is_some());
         let (Some(rule), Some(target)) = (rule, target) else {
             return;
         };
@@ -134,8 +134,8 @@
         };
         let now = Instant::now();
         let step = rule.step(now).unwrap_or_default();
-        let sidecars = Sidecars::of(&board.roster(), &target.service, &rule.revision);
-        let me = board.settings.identity();
+        let sidecars = Sidecars::of(&shared.roster(), &target.service, &rule.revision);
+        let me = shared.settings.identity();
         let is_among = |peers: &[SocketAddr], first| peers.iter().take(first).any(|p| *p == me);
         let counts = is_among(&sidecars.new, MAX_NEW_REPORTERS)
             || is_among(&sidecars.old, MAX_OLD_REPORTERS);
@@ -157,7 +157,7 @@
                 Vec::new()
             },
             counters: if counts {
-                board.rollouts.counters()
+                shared.rollouts.counters()
             } else {
                 Counters::default()
             },
@@ -168,7 +168,7 @@
             .take(COORDINATORS)
         {
             if peer == me {
-                board.rollouts.add_report(me, report.clone());
+                shared.rollouts.add_report(me, report.clone());
             } else {
                 self.membership.report(peer, report.clone()).await;
             }
@@ -178,7 +178,7 @@
     /// Requests in flight at the target, by route and age.
     fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
         let mut ages = Counters::default();
-        let running = detector::lock_running(&self.board.running);
+        let running = detector::lock_running(&self.shared.running);
         for run in running.under_way() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
@@ -187,13 +187,13 @@
     }
 
     fn in_flight(&self) -> u32 {
-        let running = detector::lock_running(&self.board.running);
+        let running = detector::lock_running(&self.shared.running);
         u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
     }
 
     /// Serving daemons in the order in which they coordinate rollouts of a service.
     fn coordinators(&self, service: &Service) -> Vec<SocketAddr> {
-        let roster = self.board.roster();
+        let roster = self.shared.roster();
         let serving = roster
             .members
             .iter()
@@ -202,12 +202,12 @@
     }
 
     fn sidecars(&self, order: &Order) -> Sidecars {
-        Sidecars::of(&self.board.roster(), &order.service, &order.revision)
+        Sidecars::of(&self.shared.roster(), &order.service, &order.revision)
     }
 
     fn record_reports(&mut self) {
         let now = Instant::now();
-        for (peer, report) in self.board.rollouts.take_reports() {
+        for (peer, report) in self.shared.rollouts.take_reports() {
             let found = self.find_tracker(&report.service);
             if let Ok(index) = found {
                 self.trackers[index].analysis.record(now, peer, report);
@@ -226,7 +226,7 @@
     /// Coordinates a rollout if this daemon is one of its coordinators.
     fn coordinate(&mut self, known: &LocalProgress) {
         let order = known.progress().order.clone();
-        let me = self.board.settings.identity();
+        let me = self.shared.settings.identity();
         let coordinators = self.coordinators(&order.service);
         let rank = coordinators.iter().position(|peer| *peer == me);
         let Some(rank) = rank.filter(|rank| *rank < COORDINATORS) else {
@@ -262,7 +262,7 @@
     /// Decides on the next plan and writes a verdict.
     fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
-        let era = self.board.era();
+        let era = self.shared.era();
         let progress = known.progress();
         if progress.verdict.is_some() {
             self.check_status(index, known, Status::from(progress.verdict));
@@ -289,13 +289,13 @@
                 permille: decision.permille,
                 chosen,
             };
-            self.board.rollouts.apply_plan(&order, &next);
+            self.shared.rollouts.apply_plan(&order, &next);
             let service = order.service.to_string();
             metrics::gauge!("jackdaw_rollout_share", "service" => service)
                 .set(f64::from(decision.permille) / f64::from(FULL_PERMILLE));
         }
         if plan.step != decision.step || decision.complete {
-            info!(self.board.logger, "rollout step decided"; "service" => %order.service,
+            info!(self.shared.logger, "rollout step decided"; "service" => %order.service,
                 "revision" => %order.revision, "step" => %decision.step, "from" => %plan.step,
                 "complete" => decision.complete, "cause" => %decision.cause,
                 "permille" => decision.permille, "targets" => decision.targets,
@@ -312,7 +312,7 @@
     fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
         let tracker = &self.trackers[index];
-        let era = self.board.era();
+        let era = self.shared.era();
         let due = tracker.last_checked.is_none_or(|(checked, then)| {
             let late = known.age(now) > tracker.order.duration.duration() + CHECK_TIME_AFTER_ORDER;
             let waited = now.saturating_duration_since(checked) >= STATUS_CHECK_INTERVAL;
@@ -328,16 +328,16 @@
         let Some(origin) = self.origin.clone() else {
             return;
         };
-        let era = self.board.era();
+        let era = self.shared.era();
         let tracker = &mut self.trackers[index];
         if tracker.sync.in_progress.swap(true, Ordering::AcqRel) {
             return;
         }
         tracker.last_checked = Some((Instant::now(), era));
         let (order, sync) = (tracker.order.clone(), Arc::clone(&tracker.sync));
-        let board = Arc::clone(&self.board);
+        let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let outcome = sync_with_platform(&board, origin.as_ref(), &order, status).await;
+            let outcome = sync_with_platform(&shared, origin.as_ref(), &order, status).await;
             if outcome.is_err() {
                 let mut backoff = RETRY_BACKOFF;
                 tokio::time::sleep(backoff.next_delay()).await;
@@ -367,22 +367,22 @@
 
 /// Writes the status of a rollout to the platform and applies the stored verdict, if there is one.
 async fn sync_with_platform(
-    board: &Board,
+    shared: &SharedState,
     origin: &dyn ControlPlane,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
     let stored = origin.report_rollout_status(order, status).await?;
     if let Some(verdict) = stored.verdict() {
-        if board.rollouts.set_verdict(order, verdict) {
+        if shared.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
                 .increment(1);
-            warn!(board.logger, "rollout ended"; "service" => %order.service,
+            warn!(shared.logger, "rollout ended"; "service" => %order.service,
                 "revision" => %order.revision, "verdict" => %verdict, "wanted" => %status);
         }
         return Ok(());
     }
-    let Some(known) = board.rollouts.get(&order.service) else {
+    let Some(known) = shared.rollouts.get(&order.service) else {
         return Ok(());
     };
     // The start time of the order is stored as well: after the loss of all daemons, those that start would
@@ -395,7 +395,7 @@
         .await?;
     let age = Duration::from_millis(now_ms.saturating_sub(begin));
     if let Some(ordered_at) = Instant::now().checked_sub(age) {
-        board.rollouts.backdate(order, ordered_at);
+        shared.rollouts.backdate(order, ordered_at);
     }
     Ok(())
 }
--- a/src/board.rs
+++ b/src/shared_state.rs
@@ -104,7 +104,7 @@
 
 /// State shared by the controllers of one daemon.
 #[derive(Debug)]
-pub struct Board {
+pub struct SharedState {
     /// Settings, fixed at the start.
     pub settings: Settings,
     /// Where events are written.
@@ -140,8 +140,8 @@
     cut: watch::Sender<bool>,
 }
 
-impl Board {
-    /// An empty board of a daemon that is starting.
+impl SharedState {
+    /// The state of a daemon that is starting.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect, logger: Logger) -> Self {
         Self {
@@ -356,7 +356,7 @@
     pub fn begin(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight {
-            board: Arc::clone(self),
+            shared: Arc::clone(self),
         }
     }
 
@@ -376,11 +376,11 @@
 /// Counts one call while it exists.
 #[derive(Debug)]
 pub struct InFlight {
-    board: Arc<Board>,
+    shared: Arc<SharedState>,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.board.in_flight.fetch_sub(1, Ordering::AcqRel);
+        self.shared.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/src/stop.rs
+++ b/src/shutdown.rs
@@ -10,7 +10,6 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::board::Board;
 use crate::calls::http_server::Phase;
 use crate::configuration::control_plane::ControlPlane;
 use crate::error::{Error, Result};
@@ -19,11 +18,12 @@
 use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
 use crate::membership::registration::Registration;
+use crate::shared_state::SharedState;
 
 /// Exit status after a planned stop.
 pub const EXIT_STOPPED: u8 = 0;
 /// Exit status when an interrupt cut the stop short.
-pub const EXIT_CUT_SHORT: u8 = 3;
+pub const EXIT_INTERRUPTED: u8 = 3;
 
 /// Time for which sessions are ended after an answer before the process goes.
 const LINGER: Duration = Duration::from_millis(2_500);
@@ -45,9 +45,9 @@
 const LAST_WORDS: Duration = Duration::from_millis(50);
 
 /// The planned stop.
-pub struct Stopping {
+pub struct Shutdown {
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// Tells the others.
     pub membership: Arc<Membership>,
     /// Hands its keys over.
@@ -60,7 +60,7 @@
     pub reread: Option<Reread>,
 }
 
-impl Stopping {
+impl Shutdown {
     /// Waits for the order to stop, then stops without cutting a call; returns the exit status.
     ///
     /// # Errors
@@ -68,15 +68,15 @@
     /// [`Error::Listen`] when signals can't be had.
     pub async fn run(mut self) -> Result<u8> {
         let mut reread = self.reread.take();
-        let board = &self.board;
+        let shared = &self.shared;
         let listening = |source| Error::Listen {
-            address: board.settings.operator_addr,
+            address: shared.settings.operator_addr,
             source,
         };
         let mut terminate = signal(SignalKind::terminate()).map_err(listening)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(listening)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(listening)?;
-        let mut stages = board.stages();
+        let mut stages = shared.stages();
         let mut looks = tokio::time::interval(LOOK);
         looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -85,35 +85,35 @@
                 _ = interrupt.recv() => break,
                 _ = stages.wait_for(|stage| stage.is_stopping()) => break,
                 _ = hangup.recv() => {
-                    info!(board.logger, "told to read the settings again");
-                    reload(board, reread.as_mut());
+                    info!(shared.logger, "told to read the settings again");
+                    reload(shared, reread.as_mut());
                 }
-                _ = looks.tick() => reload(board, reread.as_mut()),
+                _ = looks.tick() => reload(shared, reread.as_mut()),
             }
         }
-        info!(board.logger, "draining"; "in_flight" => board.in_flight());
-        board.leave();
+        info!(shared.logger, "draining"; "in_flight" => shared.in_flight());
+        shared.leave();
         tokio::select! {
             () = self.drain() => {
-                info!(board.logger, "stopped");
+                info!(shared.logger, "stopped");
                 Ok(EXIT_STOPPED)
             }
             // A supervisor may order a stop more than once, which must cut nobody; a person at a terminal may.
-            _ = interrupt.recv() => Ok(EXIT_CUT_SHORT),
+            _ = interrupt.recv() => Ok(EXIT_INTERRUPTED),
         }
     }
 
     async fn drain(&self) {
-        let (board, began) = (&self.board, Instant::now());
+        let (shared, began) = (&self.shared, Instant::now());
         self.membership.publish_own_entry().await;
         if let Some(origin) = self.origin.clone() {
-            let listing = Registration::new(Arc::clone(board), origin);
+            let listing = Registration::new(Arc::clone(shared), origin);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
             tokio::spawn(async move { listing.deregister().await });
         }
-        let accept = board.settings.accept_ms.duration();
+        let accept = shared.settings.accept_ms.duration();
         tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
-        board.advance(Stage::Draining);
+        shared.advance(Stage::Draining);
         self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
         self.phases.send_replace(Phase::Closed);
@@ -137,19 +137,19 @@
     /// its way over a slow link: its connection would end without a word, and its caller could not
     /// tell whether it has run.
     async fn answer_all(&self, began: Instant) {
-        let board = &self.board;
+        let shared = &self.shared;
         loop {
-            let limit = board.drain().duration().saturating_sub(began.elapsed());
-            if !board.idle(limit).await {
-                warn!(board.logger, "calls are cut: the drain limit has passed";
-                    "in_flight" => board.in_flight());
-                board.cut_short();
-                board.idle(LAST_ANSWERS).await;
+            let limit = shared.drain().duration().saturating_sub(began.elapsed());
+            if !shared.idle(limit).await {
+                warn!(shared.logger, "calls are cut: the drain limit has passed";
+                    "in_flight" => shared.in_flight());
+                shared.cut_short();
+                shared.idle(LAST_ANSWERS).await;
                 return;
             }
             // The last answers have been handed to the connections; they are written in this time.
             tokio::time::sleep(LAST_WORDS).await;
-            if board.in_flight() == 0 {
+            if shared.in_flight() == 0 {
                 return;
             }
         }
@@ -157,16 +157,16 @@
 }
 
 /// Takes over what may change while the daemon runs, and names what may not.
-fn reload(board: &Board, reread: Option<&mut Reread>) {
+fn reload(shared: &SharedState, reread: Option<&mut Reread>) {
     match reread.and_then(|reread| reread()) {
         None => {}
         Some(Err(problem)) => {
-            warn!(board.logger, "settings are wrong, the old ones stay"; "problem" => problem);
+            warn!(shared.logger, "settings are wrong, the old ones stay"; "problem" => problem);
         }
         Some(Ok(settings)) => {
-            let applied = board.set_drain(settings.drain_ms);
-            let restart = board.settings.differences(&settings);
-            info!(board.logger, "settings read again"; "drain_changed" => applied,
+            let applied = shared.set_drain(settings.drain_ms);
+            let restart = shared.settings.differences(&settings);
+            info!(shared.logger, "settings read again"; "drain_changed" => applied,
                 "restart_to_change" => restart.join(","));
         }
     }
