--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -70,7 +70,7 @@
     /// Serves one request of a caller.
     pub async fn serve(&self, request: Request<Body>) -> Response<Body> {
         let began = Instant::now();
-        let in_flight = self.shared.begin();
+        let in_flight = self.shared.track_call();
         self.await_start(&request).await;
         let config = self.shared.config();
         let id = self.call_id(&request);
@@ -79,7 +79,7 @@
         let prepared = match named {
             Ok(id) => tokio::select! {
                 prepared = self.prepare(id, &config, request, began) => prepared,
-                () = self.shared.until_cut() => Err(Reason::Draining),
+                () = self.shared.calls_aborted() => Err(Reason::Draining),
             },
             Err(reason) => Err(reason),
         };
@@ -241,7 +241,7 @@
         }
         let answered = tokio::select! {
             answered = self.run_attempts(&mut call) => answered,
-            () = self.shared.until_cut() => {
+            () = self.shared.calls_aborted() => {
                 let reason = if call.sent { Reason::CutShort } else { Reason::Draining };
                 call.record_failure(reason);
                 None
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -97,7 +97,7 @@
     pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
         let (id, key) = (metadata.id.clone(), metadata.key.clone());
         let nested = self.record_origin(&metadata);
-        let received = Received::new(metadata, request, self.shared.begin());
+        let received = Received::new(metadata, request, self.shared.track_call());
         let result = match key {
             Some(key) => self.keys.run_once(key, received, &self.executor).await,
             None => self.executor.run(received).await,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -23,7 +23,7 @@
 use crate::configuration::relay::Relay;
 use crate::configuration::store::Store;
 use crate::error::{ListenSnafu, Result};
-use crate::extension::{Extension, Face, Handles};
+use crate::extension::{Extension, Handles, Listener};
 use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::announce::Endpoint;
 use crate::membership::contacts::Contacts;
@@ -51,9 +51,9 @@
 pub const EXIT_SETTINGS: u8 = 2;
 
 /// Connections that are kept on each address for operators, the target and the platform.
-const OTHERS: usize = 64;
+const MAX_LOCAL_CONNECTIONS: usize = 64;
 /// Time between two looks after the metrics.
-const UPKEEP: Duration = Duration::from_secs(5);
+const METRICS_UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
 /// Runs the program `jackdawpulley` with the arguments of this process.
 ///
@@ -128,10 +128,10 @@
     let logger = telemetry::logger(settings.logs, settings.verbose);
     info!(logger, "starting"; "peer" => %settings.peer_addr, "data_centre" => %settings.data_centre);
     let Extension {
-        origin,
+        control_plane,
         dialect,
-        reread,
-        faces,
+        reload,
+        listeners,
     } = extension;
     let shared = Arc::new(SharedState::new(settings, dialect, logger));
     let store = Arc::new(Store::new(Arc::clone(&shared)));
@@ -139,8 +139,8 @@
         shared.settings.peer_addr.ip(),
         Arc::clone(&shared.meter),
     ));
-    let (log, source) = sources(&shared, origin.as_ref());
-    let archive = origin
+    let (log, source) = sources(&shared, control_plane.as_ref());
+    let archive = control_plane
         .clone()
         .map_or_else(|| Archive::Log(log.clone()), Archive::Platform);
     let relay = Arc::new(Relay::new(
@@ -151,16 +151,16 @@
     let membership = Membership::open(Arc::clone(&shared), Arc::clone(&relay)).await?;
     let membership = Arc::new(membership);
     let reader = Arc::new(Reader::new(Arc::clone(&shared), Arc::clone(&store), source));
-    let keys = Arc::new(Deduplicator::new(
+    let deduplicator = Arc::new(Deduplicator::new(
         Arc::clone(&shared),
         Arc::clone(&links),
         log.clone(),
     ));
-    let gate = Arc::new(Sidecar::new(Arc::clone(&shared), Arc::clone(&keys)));
+    let sidecar = Arc::new(Sidecar::new(Arc::clone(&shared), Arc::clone(&deduplicator)));
     let server = Arc::new(Server {
         shared: Arc::clone(&shared),
-        gate: Arc::clone(&gate),
-        keys: Arc::clone(&keys),
+        sidecar: Arc::clone(&sidecar),
+        keys: Arc::clone(&deduplicator),
         relay: Arc::clone(&relay),
         membership: Arc::clone(&membership),
     });
@@ -170,79 +170,85 @@
         Arc::clone(&reader),
         log.clone(),
     );
-    let operator = operator(&shared, publisher, &gate, &keys);
-    let desk = Arc::new(Endpoint::new(Arc::clone(&shared), Arc::clone(&membership)));
+    let operator = operator(&shared, publisher, &sidecar, &deduplicator);
+    let endpoint = Arc::new(Endpoint::new(Arc::clone(&shared), Arc::clone(&membership)));
     let contacts = Contacts {
         shared: Arc::clone(&shared),
         log,
         links: Arc::clone(&links),
         membership: Arc::clone(&membership),
     };
-    let greeting = Arc::new(JoinClient {
+    let join_client = Arc::new(JoinClient {
         shared: Arc::clone(&shared),
         links,
         membership: Arc::clone(&membership),
         relay: Arc::clone(&relay),
-        keys: Arc::clone(&keys),
+        keys: Arc::clone(&deduplicator),
     });
     let joiner = Joiner {
         shared: Arc::clone(&shared),
         store,
         membership: Arc::clone(&membership),
-        join_client: greeting,
+        join_client,
         reader: Arc::clone(&reader),
         contacts,
-        origin: origin.clone(),
+        origin: control_plane.clone(),
         archive: archive.clone(),
-        endpoint: Arc::clone(&desk),
+        endpoint: Arc::clone(&endpoint),
     };
-    let entry = Arc::new(Ingress::new(Arc::clone(&shared), gate));
+    let ingress = Arc::new(Ingress::new(Arc::clone(&shared), sidecar));
     let refresher = Refresher::new(&shared, &membership, &reader);
 
     let listener = server.listen().await?;
-    let phases = watch::Sender::new(Phase::Open);
-    serve_faces(&shared, &desk, operator, faces).await?;
-    tokio::spawn(serve_calls(Arc::clone(&shared), entry, phases.subscribe()));
+    let phase = watch::Sender::new(Phase::Open);
+    serve_listeners(&shared, &endpoint, operator, listeners).await?;
+    tokio::spawn(serve_calls(Arc::clone(&shared), ingress, phase.subscribe()));
     tokio::spawn(server.run(listener));
     tokio::spawn(Arc::clone(&membership).run());
     tokio::spawn(relay.run());
     tokio::spawn(reader.run());
     tokio::spawn(Arc::new(joiner).run());
-    if origin.is_some() {
+    if control_plane.is_some() {
         tokio::spawn(refresher.run());
     }
-    spawn_keepers(&shared, &membership, origin.clone(), archive);
-    let stopping = Shutdown {
+    spawn_replicators(&shared, &membership, control_plane.clone(), archive);
+    let shutdown = Shutdown {
         shared,
         membership,
-        keys,
-        phases,
-        origin,
-        reread,
+        keys: deduplicator,
+        phase,
+        control_plane,
+        reload,
     };
-    stopping.run().await
+    shutdown.run().await
 }
 
 /// Has what the daemons know together kept in step: eras, roll-outs and requests in quarantine.
-fn spawn_keepers(
+fn spawn_replicators(
     shared: &Arc<SharedState>,
     membership: &Arc<Membership>,
-    origin: Option<Arc<dyn ControlPlane>>,
+    control_plane: Option<Arc<dyn ControlPlane>>,
     archive: Archive,
 ) {
-    if let Some(origin) = &origin {
-        tokio::spawn(follow_eras(Arc::clone(shared), origin.generations()));
+    if let Some(control_plane) = &control_plane {
+        tokio::spawn(follow_generations(
+            Arc::clone(shared),
+            control_plane.generations(),
+        ));
     }
-    tokio::spawn(Controller::new(shared, membership, origin).run());
+    tokio::spawn(Controller::new(shared, membership, control_plane).run());
     tokio::spawn(Replicator::new(shared, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
-async fn follow_eras(shared: Arc<SharedState>, mut eras: watch::Receiver<Generation>) {
-    while eras.changed().await.is_ok() {
-        let era = *eras.borrow_and_update();
-        info!(shared.logger, "platform in another era"; "era" => era.0);
-        shared.note_era(era);
+async fn follow_generations(
+    shared: Arc<SharedState>,
+    mut generations: watch::Receiver<Generation>,
+) {
+    while generations.changed().await.is_ok() {
+        let generation = *generations.borrow_and_update();
+        info!(shared.logger, "platform in another era"; "era" => generation.0);
+        shared.record_generation(generation);
     }
 }
 
@@ -250,29 +256,29 @@
 fn operator(
     shared: &Arc<SharedState>,
     publisher: Publisher,
-    gate: &Arc<Sidecar>,
-    keys: &Arc<Deduplicator>,
+    sidecar: &Arc<Sidecar>,
+    deduplicator: &Arc<Deduplicator>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
         shared: Arc::clone(shared),
         publisher,
-        gate: Arc::clone(gate),
-        keys: Arc::clone(keys),
+        sidecar: Arc::clone(sidecar),
+        keys: Arc::clone(deduplicator),
         metrics: recorder(),
     })
 }
 
 /// The log, which stays closed where a platform keeps the configuration, and what readers read.
-fn sources(shared: &SharedState, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
+fn sources(shared: &SharedState, control_plane: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
     let (address, meter) = (shared.settings.log_addr, Arc::clone(&shared.meter));
-    match origin {
+    match control_plane {
         None => {
             let log = Log::new(address, meter);
             (log.clone(), Source::Log(log))
         }
-        Some(origin) => (
+        Some(control_plane) => (
             Log::disabled(address, meter),
-            Source::ControlPlane(Arc::clone(origin)),
+            Source::ControlPlane(Arc::clone(control_plane)),
         ),
     }
 }
@@ -283,44 +289,44 @@
 /// metrics or they are tended.
 fn recorder() -> Option<PrometheusHandle> {
     let handle = telemetry::metrics()?;
-    let tended = handle.clone();
+    let upkeep = handle.clone();
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(UPKEEP).await;
-            tended.run_upkeep();
+            tokio::time::sleep(METRICS_UPKEEP_PERIOD).await;
+            upkeep.run_upkeep();
         }
     });
     Some(handle)
 }
 
 /// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
-async fn serve_faces(
+async fn serve_listeners(
     shared: &Arc<SharedState>,
-    desk: &Arc<Endpoint>,
+    endpoint: &Arc<Endpoint>,
     operator: Arc<Operator>,
-    faces: Vec<Face>,
+    listeners: Vec<Listener>,
 ) -> Result<()> {
     let handles = Handles {
         shared: Arc::clone(shared),
-        endpoint: Arc::clone(desk),
+        endpoint: Arc::clone(endpoint),
     };
     let mut routers = vec![
         (shared.settings.operator_addr, operator.router()),
-        (shared.settings.target_addr, Arc::clone(desk).router()),
+        (shared.settings.target_addr, Arc::clone(endpoint).router()),
     ];
-    for face in faces {
-        routers.retain(|(address, _)| *address != face.address);
-        routers.push((face.address, (face.routes)(handles.clone())));
+    for listener in listeners {
+        routers.retain(|(address, _)| *address != listener.address);
+        routers.push((listener.address, (listener.routes)(handles.clone())));
     }
     for (address, router) in routers {
         let listener = bind(address).await?;
         // Without a sender, these answer until the process is gone.
-        let phases = watch::Sender::new(Phase::Open).subscribe();
+        let phase = watch::Sender::new(Phase::Open).subscribe();
         let routed = http_server::router_handler(router, address);
         tokio::spawn(http_server::serve(
             listener,
-            Callers::new(OTHERS),
-            phases,
+            Callers::new(MAX_LOCAL_CONNECTIONS),
+            phase,
             http_server::BoundsSource::Fixed(Bounds::default()),
             routed,
         ));
@@ -338,8 +344,8 @@
 /// ready; where callers know no other daemon, each is told to come back.
 async fn serve_calls(
     shared: Arc<SharedState>,
-    entry: Arc<Ingress>,
-    phases: watch::Receiver<Phase>,
+    ingress: Arc<Ingress>,
+    phase: watch::Receiver<Phase>,
 ) {
     if shared.settings.accept_ms == Millis(0) {
         let mut stages = shared.stages();
@@ -352,15 +358,15 @@
         Ok(listener) => listener,
         Err(error) => {
             error!(shared.logger, "callers can't be served"; "error" => %error);
-            shared.leave();
+            shared.begin_shutdown();
             return;
         }
     };
     let callers = Callers::new(shared.settings.callers);
-    let limits = http_server::BoundsSource::InForce(shared);
+    let bounds = http_server::BoundsSource::InForce(shared);
     let handler = move |request| {
-        let entry = Arc::clone(&entry);
-        async move { entry.serve(request).await }
+        let ingress = Arc::clone(&ingress);
+        async move { ingress.serve(request).await }
     };
-    http_server::serve(listener, callers, phases, limits, handler).await;
+    http_server::serve(listener, callers, phase, bounds, handler).await;
 }
--- a/src/extension.rs
+++ b/src/extension.rs
@@ -16,20 +16,20 @@
 #[derive(Default)]
 pub struct Extension {
     /// Where the configuration comes from, in place of the log.
-    pub origin: Option<Arc<dyn ControlPlane>>,
+    pub control_plane: Option<Arc<dyn ControlPlane>>,
     /// How callers and targets spell their headers.
     pub dialect: Dialect,
     /// Reads the settings again: none when they have not changed since they were read last.
-    pub reread: Option<Reread>,
+    pub reload: Option<Reload>,
     /// More addresses that the daemon serves.
-    pub faces: Vec<Face>,
+    pub listeners: Vec<Listener>,
 }
 
 /// Reads changed settings, or says what is wrong with them.
-pub type Reread = Box<dyn FnMut() -> Option<Result<Settings, String>> + Send>;
+pub type Reload = Box<dyn FnMut() -> Option<Result<Settings, String>> + Send>;
 
 /// An address of the daemon with what it serves.
-pub struct Face {
+pub struct Listener {
     /// Where it listens.
     pub address: SocketAddr,
     /// Makes its routes.
@@ -55,13 +55,13 @@
 impl std::fmt::Debug for Extension {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Extension")
-            .field("origin", &self.origin)
-            .field("faces", &self.faces)
+            .field("origin", &self.control_plane)
+            .field("faces", &self.listeners)
             .finish_non_exhaustive()
     }
 }
 
-impl std::fmt::Debug for Face {
+impl std::fmt::Debug for Listener {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut face = f.debug_struct("Face");
         face.field("address", &self.address).finish_non_exhaustive()
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -7,15 +7,15 @@
 use http_body_util::BodyExt;
 
 /// Time to open a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time without a further part of an answer after which it is given up.
-const PROGRESS: Duration = Duration::from_secs(1);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which an idle connection is not used again.
-const IDLE: Duration = Duration::from_secs(2);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -51,8 +51,8 @@
     #[must_use]
     pub fn new() -> Self {
         let mut builder = volo_http::client::Client::builder();
-        builder.set_connect_timeout(CONNECT);
-        builder.set_pool_idle_timeout(IDLE);
+        builder.set_connect_timeout(CONNECT_TIMEOUT);
+        builder.set_pool_idle_timeout(POOL_IDLE_TIMEOUT);
         Self {
             inner: builder.build().expect("constants make a client"),
         }
@@ -70,18 +70,18 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        patience: Duration,
-    ) -> Result<Answer, String> {
-        let asking = async {
+        timeout: Duration,
+    ) -> Result<Response, String> {
+        let exchange = async {
             let request = self
                 .inner
                 .request(method, format!("http://{address}{path}"));
             let sent = request.data(body).send::<volo_http::body::Body>().await;
             sent.map_err(|error| chain(&error))
         };
-        let response = match tokio::time::timeout(patience, asking).await {
+        let response = match tokio::time::timeout(timeout, exchange).await {
             Ok(response) => response?,
-            Err(_) => return Err(format!("no answer within {} ms", patience.as_millis())),
+            Err(_) => return Err(format!("no answer within {} ms", timeout.as_millis())),
         };
         let (parts, mut body) = response.into_parts();
         let (status, headers) = (parts.status, parts.headers);
@@ -90,10 +90,10 @@
         // be waited for, and asked for again and again it would never come. As long as parts of
         // it come, it is on its way.
         loop {
-            let frame = match tokio::time::timeout(PROGRESS, body.frame()).await {
+            let frame = match tokio::time::timeout(PROGRESS_TIMEOUT, body.frame()).await {
                 Ok(Some(frame)) => frame.map_err(|error| chain(error.as_ref()))?,
                 Ok(None) => {
-                    return Ok(Answer {
+                    return Ok(Response {
                         status,
                         headers,
                         body: bytes,
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -13,7 +13,7 @@
 use crate::membership::controller::Membership;
 use crate::membership::datagram::{Join, Welcome};
 use crate::peer::LinkPool;
-use crate::peer::server::JOIN;
+use crate::peer::server::JOIN_PATH;
 use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Millis, Offset};
 
@@ -100,7 +100,7 @@
             }
             if let Ok(welcome) = self
                 .links
-                .send::<_, Welcome>(contact.peer, JOIN, &join)
+                .send::<_, Welcome>(contact.peer, JOIN_PATH, &join)
                 .await
             {
                 self.membership
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -177,7 +177,7 @@
             slots,
             crashes: self.shared.quarantine.snapshot(),
             rollouts: self.shared.rollouts.snapshot(),
-            era: self.shared.era(),
+            era: self.shared.generation(),
             stable_revisions: guard.stable_revisions.snapshot(),
         }
     }
@@ -234,7 +234,7 @@
     }
 
     async fn handle(&self, datagram: &Datagram) {
-        self.shared.note_era(datagram.era);
+        self.shared.record_generation(datagram.era);
         self.note_watermark(datagram);
         match &datagram.message {
             Message::Crashes(crashes) => self.shared.quarantine.merge(crashes),
@@ -342,7 +342,7 @@
         let latest = self.shared.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.shared.digest());
-        state.view.set_era(self.shared.era());
+        state.view.set_era(self.shared.generation());
         state.view.set_gossip_hash(self.gossip_hash());
     }
 
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -257,7 +257,7 @@
     /// Keeps enough daemons listed, and joins those that were listed meanwhile.
     async fn maintain_registration(&self, registration: &Registration) {
         let mut pause_when_alone = ISOLATED_PAUSE;
-        let mut eras = self.shared.eras();
+        let mut eras = self.shared.generations();
         loop {
             // Waits first, since the list has just been read.
             let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -16,7 +16,7 @@
 use crate::membership::member::{Health, Member};
 use crate::membership::seeds::{JOIN_FANOUT, Peers, choose_seeds};
 use crate::peer::LinkPool;
-use crate::peer::server::JOIN;
+use crate::peer::server::JOIN_PATH;
 use crate::shared_state::SharedState;
 use crate::units::{DataCentre, Slots};
 
@@ -62,7 +62,7 @@
         let join = Join {
             member: self.membership.me(),
         };
-        self.links.send(peer, JOIN, &join).await
+        self.links.send(peer, JOIN_PATH, &join).await
     }
 
     /// Applies a response, and fetches its sender's configuration in the background if that is newer.
@@ -112,7 +112,7 @@
             .floor
             .add_peer(&responder, welcome.digest.version, welcome.highest_version);
         welcomes.slots = welcome.slots.or(welcomes.slots);
-        self.shared.note_era(welcome.era);
+        self.shared.record_generation(welcome.era);
         self.shared.quarantine.merge(&welcome.crashes);
         self.shared.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, welcomes);
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -22,15 +22,15 @@
 use crate::units::{EditId, Version};
 
 /// Time for one answer.
-const PATIENCE: Duration = Duration::from_secs(12);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time for one daemon's health.
-const HEALTH_PATIENCE: Duration = Duration::from_secs(2);
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Daemons asked at the same time.
-const PARALLEL: usize = 32;
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 /// Pause between two looks of `status --watch`.
-const LOOK: Duration = Duration::from_millis(200);
+const WATCH_PERIOD: Duration = Duration::from_millis(200);
 /// Tries to publish one edit.
-const TRIES: usize = 3;
+const MAX_PUBLISH_ATTEMPTS: usize = 3;
 
 /// The command with its connection to a daemon.
 #[derive(Debug)]
@@ -57,10 +57,10 @@
     ///
     /// What failed, with its remedy.
     pub fn check(&self, file: &str) -> Result<()> {
-        let document = read(file)?;
+        let document = read_document(file)?;
         let hash = format!("{:016x}", document.hash());
         let (routes, groups) = (document.routes.len(), document.groups.len());
-        self.say(
+        self.print(
             &serde_json::json!({ "valid": true, "routes": routes, "groups": groups, "hash": hash }),
             || format!("valid: {routes} routes, {groups} groups, hash {hash}"),
         );
@@ -79,11 +79,11 @@
         id: Option<&EditId>,
         force: bool,
     ) -> Result<()> {
-        let document = read(file)?;
+        let document = read_document(file)?;
         let base = match (force, base) {
             (true, _) => Base::Head(self.get(self.daemon, "/config/head").await?),
             (false, Some(base)) => Base::Version(base),
-            (false, None) => Base::Version(self.in_force().await?.version),
+            (false, None) => Base::Version(self.active_config().await?.version),
         };
         let id = id
             .cloned()
@@ -95,7 +95,7 @@
                 document,
             })
             .await?;
-        self.say(
+        self.print(
             &serde_json::json!({ "outcome": "accepted", "version": version, "id": id }),
             || format!("accepted as version {version}"),
         );
@@ -105,7 +105,7 @@
     /// Publishes an edit; asks again under the same identifier while its fate is unknown.
     async fn publish(&self, proposal: &Proposal) -> Result<Version> {
         let body = serde_json::to_vec(proposal).context(DocumentSnafu)?;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_PUBLISH_ATTEMPTS {
             let sent = self
                 .exchange(self.daemon, Method::POST, "/config", body.clone())
                 .await;
@@ -133,8 +133,8 @@
     ///
     /// What failed, with its remedy.
     pub async fn show(&self) -> Result<()> {
-        let in_force = self.in_force().await?;
-        let text = serde_json::to_string_pretty(&in_force).context(DocumentSnafu)?;
+        let active = self.active_config().await?;
+        let text = serde_json::to_string_pretty(&active).context(DocumentSnafu)?;
         println!("{text}");
         Ok(())
     }
@@ -145,15 +145,15 @@
     ///
     /// What failed, with its remedy.
     pub async fn diff(&self, file: &str) -> Result<()> {
-        let document = read(file)?;
-        let in_force = self.in_force().await?;
-        let delta = Delta::between(&in_force.document, &document);
+        let document = read_document(file)?;
+        let active = self.active_config().await?;
+        let delta = Delta::between(&active.document, &document);
         let changes = delta.summary();
-        self.say(
-            &serde_json::json!({ "against": in_force.version, "changes": changes }),
+        self.print(
+            &serde_json::json!({ "against": active.version, "changes": changes }),
             || {
                 if changes.is_empty() {
-                    format!("no difference to version {}", in_force.version)
+                    format!("no difference to version {}", active.version)
                 } else {
                     changes.join("\n")
                 }
@@ -167,15 +167,15 @@
     /// # Errors
     ///
     /// What failed, with its remedy.
-    pub async fn status(&self, watch: Option<Version>, patience: Duration) -> Result<()> {
-        let deadline = Instant::now() + patience;
+    pub async fn status(&self, watch: Option<Version>, timeout: Duration) -> Result<()> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let summaries = self.survey(watch).await?;
+            let summaries = self.collect_versions(watch).await?;
             let behind = summaries
                 .iter()
                 .map(|summary| summary.laggards.len())
                 .sum::<usize>();
-            self.say(&serde_json::json!(summaries), || table(&summaries));
+            self.print(&serde_json::json!(summaries), || table(&summaries));
             if watch.is_none() || behind == 0 {
                 return Ok(());
             }
@@ -187,14 +187,14 @@
                     body,
                 });
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(WATCH_PERIOD).await;
         }
     }
 
     /// Asks every member for its version.
-    async fn survey(&self, wanted: Option<Version>) -> Result<Vec<Summary>> {
+    async fn collect_versions(&self, expected: Option<Version>) -> Result<Vec<Summary>> {
         let members: Vec<Member> = self.get(self.daemon, "/members").await?;
-        let asked = members.into_iter().map(|member| async move {
+        let requests = members.into_iter().map(|member| async move {
             let path = "/health/ready";
             let sent = self
                 .client
@@ -203,24 +203,24 @@
                     Method::GET,
                     path,
                     Vec::new(),
-                    HEALTH_PATIENCE,
+                    HEALTH_TIMEOUT,
                 )
                 .await;
             let brief = sent
                 .ok()
-                .and_then(|answer| serde_json::from_slice::<Brief>(&answer.body).ok());
+                .and_then(|response| serde_json::from_slice::<Brief>(&response.body).ok());
             (member, brief)
         });
-        let answers: Vec<_> = stream::iter(asked)
-            .buffer_unordered(PARALLEL)
+        let responses: Vec<_> = stream::iter(requests)
+            .buffer_unordered(MAX_CONCURRENT_REQUESTS)
             .collect()
             .await;
-        let versions = answers.iter().filter_map(|(_, brief)| brief.as_ref());
+        let versions = responses.iter().filter_map(|(_, brief)| brief.as_ref());
         let newest = versions
             .map(|brief| brief.version)
             .max()
             .unwrap_or_default();
-        Ok(summarise(&answers, wanted.unwrap_or(newest)))
+        Ok(summarise(&responses, expected.unwrap_or(newest)))
     }
 
     /// Shows the roll-outs that a daemon knows.
@@ -229,9 +229,9 @@
     ///
     /// What failed, with its remedy.
     pub async fn rollouts(&self) -> Result<()> {
-        let told: Vec<Progress> = self.get(self.daemon, "/rollouts").await?;
-        self.say(&serde_json::json!(told), || {
-            let lines: Vec<String> = told.iter().map(line).collect();
+        let rollouts: Vec<Progress> = self.get(self.daemon, "/rollouts").await?;
+        self.print(&serde_json::json!(rollouts), || {
+            let lines: Vec<String> = rollouts.iter().map(describe_rollout).collect();
             let none = || "no roll-out has been ordered".to_owned();
             if lines.is_empty() {
                 none()
@@ -263,7 +263,7 @@
         let (status, body) = self
             .exchange(address, Method::POST, "/drain", Vec::new())
             .await?;
-        let brief: Brief = parse(address, status, &body)?;
+        let brief: Brief = parse_response(address, status, &body)?;
         if !brief.stage.is_stopping() {
             let body = format!("it is {}", brief.stage);
             return Err(Error::Refused {
@@ -272,19 +272,19 @@
                 body,
             });
         }
-        self.say(&serde_json::json!(brief), || {
+        self.print(&serde_json::json!(brief), || {
             format!("{address} is draining")
         });
         Ok(())
     }
 
-    async fn in_force(&self) -> Result<InForce> {
+    async fn active_config(&self) -> Result<InForce> {
         self.get(self.daemon, "/config").await
     }
 
     async fn get<T: DeserializeOwned>(&self, daemon: SocketAddr, path: &str) -> Result<T> {
         let (status, body) = self.exchange(daemon, Method::GET, path, Vec::new()).await?;
-        parse(daemon, status, &body)
+        parse_response(daemon, status, &body)
     }
 
     async fn exchange(
@@ -296,13 +296,13 @@
     ) -> Result<(StatusCode, Vec<u8>)> {
         let sent = self
             .client
-            .exchange(daemon, method, path, body, PATIENCE)
+            .exchange(daemon, method, path, body, REQUEST_TIMEOUT)
             .await;
-        sent.map(|answer| (answer.status, answer.body))
+        sent.map(|response| (response.status, response.body))
             .map_err(|reason| Error::NoDaemon { daemon, reason })
     }
 
-    fn say(&self, value: &serde_json::Value, text: impl FnOnce() -> String) {
+    fn print(&self, value: &serde_json::Value, text: impl FnOnce() -> String) {
         if self.json {
             println!("{value}");
         } else {
@@ -312,25 +312,29 @@
 }
 
 /// A roll-out for a person at a terminal.
-fn line(progress: &Progress) -> String {
+fn describe_rollout(progress: &Progress) -> String {
     let Progress { order, plan, .. } = progress;
-    let stands = progress
+    let status = progress
         .verdict
         .map_or_else(|| plan.step.to_string(), |verdict| verdict.to_string());
     let percent = f64::from(plan.permille) / 10.0;
     let left = order.duration.0.saturating_sub(progress.age.0);
     format!(
-        "{} to {}: {stands}, {percent:.1} % of the requests, {left} ms left",
+        "{} to {}: {status}, {percent:.1} % of the requests, {left} ms left",
         order.service, order.revision
     )
 }
 
-fn read(file: &str) -> Result<Document> {
+fn read_document(file: &str) -> Result<Document> {
     let text = std::fs::read(file).context(FileSnafu { path: file })?;
     Document::parse(&text)
 }
 
-fn parse<T: DeserializeOwned>(daemon: SocketAddr, status: StatusCode, body: &[u8]) -> Result<T> {
+fn parse_response<T: DeserializeOwned>(
+    daemon: SocketAddr,
+    status: StatusCode,
+    body: &[u8],
+) -> Result<T> {
     serde_json::from_slice(body).map_err(|_| Error::Refused {
         daemon,
         status: status.as_u16(),
--- a/src/operation/ctl.rs
+++ b/src/operation/ctl.rs
@@ -132,13 +132,13 @@
     match runtime.block_on(run(&args)) {
         Ok(()) => EXIT_DONE,
         Err(error) => {
-            report(&args, &error);
-            status_of(&error)
+            print_error(&args, &error);
+            exit_status(&error)
         }
     }
 }
 
-fn report(args: &Args, error: &Error) {
+fn print_error(args: &Args, error: &Error) {
     if args.json {
         println!("{}", serde_json::json!({ "error": error.to_string() }));
     }
@@ -150,7 +150,7 @@
     }
 }
 
-const fn status_of(error: &Error) -> u8 {
+const fn exit_status(error: &Error) -> u8 {
     match error {
         Error::Conflict { .. } => EXIT_CONFLICT,
         Error::Faults { .. } | Error::Document { .. } => EXIT_INVALID,
@@ -160,20 +160,20 @@
 }
 
 async fn run(args: &Args) -> Result<()> {
-    let ctl = Command::new(args.daemon, args.json);
+    let command = Command::new(args.daemon, args.json);
     match &args.verb {
-        Verb::Check { file } => ctl.check(file),
+        Verb::Check { file } => command.check(file),
         Verb::Apply {
             file,
             base,
             id,
             force,
-        } => ctl.apply(file, *base, id.as_ref(), *force).await,
-        Verb::Show => ctl.show().await,
-        Verb::Diff { file } => ctl.diff(file).await,
-        Verb::Status { watch, patience_ms } => ctl.status(*watch, patience_ms.duration()).await,
-        Verb::Rollouts => ctl.rollouts().await,
-        Verb::State { address } => ctl.dump(address.unwrap_or(args.daemon)).await,
-        Verb::Drain { address } => ctl.drain(*address).await,
+        } => command.apply(file, *base, id.as_ref(), *force).await,
+        Verb::Show => command.show().await,
+        Verb::Diff { file } => command.diff(file).await,
+        Verb::Status { watch, patience_ms } => command.status(*watch, patience_ms.duration()).await,
+        Verb::Rollouts => command.rollouts().await,
+        Verb::State { address } => command.dump(address.unwrap_or(args.daemon)).await,
+        Verb::Drain { address } => command.drain(*address).await,
     }
 }
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -26,9 +26,9 @@
 use crate::units::{EditId, Version};
 
 /// Longest time that an operator waits for a verdict.
-const PATIENCE: Duration = Duration::from_secs(10);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest edit, in bytes.
-pub const MAX_EDIT: usize = 4 << 20;
+pub const MAX_EDIT_BYTES: usize = 4 << 20;
 
 /// What became of a published edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
     /// Publishes edits.
     pub publisher: Publisher,
     /// Read for the state dump.
-    pub gate: Arc<Sidecar>,
+    pub sidecar: Arc<Sidecar>,
     /// Read for the state dump.
     pub keys: Arc<Deduplicator>,
     /// Renders metrics.
@@ -89,7 +89,7 @@
 }
 
 /// An answer in JSON.
-type Answer = (StatusCode, ([(&'static str, &'static str); 1], String));
+type Response = (StatusCode, ([(&'static str, &'static str); 1], String));
 
 impl Operator {
     /// The routes of this face.
@@ -104,34 +104,34 @@
             let operator = Arc::clone(&reader);
             async move { operator.look_up(&id) }
         };
-        let asked = Arc::clone(&self);
+        let head_reader = Arc::clone(&self);
         let head = move || {
-            let operator = Arc::clone(&asked);
+            let operator = Arc::clone(&head_reader);
             async move { operator.head().await }
         };
         Router::new()
             .route("/health/live", get(|| async { "live" }))
-            .route("/health/ready", get(self.view(Self::ready)))
-            .route("/state", get(self.view(Self::state)))
-            .route("/members", get(self.view(Self::members)))
-            .route("/rollouts", get(self.view(Self::rollouts)))
-            .route("/metrics", get(self.view(Self::render)))
-            .route("/drain", post(self.view(Self::drain)))
-            .route("/config", get(self.view(Self::config)).post(publish))
+            .route("/health/ready", get(self.handler(Self::ready)))
+            .route("/state", get(self.handler(Self::state)))
+            .route("/members", get(self.handler(Self::members)))
+            .route("/rollouts", get(self.handler(Self::rollouts)))
+            .route("/metrics", get(self.handler(Self::render)))
+            .route("/drain", post(self.handler(Self::drain)))
+            .route("/config", get(self.handler(Self::config)).post(publish))
             .route("/config/edits/{id}", get(look_up))
             .route("/config/head", get(head))
     }
 
     /// A handler that answers at once.
-    fn view(
+    fn handler(
         self: &Arc<Self>,
-        read: fn(&Self) -> Answer,
-    ) -> impl FnOnce() -> Ready<Answer> + Clone + Send + Sync + 'static {
+        read: fn(&Self) -> Response,
+    ) -> impl FnOnce() -> Ready<Response> + Clone + Send + Sync + 'static {
         let operator = Arc::clone(self);
         move || ready(read(&operator))
     }
 
-    fn ready(&self) -> Answer {
+    fn ready(&self) -> Response {
         let brief = Brief::of(&self.shared);
         let status = if brief.ready {
             StatusCode::OK
@@ -141,24 +141,24 @@
         json(status, &brief)
     }
 
-    fn state(&self) -> Answer {
+    fn state(&self) -> Response {
         json(
             StatusCode::OK,
-            &Dump::of(&self.shared, &self.gate, &self.keys),
+            &Dump::of(&self.shared, &self.sidecar, &self.keys),
         )
     }
 
-    fn members(&self) -> Answer {
+    fn members(&self) -> Response {
         let members: Vec<Member> = self.shared.roster().members.clone();
         json(StatusCode::OK, &members)
     }
 
-    fn rollouts(&self) -> Answer {
-        let told: Vec<Progress> = self.shared.rollouts.snapshot();
-        json(StatusCode::OK, &told)
+    fn rollouts(&self) -> Response {
+        let progress: Vec<Progress> = self.shared.rollouts.snapshot();
+        json(StatusCode::OK, &progress)
     }
 
-    fn config(&self) -> Answer {
+    fn config(&self) -> Response {
         let config = self.shared.config();
         let in_force = InForce {
             version: config.digest.version,
@@ -168,8 +168,8 @@
         json(StatusCode::OK, &in_force)
     }
 
-    fn render(&self) -> Answer {
-        self.gauge();
+    fn render(&self) -> Response {
+        self.set_gauges();
         let text = self
             .metrics
             .as_ref()
@@ -185,7 +185,7 @@
         clippy::cast_precision_loss,
         reason = "gauges are floating-point numbers"
     )]
-    fn gauge(&self) {
+    fn set_gauges(&self) {
         let control = self.shared.meter.read();
         metrics::gauge!("jackdaw_config_version").set(self.shared.digest().version.0 as f64);
         metrics::gauge!("jackdaw_version_offered").set(self.shared.freshness.received().0 as f64);
@@ -198,14 +198,14 @@
         metrics::counter!("jackdaw_control_bytes_total", "to" => "log").absolute(control.log_bytes);
     }
 
-    fn drain(&self) -> Answer {
+    fn drain(&self) -> Response {
         info!(self.shared.logger, "drain asked for");
-        self.shared.leave();
+        self.shared.begin_shutdown();
         json(StatusCode::ACCEPTED, &Brief::of(&self.shared))
     }
 
     /// Where the log ends, for an edit that is to replace whatever is in force.
-    async fn head(&self) -> Answer {
+    async fn head(&self) -> Response {
         match self.publisher.head().await {
             Ok(head) => json(StatusCode::OK, &head),
             Err(error) => (
@@ -215,17 +215,17 @@
         }
     }
 
-    fn look_up(&self, id: &str) -> Answer {
+    fn look_up(&self, id: &str) -> Response {
         let id = EditId::from(id);
         match self.publisher.verdict(&id) {
-            Ok(Some(version)) => answer(&id, Ok(version)),
-            Ok(None) => answer(&id, Err(Error::Undecided { id: id.clone() })),
-            Err(error) => answer(&id, Err(error)),
+            Ok(Some(version)) => publish_response(&id, Ok(version)),
+            Ok(None) => publish_response(&id, Err(Error::Undecided { id: id.clone() })),
+            Err(error) => publish_response(&id, Err(error)),
         }
     }
 
-    async fn publish(&self, body: &[u8]) -> Answer {
-        let bad = |status, text: String| {
+    async fn publish(&self, body: &[u8]) -> Response {
+        let invalid = |status, text: String| {
             let fault = Fault {
                 path: String::new(),
                 problem: text.clone(),
@@ -239,29 +239,29 @@
                 },
             )
         };
-        if body.len() > MAX_EDIT {
-            return bad(
+        if body.len() > MAX_EDIT_BYTES {
+            return invalid(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the edit is over 4 MiB".to_owned(),
             );
         }
         let proposal: Proposal = match serde_json::from_slice(body) {
             Ok(proposal) => proposal,
-            Err(error) => return bad(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => return invalid(StatusCode::BAD_REQUEST, error.to_string()),
         };
         if proposal.id.as_str().is_empty() || proposal.id.as_str().len() > 128 {
-            return bad(
+            return invalid(
                 StatusCode::BAD_REQUEST,
                 "id must have 1 to 128 bytes".to_owned(),
             );
         }
         let id = proposal.id.clone();
-        let result = self.publisher.publish(proposal, PATIENCE).await;
-        answer(&id, result)
+        let result = self.publisher.publish(proposal, PUBLISH_TIMEOUT).await;
+        publish_response(&id, result)
     }
 }
 
-fn answer(id: &EditId, result: Result<Version>) -> Answer {
+fn publish_response(id: &EditId, result: Result<Version>) -> Response {
     let error = match result {
         Ok(version) => return json(StatusCode::OK, &Published::Accepted { version }),
         Err(error) => error,
@@ -286,7 +286,7 @@
     }
 }
 
-fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let text = serde_json::to_string(value).unwrap_or_default();
     (status, ([("content-type", "application/json")], text))
 }
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -18,7 +18,7 @@
 use crate::units::{DataCentre, Generation, Millis, Revision, Service, Version};
 
 /// Most members and upstreams that a dump names.
-const MOST: usize = 500;
+const MAX_LISTED: usize = 500;
 
 /// Everything that a daemon says of itself.
 #[derive(Debug, Serialize)]
@@ -143,13 +143,13 @@
 impl Dump {
     /// Reads a daemon.
     #[must_use]
-    pub fn of(shared: &SharedState, gate: &Sidecar, keys: &Deduplicator) -> Self {
+    pub fn of(shared: &SharedState, sidecar: &Sidecar, keys: &Deduplicator) -> Self {
         let now = Instant::now();
         let config = shared.config();
         let roster = shared.roster();
-        let (running, waiting) = gate.load();
+        let (running, waiting) = sidecar.load();
         let target = shared.target();
-        let left = |until: Instant| until.saturating_duration_since(now);
+        let time_left = |until: Instant| until.saturating_duration_since(now);
         Self {
             settings: shared.settings.clone(),
             stage: shared.stage(),
@@ -161,14 +161,14 @@
             reads_log: reader::reader_rank(shared).is_some(),
             lease_left_ms: target
                 .as_ref()
-                .map(|target| left(target.lease_until).into()),
+                .map(|target| time_left(target.lease_until).into()),
             target: target.as_deref().cloned(),
             in_flight: shared.in_flight(),
             running,
             waiting,
             keys: keys.len(),
             rollouts: shared.rollouts.snapshot(),
-            era: shared.era(),
+            era: shared.generation(),
             quarantined: quarantined(&shared.quarantine.assessments(), now),
             control: shared.meter.read(),
             live: roster
@@ -177,10 +177,10 @@
                 .filter(|m| m.health != Health::Gone)
                 .count(),
             gone: roster.gone.len(),
-            members: roster.members.iter().take(MOST).cloned().collect(),
+            members: roster.members.iter().take(MAX_LISTED).cloned().collect(),
             upstreams: roster
                 .all_upstreams()
-                .take(MOST)
+                .take(MAX_LISTED)
                 .map(|(s, u)| UpstreamDump::of(s, u, revision(&roster, u), now))
                 .collect(),
         }
@@ -194,7 +194,7 @@
 }
 
 fn quarantined(assessments: &Assessments, now: Instant) -> Vec<QuarantineDump> {
-    let quarantined = assessments.quarantined().take(MOST);
+    let quarantined = assessments.quarantined().take(MAX_LISTED);
     quarantined
         .map(|(cause, until)| QuarantineDump {
             fingerprint: cause.to_string(),
--- a/src/operation/status.rs
+++ b/src/operation/status.rs
@@ -27,11 +27,11 @@
 
 /// Sums up what each member answered; who has not `wanted` or a later version is behind.
 #[must_use]
-pub fn summarise(answers: &[(Member, Option<Brief>)], wanted: Version) -> Vec<Summary> {
+pub fn summarise(responses: &[(Member, Option<Brief>)], expected: Version) -> Vec<Summary> {
     let mut summaries: Vec<Summary> = Vec::new();
-    for (member, brief) in answers {
-        let place = summaries.binary_search_by(|s| s.data_centre.cmp(&member.data_centre));
-        let index = place.unwrap_or_else(|index| {
+    for (member, brief) in responses {
+        let position = summaries.binary_search_by(|s| s.data_centre.cmp(&member.data_centre));
+        let index = position.unwrap_or_else(|index| {
             let summary = Summary {
                 data_centre: member.data_centre.clone(),
                 daemons: 0,
@@ -50,7 +50,7 @@
             summary.lowest = summary.lowest.min(brief.version);
             summary.highest = summary.highest.max(brief.version);
         }
-        if brief.as_ref().is_none_or(|brief| brief.version < wanted) {
+        if brief.as_ref().is_none_or(|brief| brief.version < expected) {
             summary.laggards.push(member.operator);
         }
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Link`] is one daemon's connection to another. Control messages are single POSTs with
 //! bincode bodies; calls are ordinary requests with a [`Metadata`](crate::calls::metadata::Metadata) in a
-//! header. LinkPool for calls and links for control are separate connections, so that control bytes
+//! header. Links for calls and links for control are separate connections, so that control bytes
 //! can be counted where they are sent.
 
 use std::io;
@@ -29,18 +29,18 @@
 use crate::wire;
 
 /// Time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for the answer to a control message.
-const PATIENCE: Duration = Duration::from_secs(3);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without a byte after which a link with waiting calls is asked for a sign of life: longer
 /// than most calls, so that a busy link is never asked.
-const QUIET: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 /// Time for that sign: many times the way there and back.
-const PONG: Duration = Duration::from_millis(400);
+const PONG_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a peer that went silent is left alone: about as long as processes are frozen.
-const SILENCE: Duration = Duration::from_secs(2);
+const SILENT_PERIOD: Duration = Duration::from_secs(2);
 /// Time after which an idle link is closed.
-pub const IDLE: Duration = Duration::from_mins(1);
+pub const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Why a call has no answer from its gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Link {
     peer: SocketAddr,
-    home: IpAddr,
+    local: IpAddr,
     sender: Arc<ArcSwapOption<SendRequest<Bytes>>>,
     /// Calls that wait for the head of their answer.
     waiting: Arc<AtomicU32>,
@@ -70,10 +70,10 @@
 impl Link {
     /// A link from the address `home` that is not open yet.
     #[must_use]
-    pub fn new(peer: SocketAddr, home: IpAddr) -> Self {
+    pub fn new(peer: SocketAddr, local: IpAddr) -> Self {
         Self {
             peer,
-            home,
+            local,
             sender: Arc::default(),
             waiting: Arc::default(),
             silent_ms: Arc::default(),
@@ -95,14 +95,14 @@
         self.used_ms.store(clock::unix_ms(), Ordering::Relaxed);
         let mut sender = self.sender(None).await.map_err(|_| Failure::Unsent)?;
         let empty = http_body::Body::is_end_stream(&body);
-        let held_back = request.headers().contains_key(header::EXPECT);
+        let deferred = request.headers().contains_key(header::EXPECT);
         // An error here means that no stream was opened, so nothing has left this process.
         let sent = sender.send_request(request, empty);
         let (response, stream) = sent.map_err(|_| Failure::Unsent)?;
-        let _waiting = Waiting::begin(&self.waiting);
+        let _waiting = WaitingGuard::begin(&self.waiting);
         let sending = (!empty).then_some((body, stream));
-        let answered = answered(response, sending, held_back).await;
-        answered.map_err(|error| {
+        let result = exchange_call(response, sending, deferred).await;
+        result.map_err(|error| {
             self.sender.store(None);
             classify(&error)
         })
@@ -115,13 +115,13 @@
     #[must_use]
     pub fn is_silent(&self) -> bool {
         let ago_ms = clock::unix_ms().saturating_sub(self.silent_ms.load(Ordering::Relaxed));
-        ago_ms < Millis::from(SILENCE).0
+        ago_ms < Millis::from(SILENT_PERIOD).0
     }
 
     /// Closes the connection when no call has begun for a while; calls in flight end first.
     pub fn close_idle(&self) {
         let idle_ms = clock::unix_ms().saturating_sub(self.used_ms.load(Ordering::Relaxed));
-        if idle_ms > Millis::from(IDLE).0 {
+        if idle_ms > Millis::from(IDLE_TIMEOUT).0 {
             self.sender.store(None);
         }
     }
@@ -141,24 +141,27 @@
             let mut sender = self.sender(Some(meter)).await?;
             let uri = format!("http://{}{path}", self.peer);
             let request = Request::builder().method(Method::POST).uri(uri).body(());
-            let request = request.map_err(|e| self.unreachable(&e.to_string()))?;
+            let request = request.map_err(|e| self.unreachable_error(&e.to_string()))?;
             let sent = sender.send_request(request, false);
-            let (response, mut stream) = sent.map_err(|e| self.unreachable(&e.to_string()))?;
+            let (response, mut stream) =
+                sent.map_err(|e| self.unreachable_error(&e.to_string()))?;
             stream::send_message(&mut stream, body)
                 .await
-                .map_err(|e| self.failed(&e.to_string()))?;
-            let response = response.await.map_err(|e| self.failed(&e.to_string()))?;
-            let body = collect(response.into_body()).await;
-            wire::decode(&body.map_err(|e| self.failed(&e.to_string()))?)
+                .map_err(|e| self.peer_error(&e.to_string()))?;
+            let response = response
+                .await
+                .map_err(|e| self.peer_error(&e.to_string()))?;
+            let body = read_body(response.into_body()).await;
+            wire::decode(&body.map_err(|e| self.peer_error(&e.to_string()))?)
         };
-        let answer = match tokio::time::timeout(PATIENCE, exchange).await {
-            Ok(answer) => answer,
-            Err(_) => Err(self.failed("no answer in time")),
+        let response = match tokio::time::timeout(CONTROL_TIMEOUT, exchange).await {
+            Ok(response) => response,
+            Err(_) => Err(self.peer_error("no answer in time")),
         };
-        if answer.is_err() {
+        if response.is_err() {
             self.sender.store(None);
         }
-        answer
+        response
     }
 
     /// A sender with room for one more request, over a connection that is open.
@@ -181,33 +184,34 @@
     }
 
     async fn open(&self, meter: Option<&Arc<Meter>>) -> Result<SendRequest<Bytes>> {
-        let connecting = tokio::time::timeout(CONNECT, self.connect()).await;
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await;
         let stream = match connecting {
-            Ok(stream) => stream.map_err(|e| self.unreachable(&e.to_string()))?,
-            Err(_) => return Err(self.unreachable("no connection in time")),
+            Ok(stream) => stream.map_err(|e| self.unreachable_error(&e.to_string()))?,
+            Err(_) => return Err(self.unreachable_error("no connection in time")),
         };
         stream
             .set_nodelay(true)
-            .map_err(|e| self.unreachable(&e.to_string()))?;
-        let counted = MeteredStream::new(stream, meter.cloned());
-        let heard = counted.heard();
+            .map_err(|e| self.unreachable_error(&e.to_string()))?;
+        let stream = MeteredStream::new(stream, meter.cloned());
+        let last_received = stream.last_received();
         let handshake = h2::client::Builder::new()
-            .initial_window_size(WINDOW)
-            .initial_connection_window_size(CONNECTION_WINDOW)
-            .handshake(counted);
-        let (sender, mut connection) = match tokio::time::timeout(CONNECT, handshake).await {
-            Ok(pair) => pair.map_err(|e| self.unreachable(&e.to_string()))?,
-            Err(_) => return Err(self.unreachable("no handshake in time")),
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+            .handshake(stream);
+        let (sender, mut connection) = match tokio::time::timeout(CONNECT_TIMEOUT, handshake).await
+        {
+            Ok(pair) => pair.map_err(|e| self.unreachable_error(&e.to_string()))?,
+            Err(_) => return Err(self.unreachable_error("no handshake in time")),
         };
         if let Some(pings) = connection.ping_pong() {
             let (waiting, current) = (Arc::clone(&self.waiting), Arc::clone(&self.sender));
             let silent_ms = Arc::clone(&self.silent_ms);
-            let watch = watch(pings, heard, waiting);
+            let silence = wait_until_silent(pings, last_received, waiting);
             tokio::spawn(async move {
                 tokio::select! {
                     // However it ended, the next call opens another one.
                     _ = &mut connection => {}
-                    () = watch => {
+                    () = silence => {
                         current.store(None);
                         silent_ms.store(clock::unix_ms(), Ordering::Relaxed);
                         metrics::counter!("jackdaw_silent_links_total").increment(1);
@@ -220,30 +224,30 @@
         sender
             .ready()
             .await
-            .map_err(|e| self.unreachable(&e.to_string()))
+            .map_err(|e| self.unreachable_error(&e.to_string()))
     }
 
     /// Connects from this daemon's own address, so that peers on hosts with several addresses
     /// see the one they know.
     async fn connect(&self) -> io::Result<TcpStream> {
-        let (socket, any) = match self.home {
-            IpAddr::V4(_) => (TcpSocket::new_v4()?, self.home.is_unspecified()),
-            IpAddr::V6(_) => (TcpSocket::new_v6()?, self.home.is_unspecified()),
+        let (socket, any) = match self.local {
+            IpAddr::V4(_) => (TcpSocket::new_v4()?, self.local.is_unspecified()),
+            IpAddr::V6(_) => (TcpSocket::new_v6()?, self.local.is_unspecified()),
         };
-        if !any && self.home.is_ipv4() == self.peer.is_ipv4() {
-            socket.bind(SocketAddr::new(self.home, 0))?;
+        if !any && self.local.is_ipv4() == self.peer.is_ipv4() {
+            socket.bind(SocketAddr::new(self.local, 0))?;
         }
         socket.connect(self.peer).await
     }
 
-    fn unreachable(&self, reason: &str) -> Error {
+    fn unreachable_error(&self, reason: &str) -> Error {
         Error::Unreachable {
             peer: self.peer,
             reason: reason.to_owned(),
         }
     }
 
-    fn failed(&self, reason: &str) -> Error {
+    fn peer_error(&self, reason: &str) -> Error {
         Error::Peer {
             peer: self.peer,
             reason: reason.to_owned(),
@@ -255,45 +259,45 @@
 ///
 /// Dropped, it sends no more and resets the stream: a body that nobody waits for would keep the link
 /// busy to its end.
-async fn answered(
+async fn exchange_call(
     mut response: ResponseFuture,
     sending: Option<(Body, SendStream<Bytes>)>,
-    held_back: bool,
+    deferred: bool,
 ) -> std::result::Result<Response<RecvStream>, h2::Error> {
     let Some((body, stream)) = sending else {
         return response.await;
     };
-    if held_back {
-        let told = std::future::poll_fn(|cx| response.poll_informational(cx)).await;
-        if told.transpose()?.is_none() {
+    if deferred {
+        let informational = std::future::poll_fn(|cx| response.poll_informational(cx)).await;
+        if informational.transpose()?.is_none() {
             // The answer has come without the body: a refusal.
             return response.await;
         }
     }
-    let mut pumping = Box::pin(stream::send_body(body, stream));
+    let mut sending_body = Box::pin(stream::send_body(body, stream));
     tokio::select! {
         biased;
-        answer = &mut response => {
+        response = &mut response => {
             // The target has answered before it has read the body; it reads the rest later.
-            tokio::spawn(pumping);
-            answer
+            tokio::spawn(sending_body);
+            response
         }
         // A body that broke off has reset its stream, which the answer tells.
-        _ = &mut pumping => response.await,
+        _ = &mut sending_body => response.await,
     }
 }
 
 /// Counts a call that waits, until it is dropped.
-struct Waiting(Arc<AtomicU32>);
+struct WaitingGuard(Arc<AtomicU32>);
 
-impl Waiting {
+impl WaitingGuard {
     fn begin(count: &Arc<AtomicU32>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(count))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -304,27 +308,31 @@
 /// Guards against a connection that is dead without a reset, or a frozen peer: calls that take it
 /// would wait for their whole time. It is asked only while calls wait and nothing was heard for a
 /// while, since a ping costs as much as a small call.
-async fn watch(mut pings: PingPong, heard: Arc<AtomicU64>, waiting: Arc<AtomicU32>) {
-    let mut looks = tokio::time::interval(QUIET);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn wait_until_silent(
+    mut pings: PingPong,
+    last_received: Arc<AtomicU64>,
+    waiting: Arc<AtomicU32>,
+) {
+    let mut checks = tokio::time::interval(QUIET_PERIOD);
+    checks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
-        let quiet_ms = clock::unix_ms().saturating_sub(heard.load(Ordering::Relaxed));
-        if waiting.load(Ordering::Relaxed) == 0 || quiet_ms < Millis::from(QUIET).0 {
+        checks.tick().await;
+        let quiet_ms = clock::unix_ms().saturating_sub(last_received.load(Ordering::Relaxed));
+        if waiting.load(Ordering::Relaxed) == 0 || quiet_ms < Millis::from(QUIET_PERIOD).0 {
             continue;
         }
-        let pong = tokio::time::timeout(PONG, pings.ping(Ping::opaque())).await;
-        let heard_ms = clock::unix_ms().saturating_sub(heard.load(Ordering::Relaxed));
-        if !matches!(pong, Ok(Ok(_))) && heard_ms >= Millis::from(PONG).0 {
+        let pong = tokio::time::timeout(PONG_TIMEOUT, pings.ping(Ping::opaque())).await;
+        let heard_ms = clock::unix_ms().saturating_sub(last_received.load(Ordering::Relaxed));
+        if !matches!(pong, Ok(Ok(_))) && heard_ms >= Millis::from(PONG_TIMEOUT).0 {
             return;
         }
     }
 }
 
 /// Flow-control window of a stream towards the peer that opened it, in bytes.
-pub const WINDOW: u32 = 64 << 10;
+pub const STREAM_WINDOW_BYTES: u32 = 64 << 10;
 /// Flow-control window of a connection, in bytes.
-pub const CONNECTION_WINDOW: u32 = 1 << 20;
+pub const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
 
 /// Tells whether the gate may have processed a call that failed.
 ///
@@ -344,7 +352,7 @@
 /// # Errors
 ///
 /// What broke, or that the frame is too large.
-pub async fn collect(mut stream: RecvStream) -> std::result::Result<Bytes, stream::BoxError> {
+pub async fn read_body(mut stream: RecvStream) -> std::result::Result<Bytes, stream::BoxError> {
     let mut body = BytesMut::new();
     while let Some(data) = stream.data().await {
         let data = data?;
--- a/src/peer/link_pool.rs
+++ b/src/peer/link_pool.rs
@@ -9,34 +9,34 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::Result;
-use crate::peer::link::{IDLE, Link};
+use crate::peer::link::{IDLE_TIMEOUT, Link};
 use crate::telemetry::Meter;
 use crate::wire;
 
-/// LinkPool for control messages, closed when idle.
+/// Pool of links for control messages; idle ones are closed.
 #[derive(Debug)]
 pub struct LinkPool {
-    home: IpAddr,
+    local: IpAddr,
     meter: Arc<Meter>,
     /// Sorted by peer; never held while a message is on its way.
-    open: Mutex<Vec<Opened>>,
+    entries: Mutex<Vec<Entry>>,
 }
 
 #[derive(Debug)]
-struct Opened {
+struct Entry {
     peer: SocketAddr,
     link: Arc<Link>,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl LinkPool {
     /// No links yet; they will leave from the address `home`.
     #[must_use]
-    pub const fn new(home: IpAddr, meter: Arc<Meter>) -> Self {
+    pub const fn new(local: IpAddr, meter: Arc<Meter>) -> Self {
         Self {
-            home,
+            local,
             meter,
-            open: Mutex::new(Vec::new()),
+            entries: Mutex::new(Vec::new()),
         }
     }
 
@@ -71,21 +71,23 @@
 
     fn link(&self, peer: SocketAddr) -> Arc<Link> {
         let now = Instant::now();
-        let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.retain(|opened| opened.peer == peer || now.duration_since(opened.used) < IDLE);
-        match open.binary_search_by_key(&peer, |opened| opened.peer) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        entries.retain(|entry| {
+            entry.peer == peer || now.duration_since(entry.last_used) < IDLE_TIMEOUT
+        });
+        match entries.binary_search_by_key(&peer, |entry| entry.peer) {
             Ok(index) => {
-                open[index].used = now;
-                Arc::clone(&open[index].link)
+                entries[index].last_used = now;
+                Arc::clone(&entries[index].link)
             }
             Err(index) => {
-                let link = Arc::new(Link::new(peer, self.home));
-                open.insert(
+                let link = Arc::new(Link::new(peer, self.local));
+                entries.insert(
                     index,
-                    Opened {
+                    Entry {
                         peer,
                         link: Arc::clone(&link),
-                        used: now,
+                        last_used: now,
                     },
                 );
                 link
--- a/src/peer/metered_stream.rs
+++ b/src/peer/metered_stream.rs
@@ -18,9 +18,9 @@
     stream: TcpStream,
     meter: Option<Arc<Meter>>,
     /// When bytes came last, in milliseconds since 1970.
-    heard: Arc<AtomicU64>,
+    last_received: Arc<AtomicU64>,
     /// Set once the connection turns out to carry calls, which are not control.
-    calls: Arc<AtomicBool>,
+    carries_calls: Arc<AtomicBool>,
 }
 
 impl MeteredStream {
@@ -30,27 +30,27 @@
         Self {
             stream,
             meter,
-            heard: Arc::new(AtomicU64::new(clock::unix_ms())),
-            calls: Arc::default(),
+            last_received: Arc::new(AtomicU64::new(clock::unix_ms())),
+            carries_calls: Arc::default(),
         }
     }
 
     /// When bytes came last, in milliseconds since 1970.
     #[must_use]
-    pub fn heard(&self) -> Arc<AtomicU64> {
-        Arc::clone(&self.heard)
+    pub fn last_received(&self) -> Arc<AtomicU64> {
+        Arc::clone(&self.last_received)
     }
 
     /// A switch that ends the counting.
     #[must_use]
-    pub fn calls(&self) -> Arc<AtomicBool> {
-        Arc::clone(&self.calls)
+    pub fn carries_calls(&self) -> Arc<AtomicBool> {
+        Arc::clone(&self.carries_calls)
     }
 
-    fn counting(&self) -> Option<&Meter> {
+    fn active_meter(&self) -> Option<&Meter> {
         self.meter
             .as_deref()
-            .filter(|_| !self.calls.load(Ordering::Relaxed))
+            .filter(|_| !self.carries_calls.load(Ordering::Relaxed))
     }
 }
 
@@ -63,9 +63,10 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.heard.store(clock::unix_ms(), Ordering::Relaxed);
+            self.last_received
+                .store(clock::unix_ms(), Ordering::Relaxed);
         }
-        if let Some(meter) = self.counting() {
+        if let Some(meter) = self.active_meter() {
             meter.received(buf.filled().len() - before);
         }
         polled
@@ -79,7 +80,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        if let (Poll::Ready(Ok(written)), Some(meter)) = (&polled, self.counting()) {
+        if let (Poll::Ready(Ok(written)), Some(meter)) = (&polled, self.active_meter()) {
             meter.peer(*written);
         }
         polled
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,6 +1,6 @@
 //! Connections between daemons.
 //!
-//! A [`Link`] carries calls or control messages to one peer, [`LinkPool`] keep those for control, and
+//! A [`Link`] carries calls or control messages to one peer, a [`LinkPool`] keeps those for control, and
 //! the [`server`] answers them.
 
 pub mod link;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -24,18 +24,18 @@
 use crate::idempotency::keys::{Handoff, Intent};
 use crate::membership::controller::Membership;
 use crate::membership::datagram::Join;
-use crate::peer::link::{CONNECTION_WINDOW, collect};
+use crate::peer::link::{CONNECTION_WINDOW_BYTES, read_body};
 use crate::peer::metered_stream::MeteredStream;
 use crate::shared_state::SharedState;
 use crate::units::Millis;
 use crate::{clock, wire};
 
 /// Path of a [`Join`].
-pub const JOIN: &str = "/control/join";
+pub const JOIN_PATH: &str = "/control/join";
 /// Requests that one connection may have open.
 const MAX_STREAMS: u32 = 1_024;
 /// Largest head of a request, in bytes.
-const MAX_HEAD: u32 = 64 << 10;
+const MAX_HEADER_BYTES: u32 = 64 << 10;
 
 /// Everything that peers can ask for.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     /// The blackboard.
     pub shared: Arc<SharedState>,
     /// Takes calls.
-    pub gate: Arc<Sidecar>,
+    pub sidecar: Arc<Sidecar>,
     /// Takes notes of keys.
     pub keys: Arc<Deduplicator>,
     /// Takes and serves content.
@@ -84,23 +84,23 @@
 
     async fn connection(self: &Arc<Self>, stream: TcpStream) -> Result<(), h2::Error> {
         let _ = stream.set_nodelay(true);
-        let counted = MeteredStream::new(stream, Some(Arc::clone(&self.shared.meter)));
-        let calls = counted.calls();
-        let transit = Arc::new(Estimator::default());
+        let stream = MeteredStream::new(stream, Some(Arc::clone(&self.shared.meter)));
+        let carries_calls = stream.carries_calls();
+        let transit_delay = Arc::new(Estimator::default());
         let mut connection = h2::server::Builder::new()
             .initial_window_size(REQUEST_WINDOW_BYTES)
-            .initial_connection_window_size(CONNECTION_WINDOW)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .max_concurrent_streams(MAX_STREAMS)
-            .max_header_list_size(MAX_HEAD)
-            .handshake(counted)
+            .max_header_list_size(MAX_HEADER_BYTES)
+            .handshake(stream)
             .await?;
         while let Some(accepted) = connection.accept().await {
             let (request, respond) = accepted?;
             let server = Arc::clone(self);
             if request.headers().contains_key(METADATA) {
-                calls.store(true, Ordering::Relaxed);
-                let transit = Arc::clone(&transit);
-                tokio::spawn(async move { server.call(request, respond, &transit).await });
+                carries_calls.store(true, Ordering::Relaxed);
+                let transit_delay = Arc::clone(&transit_delay);
+                tokio::spawn(async move { server.call(request, respond, &transit_delay).await });
             } else {
                 tokio::spawn(async move { server.control(request, respond).await });
             }
@@ -111,17 +111,17 @@
     /// Answers one control message; a faulty one is reset, and the connection goes on.
     async fn control(&self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let path = request.uri().path().to_owned();
-        let answer = match collect(request.into_body()).await {
-            Ok(body) => self.answer(&path, &body).await,
+        let response = match read_body(request.into_body()).await {
+            Ok(body) => self.handle_control(&path, &body).await,
             Err(error) => FrameSnafu {
                 reason: error.to_string(),
             }
             .fail(),
         };
-        match answer {
-            Ok(answer) => {
+        match response {
+            Ok(response) => {
                 if let Ok(mut stream) = respond.send_response(Response::new(()), false) {
-                    let _ = stream::send_message(&mut stream, answer).await;
+                    let _ = stream::send_message(&mut stream, response).await;
                 }
             }
             Err(error) => {
@@ -132,16 +132,16 @@
         }
     }
 
-    async fn answer(&self, path: &str, body: &[u8]) -> Result<Bytes> {
+    async fn handle_control(&self, path: &str, body: &[u8]) -> Result<Bytes> {
         match path {
             PUSH_PATH => Ok(wire::encode(
                 &self.relay.accept_push(wire::decode::<Reply>(body)?),
             )),
             PULL_PATH => Ok(self.relay.answer_pull(&wire::decode::<Pull>(body)?).await),
-            JOIN => Ok(wire::encode(
+            JOIN_PATH => Ok(wire::encode(
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
-            INTENT_PATH => self.note(&wire::decode::<Intent>(body)?),
+            INTENT_PATH => self.record_intent(&wire::decode::<Intent>(body)?),
             HANDOFF_PATH => Ok(wire::encode(&self.keys.accept_handoff(&wire::decode::<
                 Handoff,
             >(
@@ -154,11 +154,10 @@
         }
     }
 
-    fn note(&self, note: &Intent) -> Result<Bytes> {
+    fn record_intent(&self, intent: &Intent) -> Result<Bytes> {
         let reason = "this gate has handed its keys over".to_owned();
-        let noted = self.keys.record_intent(note);
-        noted
-            .map(|noted| wire::encode(&noted))
+        let ack = self.keys.record_intent(intent);
+        ack.map(|ack| wire::encode(&ack))
             .ok_or(Error::Frame { reason })
     }
 
@@ -167,10 +166,10 @@
         &self,
         request: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
-        transit: &Estimator,
+        transit_delay: &Estimator,
     ) {
         let (mut parts, stream) = request.into_parts();
-        let Ok(mut handover) = read_metadata(&mut parts.headers) else {
+        let Ok(mut metadata) = read_metadata(&mut parts.headers) else {
             metrics::counter!("jackdaw_bad_frames_total").increment(1);
             respond.send_reset(H2Reason::REFUSED_STREAM);
             return;
@@ -178,15 +177,15 @@
         // Guards against work for callers that have left: on a full link a call is on its way for most of a
         // second, and its caller's time runs out meanwhile. By what its entry wrote it would run all the
         // same, and the target would get more time than there is. The gate refuses what came too late.
-        let late = Millis::from(transit.excess(handover.sent_ms, clock::boot_ms()));
-        handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
-        handover.max_wait.0 = handover.max_wait.0.saturating_sub(late.0);
-        let held_back = Continue::default();
+        let excess = Millis::from(transit_delay.excess(metadata.sent_ms, clock::boot_ms()));
+        metadata.remaining.0 = metadata.remaining.0.saturating_sub(excess.0);
+        metadata.max_wait.0 = metadata.max_wait.0.saturating_sub(excess.0);
+        let body_request = Continue::default();
         if parts.headers.contains_key(header::EXPECT) {
-            parts.extensions.insert(held_back.clone());
+            parts.extensions.insert(body_request.clone());
         }
         let request = Request::from_parts(parts, Incoming::new(stream).into_body());
-        let mut run = pin!(self.gate.run(handover, request));
+        let mut run = pin!(self.sidecar.run(metadata, request));
         let response = loop {
             tokio::select! {
                 // What nobody waits for is not begun where its end has come with it.
@@ -194,11 +193,11 @@
                 // The entry has given up: dropping the run closes its connection to the target.
                 _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return,
                 response = &mut run => break response,
-                () = held_back.wait() => {
-                    let mut go_on = Response::new(());
-                    *go_on.status_mut() = StatusCode::CONTINUE;
+                () = body_request.wait() => {
+                    let mut response = Response::new(());
+                    *response.status_mut() = StatusCode::CONTINUE;
                     // An error means that the entry has gone, which the reset tells as well.
-                    let _ = respond.send_informational(go_on);
+                    let _ = respond.send_informational(response);
                 }
             }
         };
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -41,7 +41,7 @@
     /// Replicates changes for as long as the daemon runs.
     pub async fn run(self) {
         let mut changes = self.shared.quarantine.changes();
-        let mut eras = self.shared.eras();
+        let mut eras = self.shared.generations();
         let mut assessments: Arc<Assessments> = Arc::default();
         loop {
             // All but the expiry of crashes is signalled as a change.
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -262,7 +262,7 @@
     /// Decides on the next plan and writes a verdict.
     fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
-        let era = self.shared.era();
+        let era = self.shared.generation();
         let progress = known.progress();
         if progress.verdict.is_some() {
             self.check_status(index, known, Status::from(progress.verdict));
@@ -312,7 +312,7 @@
     fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
         let tracker = &self.trackers[index];
-        let era = self.shared.era();
+        let era = self.shared.generation();
         let due = tracker.last_checked.is_none_or(|(checked, then)| {
             let late = known.age(now) > tracker.order.duration.duration() + CHECK_TIME_AFTER_ORDER;
             let waited = now.saturating_duration_since(checked) >= STATUS_CHECK_INTERVAL;
@@ -328,7 +328,7 @@
         let Some(origin) = self.origin.clone() else {
             return;
         };
-        let era = self.shared.era();
+        let era = self.shared.generation();
         let tracker = &mut self.trackers[index];
         if tracker.sync.in_progress.swap(true, Ordering::AcqRel) {
             return;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -15,7 +15,7 @@
 use crate::units::{DataCentre, Millis, Percent, Service};
 
 /// Share of a service's requests that a bad revision may get, where the operators name none.
-const EXPOSURE_SHARE: f64 = 0.1;
+const DEFAULT_EXPOSURE_SHARE: f64 = 0.1;
 
 /// How configuration travels.
 #[derive(
@@ -220,7 +220,7 @@
     #[must_use]
     pub fn exposure(&self) -> observed::ExposureLimits {
         observed::ExposureLimits {
-            share: self.exposure_share.unwrap_or(EXPOSURE_SHARE),
+            share: self.exposure_share.unwrap_or(DEFAULT_EXPOSURE_SHARE),
             slack: self.exposure_slack,
         }
     }
@@ -255,7 +255,7 @@
         }
     }
 
-    fn faces(&self) -> [(&'static str, SocketAddr); 4] {
+    fn addresses(&self) -> [(&'static str, SocketAddr); 4] {
         [
             ("--peer-addr", self.peer_addr),
             ("--call-addr", self.call_addr),
@@ -265,10 +265,12 @@
     }
 
     fn check_addresses(&self, faults: &mut Vec<String>) {
-        let faces = self.faces();
-        for (index, (flag, address)) in faces.iter().enumerate() {
-            let twin = faces[..index].iter().find(|(_, other)| other == address);
-            if let Some((other, _)) = twin {
+        let addresses = self.addresses();
+        for (index, (flag, address)) in addresses.iter().enumerate() {
+            let duplicate = addresses[..index]
+                .iter()
+                .find(|(_, other)| other == address);
+            if let Some((other, _)) = duplicate {
                 faults.push(format!(
                     "{flag} is {address} like {other}; give each its own port"
                 ));
@@ -311,9 +313,9 @@
                 faults.push(fault.to_owned());
             }
         };
-        let named = !self.data_centre.as_str().trim().is_empty();
+        let has_name = !self.data_centre.as_str().trim().is_empty();
         require(
-            named,
+            has_name,
             "--data-centre is empty; name the data centre of this host",
         );
         require(
@@ -341,19 +343,31 @@
             self.probe_period_ms.0 >= 10,
             "--probe-period-ms is under 10; use 1000",
         );
-        let inside = self.probe_timeout_ms < self.probe_period_ms;
-        require(inside, "--probe-timeout-ms must be under --probe-period-ms");
-        let patient = self.suspicion_ms >= self.probe_period_ms;
-        require(patient, "--suspicion-ms must be at least --probe-period-ms");
-        let kept = self.gone_memory_ms > self.suspicion_ms;
-        require(kept, "--gone-memory-ms must be above --suspicion-ms");
-        let covered = self.gone_memory_ms >= self.key_memory_ms;
-        require(covered, "--gone-memory-ms must be at least --key-memory-ms");
+        let timeout_fits = self.probe_timeout_ms < self.probe_period_ms;
+        require(
+            timeout_fits,
+            "--probe-timeout-ms must be under --probe-period-ms",
+        );
+        let suspicion_fits = self.suspicion_ms >= self.probe_period_ms;
+        require(
+            suspicion_fits,
+            "--suspicion-ms must be at least --probe-period-ms",
+        );
+        let gone_retained = self.gone_memory_ms > self.suspicion_ms;
+        require(
+            gone_retained,
+            "--gone-memory-ms must be above --suspicion-ms",
+        );
+        let keys_covered = self.gone_memory_ms >= self.key_memory_ms;
+        require(
+            keys_covered,
+            "--gone-memory-ms must be at least --key-memory-ms",
+        );
         require(
             self.quarantine_ms.0 > 0,
             "--quarantine-ms is 0; targets would go on ending, use 3600000",
         );
-        let share = self.exposure_share.unwrap_or(EXPOSURE_SHARE);
+        let share = self.exposure_share.unwrap_or(DEFAULT_EXPOSURE_SHARE);
         require(
             share > 0.0 && share <= 1.0,
             "--exposure-share is not above 0 and up to 1; use 0.1",
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -31,7 +31,7 @@
 use crate::units::{Generation, Instance, Millis, Revision, Slots, StartTime, Version};
 
 /// Lines a second that requests may cause, so that an overload is not made worse by being logged.
-const LINES: u32 = 40;
+const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
 /// The configuration of one version, compiled for the path of a request.
 #[derive(Debug)]
@@ -133,11 +133,11 @@
     in_flight: AtomicU64,
     versions: watch::Sender<Version>,
     /// Highest era of the platform that is known.
-    eras: watch::Sender<Generation>,
+    generations: watch::Sender<Generation>,
     rosters: watch::Sender<u64>,
     stages: watch::Sender<Stage>,
     /// Whether a planned stop waits no longer.
-    cut: watch::Sender<bool>,
+    aborted: watch::Sender<bool>,
 }
 
 impl SharedState {
@@ -150,7 +150,7 @@
             rollouts: Rollouts::default(),
             settings,
             logger,
-            lines: Limiter::new(LINES),
+            lines: Limiter::new(MAX_LOG_LINES_PER_SECOND),
             dialect,
             meter: Meter::shared(),
             freshness: Freshness::default(),
@@ -162,10 +162,10 @@
             listed: AtomicBool::new(false),
             in_flight: AtomicU64::new(0),
             versions: watch::Sender::new(Version(0)),
-            eras: watch::Sender::new(Generation(0)),
+            generations: watch::Sender::new(Generation(0)),
             rosters: watch::Sender::new(0),
             stages: watch::Sender::new(Stage::Starting),
-            cut: watch::Sender::new(false),
+            aborted: watch::Sender::new(false),
         }
     }
 
@@ -209,23 +209,23 @@
 
     /// Highest era of the platform that is known.
     #[must_use]
-    pub fn era(&self) -> Generation {
-        *self.eras.borrow()
+    pub fn generation(&self) -> Generation {
+        *self.generations.borrow()
     }
 
     /// Notes an era that the platform or another daemon has told.
-    pub fn note_era(&self, era: Generation) {
-        self.eras.send_if_modified(|known| {
-            let later = era > *known;
-            *known = era.max(*known);
+    pub fn record_generation(&self, generation: Generation) {
+        self.generations.send_if_modified(|known| {
+            let later = generation > *known;
+            *known = generation.max(*known);
             later
         });
     }
 
     /// Follows the eras of the platform: in each, what was written to it before may be gone.
     #[must_use]
-    pub fn eras(&self) -> watch::Receiver<Generation> {
-        self.eras.subscribe()
+    pub fn generations(&self) -> watch::Receiver<Generation> {
+        self.generations.subscribe()
     }
 
     /// The members, as the path of a request sees them.
@@ -317,9 +317,9 @@
     }
 
     /// Begins a planned stop; the target takes calls for as long as callers still come.
-    pub fn leave(&self) {
-        let waits = self.settings.accept_ms > Millis(0);
-        self.advance(if waits {
+    pub fn begin_shutdown(&self) {
+        let accepts_callers = self.settings.accept_ms > Millis(0);
+        self.advance(if accepts_callers {
             Stage::Leaving
         } else {
             Stage::Draining
@@ -339,21 +339,26 @@
     }
 
     /// Has every call that is still in flight answered at once, as a planned stop waits no longer.
-    pub fn cut_short(&self) {
-        self.cut.send_replace(true);
+    pub fn abort_calls(&self) {
+        self.aborted.send_replace(true);
     }
 
     /// Waits until calls in flight are cut short.
-    pub async fn until_cut(&self) {
-        let cut = self.cut.subscribe().wait_for(|cut| *cut).await.is_ok();
-        if !cut {
+    pub async fn calls_aborted(&self) {
+        let aborted = self
+            .aborted
+            .subscribe()
+            .wait_for(|aborted| *aborted)
+            .await
+            .is_ok();
+        if !aborted {
             std::future::pending::<()>().await;
         }
     }
 
     /// Counts a call until the returned value is dropped.
     #[must_use]
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn track_call(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight {
             shared: Arc::clone(self),
@@ -361,7 +366,7 @@
     }
 
     /// Waits until no call is in flight, or `limit` has passed; `false` in the latter case.
-    pub async fn idle(&self, limit: Duration) -> bool {
+    pub async fn wait_until_idle(&self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         while self.in_flight() > 0 {
             if Instant::now() >= deadline {
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -13,7 +13,7 @@
 use crate::calls::http_server::Phase;
 use crate::configuration::control_plane::ControlPlane;
 use crate::error::{Error, Result};
-use crate::extension::Reread;
+use crate::extension::Reload;
 use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
@@ -26,23 +26,23 @@
 pub const EXIT_INTERRUPTED: u8 = 3;
 
 /// Time for which sessions are ended after an answer before the process goes.
-const LINGER: Duration = Duration::from_millis(2_500);
+const CONNECTION_LINGER: Duration = Duration::from_millis(2_500);
 /// Time before callers' connections are refused at which the target stops taking calls: those that it
 /// has are mostly answered by then.
 ///
 /// Guards against a target that stands idle, though well, for as long as its daemon waits for callers
 /// to go elsewhere, and once more while the next daemon starts.
-const LAST_CALLS: Duration = Duration::from_millis(800);
+const TARGET_CLOSE_LEAD: Duration = Duration::from_millis(800);
 /// Time between two looks at the settings, which may change without a word.
-const LOOK: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_PERIOD: Duration = Duration::from_secs(2);
 /// Time in which the first request on a connection that was taken last has come: many times the way
 /// from a caller.
-const FIRST_WORDS: Duration = Duration::from_millis(200);
+const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(200);
 /// Time for the answers of calls that are cut short to be written, over slow links as well; together
 /// with the drain limit inside what the platform grants a stop.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
+const ABORTED_RESPONSES_WAIT: Duration = Duration::from_millis(150);
 /// Time between the last answer and the end of the process.
-const LAST_WORDS: Duration = Duration::from_millis(50);
+const RESPONSE_FLUSH_WAIT: Duration = Duration::from_millis(50);
 
 /// The planned stop.
 pub struct Shutdown {
@@ -53,11 +53,11 @@
     /// Hands its keys over.
     pub keys: Arc<Deduplicator>,
     /// Ends the callers' connections.
-    pub phases: watch::Sender<Phase>,
+    pub phase: watch::Sender<Phase>,
     /// The platform, where daemons are listed.
-    pub origin: Option<Arc<dyn ControlPlane>>,
+    pub control_plane: Option<Arc<dyn ControlPlane>>,
     /// Reads changed settings.
-    pub reread: Option<Reread>,
+    pub reload: Option<Reload>,
 }
 
 impl Shutdown {
@@ -67,7 +67,7 @@
     ///
     /// [`Error::Listen`] when signals can't be had.
     pub async fn run(mut self) -> Result<u8> {
-        let mut reread = self.reread.take();
+        let mut reload = self.reload.take();
         let shared = &self.shared;
         let listening = |source| Error::Listen {
             address: shared.settings.operator_addr,
@@ -77,8 +77,8 @@
         let mut interrupt = signal(SignalKind::interrupt()).map_err(listening)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(listening)?;
         let mut stages = shared.stages();
-        let mut looks = tokio::time::interval(LOOK);
-        looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut polls = tokio::time::interval(SETTINGS_POLL_PERIOD);
+        polls.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
@@ -86,13 +86,13 @@
                 _ = stages.wait_for(|stage| stage.is_stopping()) => break,
                 _ = hangup.recv() => {
                     info!(shared.logger, "told to read the settings again");
-                    reload(shared, reread.as_mut());
+                    reload_settings(shared, reload.as_mut());
                 }
-                _ = looks.tick() => reload(shared, reread.as_mut()),
+                _ = polls.tick() => reload_settings(shared, reload.as_mut()),
             }
         }
         info!(shared.logger, "draining"; "in_flight" => shared.in_flight());
-        shared.leave();
+        shared.begin_shutdown();
         tokio::select! {
             () = self.drain() => {
                 info!(shared.logger, "stopped");
@@ -106,29 +106,33 @@
     async fn drain(&self) {
         let (shared, began) = (&self.shared, Instant::now());
         self.membership.publish_own_entry().await;
-        if let Some(origin) = self.origin.clone() {
-            let listing = Registration::new(Arc::clone(shared), origin);
+        if let Some(control_plane) = self.control_plane.clone() {
+            let registration = Registration::new(Arc::clone(shared), control_plane);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
-            tokio::spawn(async move { listing.deregister().await });
+            tokio::spawn(async move { registration.deregister().await });
         }
         let accept = shared.settings.accept_ms.duration();
-        tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
+        tokio::time::sleep_until((began + accept.saturating_sub(TARGET_CLOSE_LEAD)).into()).await;
         shared.advance(Stage::Draining);
         self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
-        self.phases.send_replace(Phase::Closed);
+        self.phase.send_replace(Phase::Closed);
         // Guards against a connection that was taken at the last moment: its request has not come
         // yet, so nothing is in flight, and it would be read and cut a moment later.
-        tokio::time::sleep(FIRST_WORDS).await;
-        tokio::time::sleep_until((began + LINGER).into()).await;
-        self.phases.send_replace(Phase::Ending);
-        self.answer_all(began).await;
+        tokio::time::sleep(FIRST_REQUEST_WAIT).await;
+        tokio::time::sleep_until((began + CONNECTION_LINGER).into()).await;
+        self.phase.send_replace(Phase::Ending);
+        self.finish_calls(began).await;
         // A planned stop must not look like a loss to the guard of keys.
-        let handed = self.keys.hand_off().await;
-        let health = if handed { Health::Left } else { Health::Gone };
+        let handed_off = self.keys.hand_off().await;
+        let health = if handed_off {
+            Health::Left
+        } else {
+            Health::Gone
+        };
         self.membership.leave(health).await;
         // What came meanwhile is answered as well.
-        self.answer_all(began).await;
+        self.finish_calls(began).await;
     }
 
     /// Waits until every call has its answer, and the answers are written, within the drain limit.
@@ -136,19 +140,19 @@
     /// Guards against a request that takes longer than a stop may, such as a body that is still on
     /// its way over a slow link: its connection would end without a word, and its caller could not
     /// tell whether it has run.
-    async fn answer_all(&self, began: Instant) {
+    async fn finish_calls(&self, began: Instant) {
         let shared = &self.shared;
         loop {
             let limit = shared.drain().duration().saturating_sub(began.elapsed());
-            if !shared.idle(limit).await {
+            if !shared.wait_until_idle(limit).await {
                 warn!(shared.logger, "calls are cut: the drain limit has passed";
                     "in_flight" => shared.in_flight());
-                shared.cut_short();
-                shared.idle(LAST_ANSWERS).await;
+                shared.abort_calls();
+                shared.wait_until_idle(ABORTED_RESPONSES_WAIT).await;
                 return;
             }
             // The last answers have been handed to the connections; they are written in this time.
-            tokio::time::sleep(LAST_WORDS).await;
+            tokio::time::sleep(RESPONSE_FLUSH_WAIT).await;
             if shared.in_flight() == 0 {
                 return;
             }
@@ -157,8 +161,8 @@
 }
 
 /// Takes over what may change while the daemon runs, and names what may not.
-fn reload(shared: &SharedState, reread: Option<&mut Reread>) {
-    match reread.and_then(|reread| reread()) {
+fn reload_settings(shared: &SharedState, reload: Option<&mut Reload>) {
+    match reload.and_then(|reload| reload()) {
         None => {}
         Some(Err(problem)) => {
             warn!(shared.logger, "settings are wrong, the old ones stay"; "problem" => problem);
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -13,13 +13,13 @@
 
 /// Log lines that may wait to be written; more are dropped and counted by the drain. Requests cause a few
 /// a second, and a queue takes its memory whether it is used or not.
-const LOG_QUEUE: usize = 256;
+const LOG_QUEUE_LINES: usize = 256;
 /// Time for which a line waits for an output that is full.
-const FULL_WAIT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time between two tries to write to it.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Upper bounds of a histogram's buckets, in seconds, around the times that callers find right.
-const BUCKETS: [f64; 10] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0];
+const HISTOGRAM_BUCKETS_S: [f64; 10] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0];
 
 /// Standard output, which may be set not to wait for its reader.
 ///
@@ -29,13 +29,13 @@
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let deadline = Instant::now() + FULL_WAIT;
+        let deadline = Instant::now() + WRITE_TIMEOUT;
         loop {
             match io::stdout().write(bytes) {
                 Err(error)
                     if error.kind() == ErrorKind::WouldBlock && Instant::now() < deadline =>
                 {
-                    thread::sleep(FULL_PAUSE);
+                    thread::sleep(WRITE_RETRY_DELAY);
                 }
                 written => return written,
             }
@@ -48,9 +48,9 @@
 }
 
 /// A logger that writes to standard output without blocking its callers. What can't be written is dropped.
-pub fn logger(form: Logs, verbose: bool) -> Logger {
+pub fn logger(format: Logs, verbose: bool) -> Logger {
     let level = if verbose { Level::Debug } else { Level::Info };
-    let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match form {
+    let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format {
         Logs::Json => Box::new(slog_json::Json::default(Output).ignore_res()),
         Logs::Terminal => {
             let decorator = slog_term::TermDecorator::new().stdout().build();
@@ -58,7 +58,7 @@
         }
     };
     let queued = slog_async::Async::new(drain)
-        .chan_size(LOG_QUEUE)
+        .chan_size(LOG_QUEUE_LINES)
         .build()
         .fuse();
     Logger::root(LevelFilter::new(queued, level).fuse(), o!())
@@ -72,7 +72,9 @@
 /// Installs the recorder for metrics; `None` when the process has one already.
 #[must_use]
 pub fn metrics() -> Option<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&BUCKETS).ok()?;
+    let builder = PrometheusBuilder::new()
+        .set_buckets(&HISTOGRAM_BUCKETS_S)
+        .ok()?;
     builder.install_recorder().ok()
 }
 
