--- a/src/authority.rs
+++ b/src/authority.rs
@@ -1,6 +1,7 @@
-//! Names of hosts as requests and documents spell them.
+//! Normalization of host names in requests and documents.
 //!
-//! A `Host` header may be in any letters, and carry a port or the dot of the root; they name the same host.
+//! A `Host` header may differ from a configured name in case, and have a port or a trailing dot, and still
+//! name the same host.
 //!
 //! ```
 //! use jackdawpulley::authority;
@@ -11,11 +12,11 @@
 
 use std::net::Ipv6Addr;
 
-/// A host without its port and the dot of the root; compare it whatever its case.
+/// Strips the port and the trailing dot from a host; the result is compared case-insensitively.
 #[must_use]
 pub fn plain(host: &str) -> &str {
     let name = match host.rfind(']') {
-        // An address in brackets has colons of its own.
+        // An IPv6 address in brackets contains colons.
         Some(end) => &host[..=end],
         None => host.split(':').next().unwrap_or(host),
     };
@@ -25,13 +26,13 @@
     }
 }
 
-/// The one spelling of a host, in small letters.
+/// Normalizes a host to lower case without port and trailing dot.
 #[must_use]
 pub fn normalized(host: &str) -> String {
     plain(host).to_ascii_lowercase()
 }
 
-/// Whether a text is a host without a port.
+/// Whether a text is a host name or address without a port.
 #[must_use]
 pub fn is_host(text: &str) -> bool {
     match text.strip_prefix('[') {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, for what leaves the process; inside it, monotonic time is used.
+//! Clocks for times that leave the process; inside it, [`Instant`](std::time::Instant) is used.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,22 +6,22 @@
 
 use crate::units::Millis;
 
-/// Microseconds since 1970; zero on a host whose clock is set before that.
+/// Unix time in microseconds; 0 if the host's clock is set before 1970.
 #[must_use]
 pub fn unix_us() -> u64 {
     u64::try_from(since_epoch().as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Milliseconds since 1970; zero on a host whose clock is set before that.
+/// Unix time in milliseconds; 0 if the host's clock is set before 1970.
 #[must_use]
 pub fn unix_ms() -> u64 {
     Millis::from(since_epoch()).0
 }
 
-/// Milliseconds since this host started, the time for which it was suspended included.
+/// Milliseconds since this host booted, including time spent suspended.
 ///
-/// It means nothing on another host, but the difference between two hosts stays the same: neither a clock
-/// that is set nor a host that is suspended changes it.
+/// Values of two hosts are not comparable, but their difference is constant: neither setting a clock nor
+/// suspending a host changes it.
 #[must_use]
 pub fn boot_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: builds the parts, connects them to the shared state, and runs them to a planned stop.
+//! The daemon program: builds its parts around the shared state and runs them until a graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,12 +47,12 @@
 
 /// Exit status when the daemon failed.
 pub const EXIT_FAILED: u8 = 1;
-/// Exit status when the settings are wrong.
+/// Exit status when the settings are invalid.
 pub const EXIT_SETTINGS: u8 = 2;
 
-/// Connections that are kept on each address for operators, the target and the platform.
+/// Maximum number of connections on each address for operators, the target and the platform.
 const MAX_LOCAL_CONNECTIONS: usize = 64;
-/// Time between two looks after the metrics.
+/// Interval between maintenance runs of the metrics recorder.
 const METRICS_UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
 /// Runs the program `jackdawpulley` with the arguments of this process.
@@ -90,11 +90,11 @@
     start(settings, Extension::default())
 }
 
-/// Starts threads and runs a daemon with checked settings to its end; returns the exit status.
+/// Starts the runtime and runs a daemon with checked settings until it exits; returns the exit status.
 #[must_use]
 pub fn start(settings: Settings, extension: Extension) -> u8 {
-    // One thread needs no other to wake it: on a host that gives a daemon a part of one core,
-    // each wake-up less is time for calls.
+    // A single-threaded runtime needs no wake-ups between threads: on a host that gives a daemon
+    // part of one core, each wake-up saved is time for calls.
     let mut builder = if settings.threads == 1 {
         tokio::runtime::Builder::new_current_thread()
     } else {
@@ -106,7 +106,7 @@
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("can't start threads: {error}; raise the limit of processes");
+            eprintln!("cannot start threads: {error}; raise the process limit");
             return EXIT_FAILED;
         }
     };
@@ -119,11 +119,11 @@
     }
 }
 
-/// Runs a daemon until a signal or an operator stops it.
+/// Runs a daemon until a signal or an operator shuts it down; returns the exit status.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Listen`] when an address can't be had.
+/// [`crate::Error::Listen`] if an address cannot be bound.
 pub async fn run(settings: Settings, extension: Extension) -> Result<u8> {
     let logger = telemetry::logger(settings.logs, settings.verbose);
     info!(logger, "starting"; "peer" => %settings.peer_addr, "data_centre" => %settings.data_centre);
@@ -223,7 +223,8 @@
     shutdown.run().await
 }
 
-/// Has what the daemons know together kept in step: eras, roll-outs and requests in quarantine.
+/// Starts the tasks that replicate state between daemons: generations, rollouts and quarantined
+/// requests.
 fn spawn_replicators(
     shared: &Arc<SharedState>,
     membership: &Arc<Membership>,
@@ -240,19 +241,19 @@
     tokio::spawn(Replicator::new(shared, membership, archive).run());
 }
 
-/// Notes each era that the platform tells this daemon.
+/// Records each generation of its store that the platform reports.
 async fn follow_generations(
     shared: Arc<SharedState>,
     mut generations: watch::Receiver<Generation>,
 ) {
     while generations.changed().await.is_ok() {
         let generation = *generations.borrow_and_update();
-        info!(shared.logger, "platform in another era"; "era" => generation.0);
+        info!(shared.logger, "platform store changed its generation"; "era" => generation.0);
         shared.record_generation(generation);
     }
 }
 
-/// What operators are served by.
+/// Builds the operators' API.
 fn operator(
     shared: &Arc<SharedState>,
     publisher: Publisher,
@@ -268,7 +269,7 @@
     })
 }
 
-/// The log, which stays closed where a platform keeps the configuration, and what readers read.
+/// The log, disabled if a control plane provides the configuration, and the source of the reader.
 fn sources(shared: &SharedState, control_plane: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
     let (address, meter) = (shared.settings.log_addr, Arc::clone(&shared.meter));
     match control_plane {
@@ -283,10 +284,10 @@
     }
 }
 
-/// The recorder of metrics, tended for as long as the daemon runs.
+/// Installs the metrics recorder and runs its maintenance for as long as the daemon runs.
 ///
-/// Guards against growth: samples of histograms are kept one by one until somebody asks for the
-/// metrics or they are tended.
+/// Guards against memory growth: the recorder keeps each histogram sample until the metrics are
+/// rendered or its maintenance runs.
 fn recorder() -> Option<PrometheusHandle> {
     let handle = telemetry::metrics()?;
     let upkeep = handle.clone();
@@ -299,7 +300,7 @@
     Some(handle)
 }
 
-/// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
+/// Serves operators, the target and the adapter's listeners, which replace our own at the same address.
 async fn serve_listeners(
     shared: &Arc<SharedState>,
     endpoint: &Arc<Endpoint>,
@@ -320,7 +321,7 @@
     }
     for (address, router) in routers {
         let listener = bind(address).await?;
-        // Without a sender, these answer until the process is gone.
+        // Without a sender the phase stays open: these are served until the process exits.
         let phase = watch::Sender::new(Phase::Open).subscribe();
         let routed = http_server::router_handler(router, address);
         tokio::spawn(http_server::serve(
@@ -340,8 +341,10 @@
         .context(ListenSnafu { address })
 }
 
-/// Serves callers. A host that another daemon can stand in for refuses them until this one is
-/// ready; where callers know no other daemon, each is told to come back.
+/// Serves callers.
+///
+/// With `accept_ms` at 0, callers can use another daemon, so connections are refused until this one is
+/// ready. Otherwise callers know no other daemon, and are told to retry until then.
 async fn serve_calls(
     shared: Arc<SharedState>,
     ingress: Arc<Ingress>,
@@ -357,7 +360,7 @@
     let listener = match bind(shared.settings.call_addr).await {
         Ok(listener) => listener,
         Err(error) => {
-            error!(shared.logger, "callers can't be served"; "error" => %error);
+            error!(shared.logger, "cannot listen for callers, shutting down"; "error" => %error);
             shared.begin_shutdown();
             return;
         }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,7 +1,7 @@
-//! The error type of the crate.
+//! Error type of the crate.
 //!
-//! Every kind names what failed and what to do about it. Sources are kept, so that a log line
-//! shows the whole chain.
+//! Each message says what failed and what to do about it. Sources are kept, so that a log line can
+//! show the whole chain.
 
 use std::net::SocketAddr;
 
@@ -13,136 +13,138 @@
 /// Result of a fallible function of this crate.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Everything that can go wrong, by kind.
+/// Errors of this crate.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum Error {
-    /// The document is not JSON of the expected shape.
-    #[snafu(display("the document can't be read: {source}; compare it with docs/OPERATORS.md"))]
+    /// The document is not valid JSON or does not match the schema.
+    #[snafu(display("invalid document: {source}; compare it with docs/OPERATORS.md"))]
     Document {
-        /// What the parser found, with line and column.
+        /// Parser error with line and column.
         source: serde_json::Error,
     },
-    /// The document contradicts itself.
-    #[snafu(display("the document has {} fault(s); mend each and check again", faults.len()))]
+    /// The document parses but has faults.
+    #[snafu(display("the document has {} fault(s); correct them and check again", faults.len()))]
     Faults {
         /// All faults, each with its path and remedy.
         faults: Vec<Fault>,
     },
     /// Another edit was accepted first.
     #[snafu(display(
-        "version {current} is in force; fetch it, redo the edit on it, publish again"
+        "version {current} is active; fetch it, base the edit on it and publish again"
     ))]
     Conflict {
-        /// Version that is current.
+        /// Active version.
         current: Version,
     },
-    /// Whether the edit took effect is not known yet.
-    #[snafu(display("the fate of edit {id} is unknown; publish it again under the same id"))]
+    /// It is not known yet whether the edit took effect.
+    #[snafu(display("the outcome of edit {id} is unknown; publish it again with the same id"))]
     Undecided {
-        /// Edit to ask about.
+        /// Identifier of the edit.
         id: EditId,
     },
-    /// The platform log could not be reached or refused.
-    #[snafu(display("the platform log at {log} failed: {reason}; it is retried"))]
+    /// The platform's log could not be reached or refused the request.
+    #[snafu(display("request to the platform's log at {log} failed: {reason}; it is retried"))]
     Log {
         /// Address of the log.
         log: SocketAddr,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The records asked for have expired.
+    /// The requested records have expired.
     #[snafu(display("records before offset {first} have expired; start from a checkpoint"))]
     Expired {
-        /// First offset that is still there.
+        /// First offset that is still available.
         first: Offset,
     },
-    /// The platform has come back from an older copy, so an offset of before names another record.
-    #[snafu(display("the platform came back from an older copy; read the newest of each key"))]
+    /// The platform's store was restored from an older copy, so earlier offsets name other records.
+    #[snafu(display(
+        "the platform's store was restored from an older copy; read the newest record of each key"
+    ))]
     Rewound,
-    /// Records expired before any daemon folded them.
+    /// Records expired before any daemon applied them.
     #[snafu(display(
-        "records before offset {first} were never folded, so no base can be judged; look at what \
-         is in force and publish with --force"
+        "records before offset {first} expired before they were applied, so an edit's base cannot be \
+         checked; review the active configuration and publish with --force"
     ))]
     Gapped {
-        /// First offset that is still there.
+        /// First offset that is still available.
         first: Offset,
     },
-    /// A peer could not be reached, so it has seen nothing of the request.
-    #[snafu(display("peer {peer} can't be reached: {reason}; another one is tried"))]
+    /// A peer could not be reached, so it has not seen the request.
+    #[snafu(display("cannot reach peer {peer}: {reason}; another peer is tried"))]
     Unreachable {
         /// Address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// A daemon could not be reached by an operator.
+    /// The operator's command could not reach a daemon.
     #[snafu(display(
-        "daemon {daemon} can't be reached: {reason}; check --daemon, or name another"
+        "cannot reach daemon {daemon}: {reason}; check --daemon or use another daemon"
     ))]
     NoDaemon {
         /// Operator address of the daemon.
         daemon: SocketAddr,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
     /// A peer failed after it may have seen the request.
-    #[snafu(display("peer {peer} failed: {reason}; ask again"))]
+    #[snafu(display("request to peer {peer} failed: {reason}; retry it"))]
     Peer {
         /// Address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// Bytes from a peer do not decode.
-    #[snafu(display("a frame does not decode: {reason}; check that both ends run one release"))]
+    /// A message from a peer cannot be decoded.
+    #[snafu(display("invalid frame: {reason}; check that both daemons run the same release"))]
     Frame {
-        /// What the decoder found.
+        /// Error of the decoder.
         reason: String,
     },
-    /// A delta does not lead to the content it promises.
-    #[snafu(display("the delta does not lead to what it promises; take the whole document"))]
+    /// Applying a delta does not give the document that it describes.
+    #[snafu(display("the delta does not produce the expected document; fetch the whole document"))]
     Delta,
-    /// Settings contradict each other or the host.
-    #[snafu(display("{} setting(s) are wrong:\n{}", faults.len(), faults.join("\n")))]
+    /// Settings conflict with each other or with the host.
+    #[snafu(display("invalid settings, {} fault(s):\n{}", faults.len(), faults.join("\n")))]
     Settings {
-        /// One line for each, with its remedy.
+        /// One line for each fault, with its remedy.
         faults: Vec<String>,
     },
     /// A socket could not be opened.
-    #[snafu(display("can't listen on {address}: {source}; choose a free local address"))]
+    #[snafu(display("cannot listen on {address}: {source}; choose a free local address"))]
     Listen {
-        /// Address that was wanted.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A server ended with an error.
-    #[snafu(display("the server on {address} ended: {reason}; restart the daemon"))]
+    /// A server stopped with an error.
+    #[snafu(display("the server on {address} stopped: {reason}; restart the daemon"))]
     Serve {
-        /// Address it listened on.
+        /// Address that it listened on.
         address: SocketAddr,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
     /// A daemon refused an operator's request.
-    #[snafu(display("{daemon} answered {status}: {body}"))]
+    #[snafu(display("daemon {daemon} responded with {status}: {body}"))]
     Refused {
         /// Address of the daemon.
         daemon: SocketAddr,
         /// HTTP status.
         status: u16,
-        /// Text of the answer.
+        /// Body of the response.
         body: String,
     },
     /// A file could not be read.
-    #[snafu(display("can't read {path}: {source}; check the path"))]
+    #[snafu(display("cannot read {path}: {source}; check the path"))]
     File {
         /// Path as given.
         path: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/src/extension.rs
+++ b/src/extension.rs
@@ -1,4 +1,4 @@
-//! What a platform's adapter adds to a daemon.
+//! Extension points through which a platform's adapter customizes a daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,40 +12,40 @@
 use crate::settings::Settings;
 use crate::shared_state::SharedState;
 
-/// What a platform's adapter adds to a daemon.
+/// Parts that a platform's adapter adds to a daemon.
 #[derive(Default)]
 pub struct Extension {
-    /// Where the configuration comes from, in place of the log.
+    /// Control plane that provides the configuration in place of the log.
     pub control_plane: Option<Arc<dyn ControlPlane>>,
-    /// How callers and targets spell their headers.
+    /// Header conventions of callers and targets.
     pub dialect: Dialect,
-    /// Reads the settings again: none when they have not changed since they were read last.
+    /// Reads the settings again; `None` if they have not changed since the last time.
     pub reload: Option<Reload>,
-    /// More addresses that the daemon serves.
+    /// Additional addresses that the daemon serves.
     pub listeners: Vec<Listener>,
 }
 
-/// Reads changed settings, or says what is wrong with them.
+/// Function that returns changed settings, or what is wrong with them.
 pub type Reload = Box<dyn FnMut() -> Option<Result<Settings, String>> + Send>;
 
-/// An address of the daemon with what it serves.
+/// Address of the daemon with the routes that it serves.
 pub struct Listener {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Makes its routes.
+    /// Creates its routes.
     pub routes: Box<dyn FnOnce(Handles) -> Router + Send>,
 }
 
-/// Parts of a running daemon, for the routes of a [`Face`].
+/// Parts of a running daemon that the routes of a [`Listener`] use.
 #[derive(Debug, Clone)]
 pub struct Handles {
     pub(crate) shared: Arc<SharedState>,
-    /// Takes announcements of the co-located target.
+    /// Accepts announcements of the co-located target.
     pub endpoint: Arc<Endpoint>,
 }
 
 impl Handles {
-    /// Whether callers are welcome: a configuration is in force and no stop is under way.
+    /// Whether the daemon accepts callers: a configuration is active and no shutdown has begun.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.shared.stage() == Stage::Serving
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for whole requests and answers.
+//! HTTP client that exchanges whole messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,25 +6,22 @@
 use http::{HeaderMap, Method, StatusCode};
 use http_body_util::BodyExt;
 
-/// Time to open a connection.
+/// Longest time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time without a further part of an answer after which it is given up.
+/// Longest time between two parts of a response.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which an idle connection is not used again.
+/// Time after which an idle connection is no longer reused.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A whole answer.
+/// A response with its whole body.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its status.
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Vec<u8>,
 }
 
-/// A client with pooled connections.
+/// HTTP client with pooled connections.
 #[derive(Clone)]
 pub struct Client {
     inner: volo_http::client::Client,
@@ -43,11 +40,11 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     ///
     /// # Panics
     ///
-    /// Never: building it reads only constants.
+    /// Never: the client is built from constants only.
     #[must_use]
     pub fn new() -> Self {
         let mut builder = volo_http::client::Client::builder();
@@ -58,12 +55,12 @@
         }
     }
 
-    /// Sends a request, waits up to `patience` for its answer to begin, and collects it while it
-    /// makes progress.
+    /// Sends a request, waits up to `timeout` for the response to begin, and reads its body for as
+    /// long as it makes progress.
     ///
     /// # Errors
     ///
-    /// A text when no whole answer came; the request may have been seen all the same.
+    /// A message if no complete response arrived; the server may have processed the request.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -81,14 +78,14 @@
         };
         let response = match tokio::time::timeout(timeout, exchange).await {
             Ok(response) => response?,
-            Err(_) => return Err(format!("no answer within {} ms", timeout.as_millis())),
+            Err(_) => return Err(format!("no response within {} ms", timeout.as_millis())),
         };
         let (parts, mut body) = response.into_parts();
         let (status, headers) = (parts.status, parts.headers);
         let mut bytes = Vec::new();
-        // Guards against a large answer over a slow link: it takes longer than any answer should
-        // be waited for, and asked for again and again it would never come. As long as parts of
-        // it come, it is on its way.
+        // Guards against a large response over a slow link: it takes longer than any reasonable
+        // time-out, so with one for the whole response every retry would fail as well. Hence only
+        // the time between two parts is bounded.
         loop {
             let frame = match tokio::time::timeout(PROGRESS_TIMEOUT, body.frame()).await {
                 Ok(Some(frame)) => frame.map_err(|error| chain(error.as_ref()))?,
@@ -99,7 +96,12 @@
                         body: bytes,
                     });
                 }
-                Err(_) => return Err(format!("the answer stopped after {} bytes", bytes.len())),
+                Err(_) => {
+                    return Err(format!(
+                        "response truncated: no further data after {} bytes",
+                        bytes.len()
+                    ));
+                }
             };
             if let Some(data) = frame.data_ref() {
                 bytes.extend_from_slice(data);
@@ -108,7 +110,7 @@
     }
 }
 
-/// An error with all its sources, as one line.
+/// Formats an error with all its sources as one line.
 #[must_use]
 pub fn chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,20 +2,20 @@
 //!
 //! One small daemon runs beside each target. Operators publish a [`document`](configuration::document) of routes, upstream
 //! groups and retry rules to an append-only [`log`](configuration::log); the
-//! [`replica`](configuration::replica) of the log decides, alike on every daemon, which edits are accepted. A few
-//! daemons of each data centre read the log and relay versions to the others as
+//! [`replica`](configuration::replica) of the log decides, identically on every daemon, which edits are accepted. A few
+//! daemons of each data centre read the log and relay versions to the other daemons as
 //! [`delta`](configuration::delta)s. Daemons find each other by the [`membership`] protocol, a
-//! [`view`](membership::view) of [`member`](membership::member)s, without a list.
+//! [`view`](membership::view) of [`member`](membership::member)s, without a static list.
 //!
-//! A caller reaches any daemon, the *entry*. It [`route`](calls::route)s the request,
-//! [`pick`](calls::pick)s an upstream and hands the request to the daemon beside that target, the *gate*,
-//! which [`limit`](calls::limit)s the work, guards idempotency [`keys`](idempotency::keys) and dispatches.
-//! Only the entry may [`retry`](calls::retry), and the caller is told the [`outcome`](calls::outcome):
-//! answered, provably not run, or unknown. A request under which targets end goes into [`quarantine`]; a
-//! new revision of a service's targets gets its share of the requests by a [`rollout`].
+//! A caller sends its request to any daemon, the *ingress*. It [`route`](calls::route)s the request,
+//! [`pick`](calls::pick)s an upstream and forwards the request to the daemon beside that target, the
+//! *sidecar*, which [`limit`](calls::limit)s concurrency, enforces idempotency [`keys`](idempotency::keys)
+//! and dispatches the request. Only the ingress may [`retry`](calls::retry). The response tells the caller
+//! the [`outcome`](calls::outcome): answered, provably not run, or unknown. A request that crashes targets
+//! is put in [`quarantine`]; a [`rollout`] moves a service's requests to a new revision step by step.
 //!
-//! The decisions are plain state machines that get time, randomness and messages as arguments, so
-//! that others can embed them:
+//! Decisions are made by state machines that get time, randomness and messages as arguments, so that
+//! other programs can embed them:
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Document;
@@ -29,7 +29,7 @@
 //! }"#;
 //! let document = Document::parse(text)?;
 //!
-//! // Two operators race; both edits are based on version 0, and exactly one is accepted.
+//! // Two operators publish concurrently; both edits are based on version 0, and exactly one is accepted.
 //! let edit = |id: &str| Record::Edit(Edit {
 //!     id: id.into(),
 //!     base: Base::Version(Version(0)),
@@ -41,7 +41,7 @@
 //! # Ok::<(), jackdawpulley::Error>(())
 //! ```
 //!
-//! [`daemon`] and [`ctl`](operation::ctl) are the two programs; `src/bin/` only calls them.
+//! [`daemon`] and [`ctl`](operation::ctl) are the two programs; the files in `src/bin/` only call them.
 
 pub mod authority;
 pub mod backoff;
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -1,8 +1,8 @@
-//! The blackboard that controllers read and write.
+//! State that the controllers of a daemon share with each other and with the request path.
 //!
-//! Each controller owns one part and replaces it as a whole; the path of a request reads immutable
-//! snapshots and moves atomics, and takes no lock that a controller holds. A call keeps the
-//! snapshot it began with.
+//! Each controller owns one part and replaces it as a whole. The request path reads immutable
+//! snapshots, updates atomics, and takes no lock that a controller holds. A call keeps the snapshot
+//! it began with.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering};
@@ -30,24 +30,24 @@
 use crate::telemetry::Meter;
 use crate::units::{Generation, Instance, Millis, Revision, Slots, StartTime, Version};
 
-/// Lines a second that requests may cause, so that an overload is not made worse by being logged.
+/// Bounds the log lines caused by requests, so that logging does not make an overload worse.
 const MAX_LOG_LINES_PER_SECOND: u32 = 40;
 
-/// The configuration of one version, compiled for the path of a request.
+/// One version of the configuration, compiled for the request path.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// What it is.
+    /// Version and hash of the document.
     pub digest: Digest,
-    /// Document, sorted.
+    /// Document in its sorted form.
     pub document: Arc<Document>,
-    /// Routes.
+    /// Routing table compiled from the document.
     pub table: Table,
-    /// When it was compiled to be put in force, in microseconds since 1970.
+    /// When it was compiled for activation, in Unix microseconds.
     pub since_us: u64,
 }
 
 impl Snapshot {
-    /// Compiles a checked and sorted document.
+    /// Compiles a document that has been checked and sorted.
     #[must_use]
     pub fn compile(version: Version, document: Arc<Document>) -> Self {
         let digest = Digest {
@@ -64,32 +64,32 @@
     }
 }
 
-/// The co-located target, as it announced itself.
+/// The co-located target, as announced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
-    /// The life that announced itself, where targets tell theirs.
+    /// Identifier of the target process, if the target sends one.
     pub instance: Option<Instance>,
-    /// When that life began, where targets tell it.
+    /// When that process started, if the target sends it.
     #[serde(rename = "born")]
     pub start_time: Option<StartTime>,
-    /// Where it takes calls.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// What it offers.
+    /// Service that it offers.
     pub service: crate::units::Service,
-    /// Calls that it takes at the same time.
+    /// Number of concurrent requests that it accepts.
     pub slots: Slots,
-    /// Version of its software; not known of one that was found and has not announced itself.
+    /// Version of its software; unknown for a target that was discovered but has not announced itself.
     pub revision: Option<Revision>,
-    /// When it is past the slow time after its start.
+    /// When its warm-up after the start ends.
     #[serde(skip)]
     pub cold_until: Instant,
-    /// When its announcement lapses.
+    /// When the lease of its announcement expires.
     #[serde(skip)]
     pub lease_until: Instant,
 }
 
 impl Target {
-    /// What the other daemons are told.
+    /// Offer of this target that other daemons receive.
     #[must_use]
     pub fn offer(&self) -> Offer {
         Offer {
@@ -105,43 +105,43 @@
 /// State shared by the controllers of one daemon.
 #[derive(Debug)]
 pub struct SharedState {
-    /// Settings, fixed at the start.
+    /// Settings as read at the start.
     pub settings: Settings,
-    /// Where events are written.
+    /// Logger of this daemon.
     pub logger: Logger,
-    /// Bounds the lines that requests cause.
+    /// Rate limiter for log lines caused by requests.
     pub lines: Limiter,
-    /// How callers and targets spell their headers.
+    /// Header conventions of callers and targets.
     pub dialect: Dialect,
-    /// Control bytes.
+    /// Counts control traffic in bytes.
     pub meter: Arc<Meter>,
-    /// How recently this daemon knew the newest version of the platform.
+    /// How recently this daemon knew the platform's newest version.
     pub freshness: Freshness,
     config: ArcSwap<Snapshot>,
     roster: ArcSwap<Roster>,
     target: ArcSwapOption<Target>,
-    /// What runs at it; held for a few instructions.
+    /// Requests running at the target; the lock is held for a few instructions only.
     pub running: Mutex<Running>,
-    /// Requests that end targets.
+    /// Requests quarantined because they crash targets.
     pub quarantine: Quarantine,
-    /// Revisions that are rolled out.
+    /// Rollouts of new revisions.
     pub rollouts: Rollouts,
     stage: AtomicU8,
-    /// Whether this daemon may stand on the platform's list.
+    /// Whether this daemon may be registered in the platform's list of daemons.
     listed: AtomicBool,
     drain_ms: AtomicU64,
     in_flight: AtomicU64,
     versions: watch::Sender<Version>,
-    /// Highest era of the platform that is known.
+    /// Highest known generation of the platform's store.
     generations: watch::Sender<Generation>,
     rosters: watch::Sender<u64>,
     stages: watch::Sender<Stage>,
-    /// Whether a planned stop waits no longer.
+    /// Whether a graceful shutdown has stopped waiting for calls in flight.
     aborted: watch::Sender<bool>,
 }
 
 impl SharedState {
-    /// The state of a daemon that is starting.
+    /// Creates the state of a starting daemon, with an empty configuration.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect, logger: Logger) -> Self {
         Self {
@@ -169,24 +169,24 @@
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     #[must_use]
     pub fn config(&self) -> Arc<Snapshot> {
         self.config.load_full()
     }
 
-    /// Version and hash in force.
+    /// Version and hash of the active configuration.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.config.load().digest
     }
 
-    /// Puts a snapshot in force; `false` when it is not newer than the one in force.
+    /// Activates a snapshot; returns `false` if it is not newer than the active one.
     pub fn install(&self, snapshot: Snapshot) -> bool {
         let version = snapshot.digest.version;
         let snapshot = Arc::new(snapshot);
-        // Guards against updates that cross in flight: an older one that arrives late would take
-        // routes back. The comparison and the swap are one step, so no order of arrival can.
+        // Guards against updates that arrive out of order: a late older one would revert routes.
+        // The comparison and the swap are one atomic step, so any order of arrival is safe.
         let previous = self.config.rcu(|current| {
             if current.digest.version < version {
                 Arc::clone(&snapshot)
@@ -201,19 +201,19 @@
         newer
     }
 
-    /// Follows the version in force.
+    /// Subscribes to the active version.
     #[must_use]
     pub fn versions(&self) -> watch::Receiver<Version> {
         self.versions.subscribe()
     }
 
-    /// Highest era of the platform that is known.
+    /// Highest known generation of the platform's store.
     #[must_use]
     pub fn generation(&self) -> Generation {
         *self.generations.borrow()
     }
 
-    /// Notes an era that the platform or another daemon has told.
+    /// Records a generation reported by the platform or another daemon; a lower one has no effect.
     pub fn record_generation(&self, generation: Generation) {
         self.generations.send_if_modified(|known| {
             let later = generation > *known;
@@ -222,31 +222,32 @@
         });
     }
 
-    /// Follows the eras of the platform: in each, what was written to it before may be gone.
+    /// Subscribes to the generation of the platform's store. After each change, earlier writes to
+    /// the store may be lost.
     #[must_use]
     pub fn generations(&self) -> watch::Receiver<Generation> {
         self.generations.subscribe()
     }
 
-    /// The members, as the path of a request sees them.
+    /// The roster used by the request path.
     #[must_use]
     pub fn roster(&self) -> Arc<Roster> {
         self.roster.load_full()
     }
 
-    /// Replaces the members.
+    /// Replaces the roster.
     pub fn set_roster(&self, roster: Roster) {
         self.roster.store(Arc::new(roster));
         self.rosters.send_modify(|count| *count += 1);
     }
 
-    /// Follows changes of the members.
+    /// Subscribes to changes of the roster.
     #[must_use]
     pub fn rosters(&self) -> watch::Receiver<u64> {
         self.rosters.subscribe()
     }
 
-    /// The co-located target, while its lease holds.
+    /// The co-located target, if there is one.
     #[must_use]
     pub fn target(&self) -> Option<Arc<Target>> {
         self.target.load_full()
@@ -257,7 +258,7 @@
         self.target.store(target.map(Arc::new));
     }
 
-    /// Closes the co-located target if it is still the one that was seen failing.
+    /// Removes the co-located target if it is still the one that failed.
     pub fn drop_target(&self, failed: &Arc<Target>) {
         let current = self.target.load();
         if current.as_ref().is_some_and(|now| Arc::ptr_eq(now, failed)) {
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Whether a target of this daemon's own host may take requests by the roll-outs that are known.
+    /// Whether the known rollouts allow a target on this host to receive requests.
     #[must_use]
     pub fn admits(&self, target: &Target, now: Instant) -> bool {
         let (revision, me) = (target.revision.as_ref(), self.settings.identity());
@@ -277,29 +278,29 @@
         }
     }
 
-    /// Whether this daemon may stand on the platform's list, so that it has to be taken off.
+    /// Whether this daemon may be registered in the platform's list, and so has to deregister.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Acquire)
     }
 
-    /// Notes that this daemon is about to be listed.
+    /// Records that this daemon is about to register in the platform's list.
     pub fn set_listed(&self) {
         self.listed.store(true, Ordering::Release);
     }
 
-    /// Time that a planned stop waits for calls in flight.
+    /// Drain limit: how long a graceful shutdown waits for calls in flight.
     #[must_use]
     pub fn drain(&self) -> Millis {
         Millis(self.drain_ms.load(Ordering::Relaxed))
     }
 
-    /// Changes that time; whether it is another one now.
+    /// Sets the drain limit; returns whether it has changed.
     pub fn set_drain(&self, drain: Millis) -> bool {
         self.drain_ms.swap(drain.0, Ordering::Relaxed) != drain.0
     }
 
-    /// Where the daemon is in its life.
+    /// Lifecycle stage of this daemon.
     #[must_use]
     pub fn stage(&self) -> Stage {
         match self.stage.load(Ordering::Acquire) {
@@ -310,13 +311,14 @@
         }
     }
 
-    /// Moves the daemon on in its life; it never moves back.
+    /// Advances the lifecycle stage; an earlier stage has no effect.
     pub fn advance(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
         self.stages.send_replace(self.stage());
     }
 
-    /// Begins a planned stop; the target takes calls for as long as callers still come.
+    /// Begins a graceful shutdown. With `accept_ms` above 0 the daemon is `Leaving` first, so that
+    /// the target still receives calls while callers go elsewhere.
     pub fn begin_shutdown(&self) {
         let accepts_callers = self.settings.accept_ms > Millis(0);
         self.advance(if accepts_callers {
@@ -326,24 +328,24 @@
         });
     }
 
-    /// Follows the stage.
+    /// Subscribes to the lifecycle stage.
     #[must_use]
     pub fn stages(&self) -> watch::Receiver<Stage> {
         self.stages.subscribe()
     }
 
-    /// Calls that this daemon works on, as entry or gate.
+    /// Number of calls in flight in this daemon, as ingress or sidecar.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Has every call that is still in flight answered at once, as a planned stop waits no longer.
+    /// Tells every call still in flight to respond at once, since the drain limit has passed.
     pub fn abort_calls(&self) {
         self.aborted.send_replace(true);
     }
 
-    /// Waits until calls in flight are cut short.
+    /// Waits until [`abort_calls`](Self::abort_calls) is called.
     pub async fn calls_aborted(&self) {
         let aborted = self
             .aborted
@@ -356,7 +358,7 @@
         }
     }
 
-    /// Counts a call until the returned value is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     #[must_use]
     pub fn track_call(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Waits until no call is in flight, or `limit` has passed; `false` in the latter case.
+    /// Waits until no call is in flight; returns `false` if `limit` passes first.
     pub async fn wait_until_idle(&self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         while self.in_flight() > 0 {
@@ -378,7 +380,7 @@
     }
 }
 
-/// Counts one call while it exists.
+/// Guard that counts one call as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     shared: Arc<SharedState>,
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,7 +1,7 @@
-//! The planned stop of a daemon.
+//! Graceful shutdown of a daemon.
 //!
-//! A daemon that is ordered to stop says so at once, still takes what its callers send for a while,
-//! ends their connections after an answer, and goes when nothing is in flight.
+//! The daemon announces the shutdown at once, still accepts its callers' requests for a while,
+//! closes their connections after a response, and exits when no call is in flight.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,52 +20,53 @@
 use crate::membership::registration::Registration;
 use crate::shared_state::SharedState;
 
-/// Exit status after a planned stop.
+/// Exit status after a graceful shutdown.
 pub const EXIT_STOPPED: u8 = 0;
-/// Exit status when an interrupt cut the stop short.
+/// Exit status when an interrupt ended the shutdown early.
 pub const EXIT_INTERRUPTED: u8 = 3;
 
-/// Time for which sessions are ended after an answer before the process goes.
+/// Minimum time from the start of the shutdown until the daemon stops waiting for callers'
+/// connections, which are closed after a response.
 const CONNECTION_LINGER: Duration = Duration::from_millis(2_500);
-/// Time before callers' connections are refused at which the target stops taking calls: those that it
-/// has are mostly answered by then.
+/// How long before new connections of callers are refused the target stops receiving calls: most
+/// calls that it has are answered within this time.
 ///
-/// Guards against a target that stands idle, though well, for as long as its daemon waits for callers
-/// to go elsewhere, and once more while the next daemon starts.
+/// Closing the target earlier would leave a healthy target idle while its daemon waits for callers to
+/// go elsewhere, and again while the next daemon starts.
 const TARGET_CLOSE_LEAD: Duration = Duration::from_millis(800);
-/// Time between two looks at the settings, which may change without a word.
+/// Interval at which settings are read again, since they may change without a signal.
 const SETTINGS_POLL_PERIOD: Duration = Duration::from_secs(2);
-/// Time in which the first request on a connection that was taken last has come: many times the way
-/// from a caller.
+/// Time within which the first request arrives on the connection accepted last: many times the
+/// network delay from a caller.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(200);
-/// Time for the answers of calls that are cut short to be written, over slow links as well; together
-/// with the drain limit inside what the platform grants a stop.
+/// Time for writing the responses of aborted calls, also over slow links. Together with the drain
+/// limit it fits into the time that the platform grants a shutdown.
 const ABORTED_RESPONSES_WAIT: Duration = Duration::from_millis(150);
-/// Time between the last answer and the end of the process.
+/// Time between the last response and the end of the process.
 const RESPONSE_FLUSH_WAIT: Duration = Duration::from_millis(50);
 
-/// The planned stop.
+/// Runs the graceful shutdown of a daemon.
 pub struct Shutdown {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub shared: Arc<SharedState>,
-    /// Tells the others.
+    /// Announces the shutdown to other daemons.
     pub membership: Arc<Membership>,
-    /// Hands its keys over.
+    /// Hands off this daemon's idempotency keys.
     pub keys: Arc<Deduplicator>,
-    /// Ends the callers' connections.
+    /// Closes callers' connections.
     pub phase: watch::Sender<Phase>,
-    /// The platform, where daemons are listed.
+    /// The platform's control plane, which lists the daemons.
     pub control_plane: Option<Arc<dyn ControlPlane>>,
-    /// Reads changed settings.
+    /// Reads settings that have changed.
     pub reload: Option<Reload>,
 }
 
 impl Shutdown {
-    /// Waits for the order to stop, then stops without cutting a call; returns the exit status.
+    /// Waits for a signal or an operator's request, then shuts down gracefully; returns the exit status.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] when signals can't be had.
+    /// [`Error::Listen`] if a signal handler cannot be installed.
     pub async fn run(mut self) -> Result<u8> {
         let mut reload = self.reload.take();
         let shared = &self.shared;
@@ -85,7 +86,7 @@
                 _ = interrupt.recv() => break,
                 _ = stages.wait_for(|stage| stage.is_stopping()) => break,
                 _ = hangup.recv() => {
-                    info!(shared.logger, "told to read the settings again");
+                    info!(shared.logger, "SIGHUP received, reloading settings");
                     reload_settings(shared, reload.as_mut());
                 }
                 _ = polls.tick() => reload_settings(shared, reload.as_mut()),
@@ -98,7 +99,8 @@
                 info!(shared.logger, "stopped");
                 Ok(EXIT_STOPPED)
             }
-            // A supervisor may order a stop more than once, which must cut nobody; a person at a terminal may.
+            // A supervisor may send SIGTERM more than once, which must not abort calls; an interrupt
+            // from a terminal may.
             _ = interrupt.recv() => Ok(EXIT_INTERRUPTED),
         }
     }
@@ -108,7 +110,7 @@
         self.membership.publish_own_entry().await;
         if let Some(control_plane) = self.control_plane.clone() {
             let registration = Registration::new(Arc::clone(shared), control_plane);
-            // An entry that stays costs a joiner one vain try, so nothing waits for this.
+            // A stale entry costs a joining daemon one failed attempt, so nothing waits for this.
             tokio::spawn(async move { registration.deregister().await });
         }
         let accept = shared.settings.accept_ms.duration();
@@ -117,13 +119,13 @@
         self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
         self.phase.send_replace(Phase::Closed);
-        // Guards against a connection that was taken at the last moment: its request has not come
-        // yet, so nothing is in flight, and it would be read and cut a moment later.
+        // Guards against a connection accepted at the last moment: its request has not arrived yet,
+        // so nothing is in flight, and it would be read and aborted a moment later.
         tokio::time::sleep(FIRST_REQUEST_WAIT).await;
         tokio::time::sleep_until((began + CONNECTION_LINGER).into()).await;
         self.phase.send_replace(Phase::Ending);
         self.finish_calls(began).await;
-        // A planned stop must not look like a loss to the guard of keys.
+        // A graceful shutdown must not look like a crash to the other daemons' key deduplicators.
         let handed_off = self.keys.hand_off().await;
         let health = if handed_off {
             Health::Left
@@ -131,27 +133,27 @@
             Health::Gone
         };
         self.membership.leave(health).await;
-        // What came meanwhile is answered as well.
+        // Calls that arrived in the meantime are answered as well.
         self.finish_calls(began).await;
     }
 
-    /// Waits until every call has its answer, and the answers are written, within the drain limit.
+    /// Waits until all calls are answered and the responses written; aborts calls at the drain limit.
     ///
-    /// Guards against a request that takes longer than a stop may, such as a body that is still on
-    /// its way over a slow link: its connection would end without a word, and its caller could not
-    /// tell whether it has run.
+    /// Guards against a request that outlasts the shutdown, such as a body still arriving over a slow
+    /// link: its connection would close without a response, and its caller could not tell whether
+    /// the request has run.
     async fn finish_calls(&self, began: Instant) {
         let shared = &self.shared;
         loop {
             let limit = shared.drain().duration().saturating_sub(began.elapsed());
             if !shared.wait_until_idle(limit).await {
-                warn!(shared.logger, "calls are cut: the drain limit has passed";
+                warn!(shared.logger, "aborting calls in flight: drain limit exceeded";
                     "in_flight" => shared.in_flight());
                 shared.abort_calls();
                 shared.wait_until_idle(ABORTED_RESPONSES_WAIT).await;
                 return;
             }
-            // The last answers have been handed to the connections; they are written in this time.
+            // The connections have the last responses and write them within this time.
             tokio::time::sleep(RESPONSE_FLUSH_WAIT).await;
             if shared.in_flight() == 0 {
                 return;
@@ -160,17 +162,17 @@
     }
 }
 
-/// Takes over what may change while the daemon runs, and names what may not.
+/// Applies changed settings that need no restart, and logs the names of those that do.
 fn reload_settings(shared: &SharedState, reload: Option<&mut Reload>) {
     match reload.and_then(|reload| reload()) {
         None => {}
         Some(Err(problem)) => {
-            warn!(shared.logger, "settings are wrong, the old ones stay"; "problem" => problem);
+            warn!(shared.logger, "invalid settings, keeping the previous ones"; "problem" => problem);
         }
         Some(Ok(settings)) => {
             let applied = shared.set_drain(settings.drain_ms);
             let restart = shared.settings.differences(&settings);
-            info!(shared.logger, "settings read again"; "drain_changed" => applied,
+            info!(shared.logger, "settings reloaded"; "drain_changed" => applied,
                 "restart_to_change" => restart.join(","));
         }
     }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics of a process.
+//! Logging and metrics.
 
 use std::io::{self, ErrorKind, Write};
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 
 use crate::settings::Logs;
 
-/// Log lines that may wait to be written; more are dropped and counted by the drain. Requests cause a few
-/// a second, and a queue takes its memory whether it is used or not.
+/// Log lines that may wait to be written; further ones are dropped and counted by the drain. Requests
+/// cause a few lines a second, and the queue's memory is allocated whether it is used or not.
 const LOG_QUEUE_LINES: usize = 256;
-/// Time for which a line waits for an output that is full.
+/// Longest time that a write waits for a full output.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two tries to write to it.
+/// Delay before a write to a full output is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Upper bounds of a histogram's buckets, in seconds, around the times that callers find right.
+/// Upper bounds of histogram buckets, in seconds, around response times acceptable to callers.
 const HISTOGRAM_BUCKETS_S: [f64; 10] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0];
 
-/// Standard output, which may be set not to wait for its reader.
+/// Standard output that retries writes if it is non-blocking.
 ///
-/// Guards against a daemon that writes no line any more: a pipe that is full for a moment refuses a write, and the
-/// rest of the line would be lost with it.
+/// Guards against a daemon that stops logging: a non-blocking pipe that is briefly full rejects a write, and the
+/// rest of the line would be lost.
 struct Output;
 
 impl Write for Output {
@@ -47,7 +47,8 @@
     }
 }
 
-/// A logger that writes to standard output without blocking its callers. What can't be written is dropped.
+/// Creates a logger that writes to standard output without blocking its callers; lines that cannot be
+/// written are dropped.
 pub fn logger(format: Logs, verbose: bool) -> Logger {
     let level = if verbose { Level::Debug } else { Level::Info };
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format {
@@ -64,12 +65,12 @@
     Logger::root(LevelFilter::new(queued, level).fuse(), o!())
 }
 
-/// A logger that drops everything.
+/// Creates a logger that discards everything.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-/// Installs the recorder for metrics; `None` when the process has one already.
+/// Installs the metrics recorder; returns `None` if the process already has one.
 #[must_use]
 pub fn metrics() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new()
@@ -78,7 +79,7 @@
     builder.install_recorder().ok()
 }
 
-/// Bytes that a daemon spends on control, counted at its sockets.
+/// Counts the bytes of control traffic at the sockets of a daemon.
 #[derive(Debug)]
 pub struct Meter {
     started: Instant,
@@ -91,15 +92,15 @@
 /// Readings of a [`Meter`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Reading {
-    /// Milliseconds since the start.
+    /// Time since the start, in milliseconds.
     pub uptime_ms: u64,
-    /// Bytes sent to peers over TCP, calls left out.
+    /// Bytes sent to peers over TCP, without calls.
     pub peer_bytes: u64,
-    /// Bytes sent in datagrams.
+    /// Bytes sent to peers in UDP datagrams.
     pub probe_bytes: u64,
-    /// Bytes exchanged with the log, both ways, with an estimate for HTTP heads.
+    /// Bytes exchanged with the log in both directions, with an estimate for HTTP headers.
     pub log_bytes: u64,
-    /// Bytes received from peers, calls left out.
+    /// Bytes received from peers over TCP, without calls.
     pub received_bytes: u64,
 }
 
@@ -116,33 +117,33 @@
 }
 
 impl Meter {
-    /// A meter to share.
+    /// Creates a meter in an [`Arc`].
     #[must_use]
     pub fn shared() -> Arc<Self> {
         Arc::default()
     }
 
-    /// Notes bytes sent to a peer over TCP.
+    /// Counts bytes sent to a peer over TCP.
     pub fn peer(&self, bytes: usize) {
         add(&self.peers, bytes);
     }
 
-    /// Notes bytes sent in a datagram.
+    /// Counts bytes sent in a datagram.
     pub fn probe(&self, bytes: usize) {
         add(&self.probes, bytes);
     }
 
-    /// Notes bytes exchanged with the log.
+    /// Counts bytes exchanged with the log.
     pub fn log(&self, bytes: usize) {
         add(&self.log, bytes);
     }
 
-    /// Notes bytes received from a peer.
+    /// Counts bytes received from a peer over TCP.
     pub fn received(&self, bytes: usize) {
         add(&self.received, bytes);
     }
 
-    /// Everything counted so far.
+    /// Totals since the start.
     #[must_use]
     pub fn read(&self) -> Reading {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,7 +1,7 @@
 //! Newtypes for identifiers, sizes and times.
 //!
-//! Each prints and parses as the bare value, so that settings, documents and logs agree on one
-//! spelling. Units are part of the type name or of its first line.
+//! Each is displayed and parsed as its bare value, so that settings, documents and logs use the same
+//! format. Units are part of the type name or of its first line.
 
 use std::fmt;
 use std::str::FromStr;
@@ -79,12 +79,12 @@
 }
 
 number! {
-    /// Version of the configuration: the offset after its accepted record, so zero means none.
+    /// Version of the configuration: the offset after its accepted record, so 0 means none.
     Version, u64
 }
 
 number! {
-    /// Incarnation of a daemon: higher wins over any earlier word about the same address.
+    /// Incarnation of a daemon: an entry with a higher one overrides earlier entries of the same address.
     Incarnation, u64
 }
 
@@ -94,17 +94,17 @@
 }
 
 number! {
-    /// When a life of a target began, in Unix milliseconds.
+    /// When a target process started, in Unix milliseconds.
     StartTime, u64
 }
 
 number! {
-    /// Calls that a target takes at the same time.
+    /// Number of concurrent requests that a target accepts.
     Slots, u32
 }
 
 number! {
-    /// Rank of a request: the lowest goes first.
+    /// Priority of a request: the lowest value goes first.
     Priority, u8
 }
 
@@ -114,7 +114,7 @@
 }
 
 number! {
-    /// How often the platform's store has come back from an older copy; 0 where it does not tell.
+    /// Generation of the platform's store: how often it was restored from an older copy; 0 if not reported.
     Generation, u64
 }
 
@@ -134,7 +134,7 @@
 }
 
 text! {
-    /// Identifier of one life of a target, from its start to its end.
+    /// Identifier of a target process.
     Instance
 }
 
@@ -149,10 +149,10 @@
 }
 
 impl Service {
-    /// Longest name, in bytes.
+    /// Maximum length of a name, in bytes.
     pub const MAX: usize = 64;
 
-    /// Whether the name can stand in a path: letters, digits, `.`, `_` and `-`.
+    /// Whether the name can be used in a path: letters, digits, `.`, `_` and `-`.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
@@ -175,7 +175,7 @@
         Self(offset.0 + 1)
     }
 
-    /// The first offset that this version has not folded.
+    /// The first offset that this version does not include.
     #[must_use]
     pub const fn end(self) -> Offset {
         Offset(self.0)
