--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -16,8 +16,11 @@
 /// A response with its whole body.
 #[derive(Debug, Clone)]
 pub struct Response {
+    /// Status code.
     pub status: StatusCode,
+    /// Header fields.
     pub headers: HeaderMap,
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
