--- a/src/bin/jackdawctl.rs
+++ b/src/bin/jackdawctl.rs
@@ -1,4 +1,4 @@
-//! The operator's command.
+//! Command for operators.
 
 use std::process::ExitCode;
 
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -1,4 +1,4 @@
-//! What the operator's command does at a daemon.
+//! Implementation of the verbs of `jackdawctl`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,18 +21,18 @@
 use crate::rollout::progress::Progress;
 use crate::units::{EditId, Version};
 
-/// Time for one answer.
+/// Longest wait for a response: above the daemon's own bound on publishing an edit.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(12);
-/// Time for one daemon's health.
+/// Longest wait for the health of one daemon.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Daemons asked at the same time.
+/// Maximum number of daemons queried concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 32;
-/// Pause between two looks of `status --watch`.
+/// Polling interval of `status --watch`.
 const WATCH_PERIOD: Duration = Duration::from_millis(200);
-/// Tries to publish one edit.
+/// Maximum number of attempts to publish an edit.
 const MAX_PUBLISH_ATTEMPTS: usize = 3;
 
-/// The command with its connection to a daemon.
+/// Runs the verbs against one daemon.
 #[derive(Debug)]
 pub struct Command {
     client: Client,
@@ -41,7 +41,7 @@
 }
 
 impl Command {
-    /// A command to `daemon` that prints JSON or text.
+    /// Creates a command for `daemon` that prints JSON or text.
     #[must_use]
     pub fn new(daemon: SocketAddr, json: bool) -> Self {
         Self {
@@ -51,11 +51,11 @@
         }
     }
 
-    /// Checks a document; needs no daemon.
+    /// Checks a document, without a daemon.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The document cannot be read or has faults.
     pub fn check(&self, file: &str) -> Result<()> {
         let document = read_document(file)?;
         let hash = format!("{:016x}", document.hash());
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The document cannot be read or has faults, or the edit was not accepted.
     pub async fn apply(
         &self,
         file: &str,
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Publishes an edit; asks again under the same identifier while its fate is unknown.
+    /// Publishes an edit; retries with the same identifier while its outcome is unknown.
     async fn publish(&self, proposal: &Proposal) -> Result<Version> {
         let body = serde_json::to_vec(proposal).context(DocumentSnafu)?;
         for _ in 0..MAX_PUBLISH_ATTEMPTS {
@@ -127,11 +127,11 @@
         })
     }
 
-    /// Shows the configuration in force.
+    /// Prints the active configuration.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The daemon cannot be reached or refuses the request.
     pub async fn show(&self) -> Result<()> {
         let active = self.active_config().await?;
         let text = serde_json::to_string_pretty(&active).context(DocumentSnafu)?;
@@ -139,11 +139,11 @@
         Ok(())
     }
 
-    /// Compares a document with the configuration in force.
+    /// Prints the differences between the active configuration and a document.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The document cannot be read or has faults, or the daemon cannot be reached.
     pub async fn diff(&self, file: &str) -> Result<()> {
         let document = read_document(file)?;
         let active = self.active_config().await?;
@@ -162,11 +162,11 @@
         Ok(())
     }
 
-    /// Shows the versions of all daemons, once or until all run `watch`.
+    /// Prints the versions of all daemons, once or until all of them run `watch`.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The daemon cannot be reached, or daemons are behind when `timeout` has passed.
     pub async fn status(&self, watch: Option<Version>, timeout: Duration) -> Result<()> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -180,7 +180,7 @@
                 return Ok(());
             }
             if Instant::now() >= deadline {
-                let body = format!("{behind} daemon(s) are behind; look at their state");
+                let body = format!("{behind} daemon(s) are behind; check their state");
                 return Err(Error::Refused {
                     daemon: self.daemon,
                     status: 0,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Asks every member for its version.
+    /// Queries the version of every member.
     async fn collect_versions(&self, expected: Option<Version>) -> Result<Vec<Summary>> {
         let members: Vec<Member> = self.get(self.daemon, "/members").await?;
         let requests = members.into_iter().map(|member| async move {
@@ -223,16 +223,16 @@
         Ok(summarise(&responses, expected.unwrap_or(newest)))
     }
 
-    /// Shows the roll-outs that a daemon knows.
+    /// Prints the rollouts known to a daemon.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The daemon cannot be reached or refuses the request.
     pub async fn rollouts(&self) -> Result<()> {
         let rollouts: Vec<Progress> = self.get(self.daemon, "/rollouts").await?;
         self.print(&serde_json::json!(rollouts), || {
             let lines: Vec<String> = rollouts.iter().map(describe_rollout).collect();
-            let none = || "no roll-out has been ordered".to_owned();
+            let none = || "no rollout has been ordered".to_owned();
             if lines.is_empty() {
                 none()
             } else {
@@ -242,11 +242,11 @@
         Ok(())
     }
 
-    /// Dumps the state of a daemon.
+    /// Prints the state of a daemon.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The daemon cannot be reached or refuses the request.
     pub async fn dump(&self, address: SocketAddr) -> Result<()> {
         let state: serde_json::Value = self.get(address, "/state").await?;
         let text = serde_json::to_string_pretty(&state).context(DocumentSnafu)?;
@@ -254,18 +254,18 @@
         Ok(())
     }
 
-    /// Asks a daemon to end its calls and stop.
+    /// Asks a daemon to finish its calls and stop.
     ///
     /// # Errors
     ///
-    /// What failed, with its remedy.
+    /// The daemon cannot be reached, or does not begin to stop.
     pub async fn drain(&self, address: SocketAddr) -> Result<()> {
         let (status, body) = self
             .exchange(address, Method::POST, "/drain", Vec::new())
             .await?;
         let brief: Brief = parse_response(address, status, &body)?;
         if !brief.stage.is_stopping() {
-            let body = format!("it is {}", brief.stage);
+            let body = format!("the daemon is {}", brief.stage);
             return Err(Error::Refused {
                 daemon: address,
                 status: status.as_u16(),
@@ -311,7 +311,7 @@
     }
 }
 
-/// A roll-out for a person at a terminal.
+/// Formats a rollout as one line of text.
 fn describe_rollout(progress: &Progress) -> String {
     let Progress { order, plan, .. } = progress;
     let status = progress
--- a/src/operation/ctl.rs
+++ b/src/operation/ctl.rs
@@ -1,4 +1,4 @@
-//! The operator's command, `jackdawctl`.
+//! Command line of `jackdawctl`, the operators' command.
 
 use std::net::SocketAddr;
 
@@ -8,9 +8,9 @@
 use crate::operation::command::Command;
 use crate::units::{EditId, Millis, Version};
 
-/// Exit status when everything asked for was done.
+/// Exit status on success.
 pub const EXIT_DONE: u8 = 0;
-/// Exit status when something was not done.
+/// Exit status when the command failed.
 pub const EXIT_FAILED: u8 = 1;
 /// Exit status for wrong arguments.
 pub const EXIT_USAGE: u8 = 2;
@@ -18,7 +18,7 @@
 pub const EXIT_CONFLICT: u8 = 3;
 /// Exit status when the document has faults.
 pub const EXIT_INVALID: u8 = 4;
-/// Exit status when the fate of an edit is unknown.
+/// Exit status when the outcome of an edit is unknown.
 pub const EXIT_UNKNOWN: u8 = 5;
 
 /// Arguments of `jackdawctl`.
@@ -55,42 +55,42 @@
     Apply {
         /// File with the document
         file: String,
-        /// Version that the document was made on; the one in force when left out
+        /// Version that the document is based on; the active one by default
         #[arg(long)]
         base: Option<Version>,
-        /// Identifier of the edit; asking again under the same one is safe
+        /// Identifier of the edit; retrying with the same one is safe
         #[arg(long)]
         id: Option<EditId>,
-        /// Replace whatever is in force, also when the log has lost records unread
+        /// Replace the active configuration, even if the log has lost records unread
         #[arg(long, conflicts_with = "base")]
         force: bool,
     },
-    /// Show the configuration in force
+    /// Show the active configuration
     Show,
-    /// Compare a document with the configuration in force
+    /// Compare a document with the active configuration
     Diff {
         /// File with the document
         file: String,
     },
     /// Show daemons and versions of each data centre
     Status {
-        /// Wait until this version is in force on every daemon
+        /// Wait until this version is active on every daemon
         #[arg(long)]
         watch: Option<Version>,
         /// Longest wait, in milliseconds
         #[arg(long, default_value_t = Millis(30_000))]
         patience_ms: Millis,
     },
-    /// Show revisions that are rolled out, as one daemon knows them
+    /// Show the rollouts known to one daemon
     Rollouts,
     /// Dump the state of one daemon
     State {
-        /// Its operator address; the one of --daemon when left out
+        /// Operator address of the daemon; --daemon by default
         address: Option<SocketAddr>,
     },
-    /// Ask one daemon to end its calls and stop
+    /// Ask one daemon to finish its calls and stop
     Drain {
-        /// Its operator address
+        /// Operator address of the daemon
         address: SocketAddr,
     },
 }
@@ -125,7 +125,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("can't start: {error}");
+            eprintln!("cannot start: {error}");
             return EXIT_FAILED;
         }
     };
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -1,6 +1,6 @@
-//! Operation: what operators see and do.
+//! Operators' API of the daemon and the command `jackdawctl`.
 //!
-//! [`ctl`] is their command; the rest serves what it asks.
+//! [`ctl`] is the command; the other modules implement its verbs and the API that it uses.
 
 pub mod ctl;
 
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -1,4 +1,4 @@
-//! The face towards operators: publish, read, state, metrics and health, over HTTP and JSON.
+//! Operators' API: publishing, configuration, state, metrics and health, as JSON over HTTP.
 
 use std::future::{Ready, ready};
 use std::sync::Arc;
@@ -25,74 +25,74 @@
 use crate::shared_state::SharedState;
 use crate::units::{EditId, Version};
 
-/// Longest time that an operator waits for a verdict.
+/// Longest time that a request to publish an edit waits for the verdict.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest edit, in bytes.
+/// Maximum size of an edit, in bytes.
 pub const MAX_EDIT_BYTES: usize = 4 << 20;
 
-/// What became of a published edit.
+/// Outcome of a published edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Published {
-    /// It is in force as this version.
+    /// The edit was accepted.
     Accepted {
-        /// Version it got.
+        /// Version that the edit created.
         version: Version,
     },
     /// Another edit was accepted first.
     Conflict {
-        /// Version that is current.
+        /// Active version.
         current: Version,
-        /// What to do.
+        /// Description with the remedy.
         message: String,
     },
-    /// The document can't be accepted.
+    /// The document or the request is invalid.
     Invalid {
-        /// Every fault.
+        /// All faults.
         faults: Vec<Fault>,
-        /// What to do.
+        /// Description with the remedy.
         message: String,
     },
-    /// Not known yet; the same edit may be published again.
+    /// The outcome is not known yet; the same edit may be published again.
     Unknown {
-        /// Edit to ask about.
+        /// Identifier of the edit.
         id: EditId,
-        /// What to do.
+        /// Description with the remedy.
         message: String,
     },
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Its version.
+    /// Version of the document.
     pub version: Version,
     /// Hash of the document, in hexadecimal.
     pub hash: String,
-    /// The document.
+    /// Document in its sorted form.
     pub document: Arc<Document>,
 }
 
-/// Serves operators.
+/// Handlers of the operators' API.
 #[derive(Debug)]
 pub struct Operator {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub shared: Arc<SharedState>,
     /// Publishes edits.
     pub publisher: Publisher,
-    /// Read for the state dump.
+    /// Sidecar whose load the state dump shows.
     pub sidecar: Arc<Sidecar>,
-    /// Read for the state dump.
+    /// Deduplicator whose number of keys the state dump shows.
     pub keys: Arc<Deduplicator>,
     /// Renders metrics.
     pub metrics: Option<PrometheusHandle>,
 }
 
-/// An answer in JSON.
+/// Response with its status, content type and body.
 type Response = (StatusCode, ([(&'static str, &'static str); 1], String));
 
 impl Operator {
-    /// The routes of this face.
+    /// Creates the router of the API.
     pub fn router(self: Arc<Self>) -> Router {
         let publisher = Arc::clone(&self);
         let publish = move |body: Vec<u8>| {
@@ -122,7 +122,7 @@
             .route("/config/head", get(head))
     }
 
-    /// A handler that answers at once.
+    /// Creates a handler that responds without waiting.
     fn handler(
         self: &Arc<Self>,
         read: fn(&Self) -> Response,
@@ -180,7 +180,7 @@
         )
     }
 
-    /// Sets the metrics that are read only on request.
+    /// Updates the metrics that are computed only when rendered.
     #[expect(
         clippy::cast_precision_loss,
         reason = "gauges are floating-point numbers"
@@ -199,12 +199,12 @@
     }
 
     fn drain(&self) -> Response {
-        info!(self.shared.logger, "drain asked for");
+        info!(self.shared.logger, "drain requested by an operator");
         self.shared.begin_shutdown();
         json(StatusCode::ACCEPTED, &Brief::of(&self.shared))
     }
 
-    /// Where the log ends, for an edit that is to replace whatever is in force.
+    /// Returns the end of the log, on which an edit that replaces any active version is based.
     async fn head(&self) -> Response {
         match self.publisher.head().await {
             Ok(head) => json(StatusCode::OK, &head),
@@ -229,7 +229,7 @@
             let fault = Fault {
                 path: String::new(),
                 problem: text.clone(),
-                remedy: "compare it with the documented form".to_owned(),
+                remedy: "compare it with the documented format".to_owned(),
             };
             json(
                 status,
@@ -242,7 +242,7 @@
         if body.len() > MAX_EDIT_BYTES {
             return invalid(
                 StatusCode::PAYLOAD_TOO_LARGE,
-                "the edit is over 4 MiB".to_owned(),
+                "the edit exceeds 4 MiB".to_owned(),
             );
         }
         let proposal: Proposal = match serde_json::from_slice(body) {
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -1,4 +1,4 @@
-//! The dump of a daemon's state, for a person who asks what it is doing.
+//! Dump of a daemon's state for troubleshooting.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,113 +17,113 @@
 use crate::telemetry::Reading;
 use crate::units::{DataCentre, Generation, Millis, Revision, Service, Version};
 
-/// Most members and upstreams that a dump names.
+/// Maximum number of members, of upstreams and of quarantined requests in a dump.
 const MAX_LISTED: usize = 500;
 
-/// Everything that a daemon says of itself.
+/// State of a daemon, as the operators' API returns it.
 #[derive(Debug, Serialize)]
 pub struct Dump {
-    /// Settings in use.
+    /// Settings as read at the start.
     pub settings: Settings,
-    /// Where it is in its life.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// Version in force.
+    /// Active version.
     pub version: Version,
-    /// Newest version that this daemon has read from the platform, in force or not.
+    /// Newest version that this daemon has received, active or not.
     pub offered: Version,
     /// Hash of the document, in hexadecimal.
     pub hash: String,
-    /// Age of the watermark: since then the platform may hold a newer version.
+    /// Age of the watermark: since then the platform may have a newer version.
     pub watermark_ms: Option<Millis>,
-    /// Routes in force.
+    /// Number of routes in the active configuration.
     pub routes: usize,
-    /// Whether it reads the log for its data centre.
+    /// Whether this daemon reads the log for its data centre.
     pub reads_log: bool,
     /// The co-located target.
     pub target: Option<Target>,
-    /// Time until the target's lease lapses.
+    /// Time until the target's lease expires.
     pub lease_left_ms: Option<Millis>,
-    /// Calls in flight here.
+    /// Number of calls in flight in this daemon.
     pub in_flight: u64,
-    /// Requests that run at the target.
+    /// Number of requests running at the target.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests waiting for a slot.
     pub waiting: usize,
-    /// Idempotency keys that are remembered.
+    /// Number of idempotency keys stored.
     pub keys: usize,
-    /// Requests that are refused, since targets ended under them.
+    /// Requests refused because they crash targets, the first few hundred.
     pub quarantined: Vec<QuarantineDump>,
-    /// Revisions that are rolled out, or were.
+    /// Rollouts known, running or ended.
     pub rollouts: Vec<Progress>,
-    /// Highest era of the platform that is known.
+    /// Highest known generation of the platform's store.
     pub era: Generation,
-    /// Control bytes.
+    /// Control traffic in bytes.
     pub control: Reading,
-    /// Members that are not gone.
+    /// Number of members that are not gone.
     pub live: usize,
-    /// Members that are gone and not forgotten.
+    /// Number of members that are gone but not yet forgotten.
     pub gone: usize,
-    /// Members, the first few hundred.
+    /// Members, limited to the first few hundred.
     pub members: Vec<Member>,
-    /// Upstreams and the evidence on them, the first few hundred.
+    /// Upstreams, limited to the first few hundred.
     pub upstreams: Vec<UpstreamDump>,
 }
 
-/// A request that is refused, since targets ended under it.
+/// A request that is refused because it crashes targets.
 #[derive(Debug, Serialize)]
 pub struct QuarantineDump {
-    /// What stays the same when it is sent again.
+    /// Fingerprint, which is the same when the request is sent again.
     pub fingerprint: String,
-    /// Ends of targets that it explains.
+    /// Number of target crashes attributed to it.
     pub ends: usize,
-    /// Time until it may run again.
+    /// Time until the quarantine ends.
     pub left_ms: Millis,
 }
 
-/// What is known of one upstream.
+/// State of one upstream, as this daemon knows it.
 #[derive(Debug, Serialize)]
 pub struct UpstreamDump {
-    /// Service it belongs to.
+    /// Service that its target offers.
     pub service: Service,
     /// Address of its daemon.
     pub peer: SocketAddr,
     /// Version of its target's software.
     pub revision: Option<Revision>,
-    /// Whether it is in this data centre.
+    /// Whether it is in this daemon's data centre.
     pub local: bool,
-    /// Requests that this daemon has in flight there.
+    /// Number of requests that this daemon has in flight there.
     pub own: u32,
-    /// Requests in flight there as its gate last reported.
+    /// Number of requests in flight there, as its sidecar last reported.
     pub reported: u32,
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     pub failures: u32,
-    /// Whether it is ejected.
+    /// Whether it is ejected as an outlier.
     pub ejected: bool,
-    /// Time since it came.
+    /// Time since it was first seen.
     pub age_ms: Millis,
 }
 
-/// The little that health checks and `jackdawctl status` need.
+/// Short state for health checks and `jackdawctl status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Brief {
-    /// Whether it serves.
+    /// Whether the daemon is serving.
     pub ready: bool,
-    /// Where it is in its life.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// Version in force.
+    /// Active version.
     pub version: Version,
     /// Hash of the document, in hexadecimal.
     pub hash: String,
-    /// When the version was put in force, in microseconds since 1970.
+    /// When the version was activated, in Unix microseconds.
     pub since_us: u64,
-    /// Data centre.
+    /// Data centre of the daemon.
     pub data_centre: DataCentre,
-    /// Control bytes.
+    /// Control traffic in bytes.
     pub control: Reading,
 }
 
 impl Brief {
-    /// Reads the shared state.
+    /// Reads the short state of a daemon.
     #[must_use]
     pub fn of(shared: &SharedState) -> Self {
         let config = shared.config();
@@ -141,7 +141,7 @@
 }
 
 impl Dump {
-    /// Reads a daemon.
+    /// Reads the state of a daemon.
     #[must_use]
     pub fn of(shared: &SharedState, sidecar: &Sidecar, keys: &Deduplicator) -> Self {
         let now = Instant::now();
@@ -187,7 +187,7 @@
     }
 }
 
-/// Version of an upstream's software, as its daemon tells it.
+/// Version of an upstream's target software, as its daemon reports it.
 fn revision(roster: &Roster, upstream: &Upstream) -> Option<Revision> {
     let offer = roster.member(upstream.peer)?.offer.as_ref()?;
     offer.revision.clone()
--- a/src/operation/status.rs
+++ b/src/operation/status.rs
@@ -1,4 +1,4 @@
-//! The survey of a mesh that `jackdawctl status` prints.
+//! Summary of the mesh that `jackdawctl status` prints.
 
 use std::net::SocketAddr;
 
@@ -8,24 +8,24 @@
 use crate::operation::state::Brief;
 use crate::units::{DataCentre, Version};
 
-/// One data centre, as `status` shows it.
+/// Summary of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Its name.
+    /// Name of the data centre.
     pub data_centre: DataCentre,
-    /// Daemons in the view.
+    /// Number of daemons in the membership view.
     pub daemons: usize,
-    /// Daemons that serve.
+    /// Number of daemons that are ready.
     pub ready: usize,
-    /// Lowest version in force.
+    /// Lowest active version.
     pub lowest: Version,
-    /// Highest version in force.
+    /// Highest active version.
     pub highest: Version,
-    /// Daemons that are behind, or do not answer.
+    /// Operator addresses of daemons that are behind or did not respond.
     pub laggards: Vec<SocketAddr>,
 }
 
-/// Sums up what each member answered; who has not `wanted` or a later version is behind.
+/// Summarises the members' responses; a daemon is behind if its version is below `expected`.
 #[must_use]
 pub fn summarise(responses: &[(Member, Option<Brief>)], expected: Version) -> Vec<Summary> {
     let mut summaries: Vec<Summary> = Vec::new();
@@ -57,7 +57,7 @@
     summaries
 }
 
-/// The survey for a person.
+/// Formats the summaries as a table.
 #[must_use]
 pub fn table(summaries: &[Summary]) -> String {
     let head = format!(
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,8 +1,7 @@
-//! One daemon's connection to another: h2 over TCP.
+//! Connection from one daemon to another: h2 over TCP.
 //!
-//! A [`Link`] is one daemon's connection to another. Control messages are single POSTs with
-//! bincode bodies; calls are ordinary requests with a [`Metadata`](crate::calls::metadata::Metadata) in a
-//! header. Links for calls and links for control are separate connections, so that control bytes
+//! Control messages are single POST requests with bincode bodies; calls are ordinary requests with a
+//! [`Metadata`](crate::calls::metadata::Metadata) in a header. Links for calls and links for control are separate connections, so that control bytes
 //! can be counted where they are sent.
 
 use std::io;
@@ -28,47 +27,48 @@
 use crate::units::Millis;
 use crate::wire;
 
-/// Time to open a connection.
+/// Longest time to open a connection, and for its h2 handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for the answer to a control message.
+/// Longest time to exchange a control message, connecting included.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time without a byte after which a link with waiting calls is asked for a sign of life: longer
-/// than most calls, so that a busy link is never asked.
+/// Time without received data after which a link with waiting calls is pinged: longer than most calls,
+/// so that a busy link is never pinged.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
-/// Time for that sign: many times the way there and back.
+/// Longest wait for the reply to a ping: many times the round-trip time.
 const PONG_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which a peer that went silent is left alone: about as long as processes are frozen.
+/// Time for which a link counts as silent after a ping without reply: about as long as processes
+/// freeze.
 const SILENT_PERIOD: Duration = Duration::from_secs(2);
-/// Time after which an idle link is closed.
+/// Time without use after which a link is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Why a call has no answer from its gate.
+/// Why a call has no response from the sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The gate provably did not process it.
+    /// The sidecar provably did not process it.
     Unsent,
-    /// The gate may have processed it.
+    /// The sidecar may have processed it.
     Broken,
 }
 
-/// One daemon's connection to another, opened when first needed.
+/// Connection from one daemon to another, opened on demand.
 #[derive(Debug)]
 pub struct Link {
     peer: SocketAddr,
     local: IpAddr,
     sender: Arc<ArcSwapOption<SendRequest<Bytes>>>,
-    /// Calls that wait for the head of their answer.
+    /// Number of calls that wait for the head of their response.
     waiting: Arc<AtomicU32>,
-    /// When the other end went silent last, in milliseconds since 1970.
+    /// When the peer last failed to reply to a ping, in Unix milliseconds.
     silent_ms: Arc<AtomicU64>,
-    /// When it was used last, in milliseconds since 1970.
+    /// When the last call began, in Unix milliseconds.
     used_ms: AtomicU64,
-    /// Held by callers of this link alone, while one of them connects.
+    /// Held while connecting, so that concurrent users of the link open one connection.
     opening: tokio::sync::Mutex<()>,
 }
 
 impl Link {
-    /// A link from the address `home` that is not open yet.
+    /// Creates a link that will connect from the address `local`.
     #[must_use]
     pub fn new(peer: SocketAddr, local: IpAddr) -> Self {
         Self {
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Sends a call to the gate and waits for the head of its answer.
+    /// Sends a call to the sidecar and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// A [`Failure`] that tells whether the gate may have processed it.
+    /// A [`Failure`] that says whether the sidecar may have processed the call.
     pub async fn call(
         &self,
         request: Request<()>,
@@ -96,7 +96,7 @@
         let mut sender = self.sender(None).await.map_err(|_| Failure::Unsent)?;
         let empty = http_body::Body::is_end_stream(&body);
         let deferred = request.headers().contains_key(header::EXPECT);
-        // An error here means that no stream was opened, so nothing has left this process.
+        // An error here means that no stream was opened, so nothing was sent.
         let sent = sender.send_request(request, empty);
         let (response, stream) = sent.map_err(|_| Failure::Unsent)?;
         let _waiting = WaitingGuard::begin(&self.waiting);
@@ -108,17 +108,17 @@
         })
     }
 
-    /// Whether the other end went silent a moment ago.
+    /// Whether the peer recently failed to reply to a ping.
     ///
-    /// A frozen peer's host still takes connections, so that a new one proves nothing: every call
-    /// would wait for the silence to be noticed again.
+    /// The host of a frozen peer still accepts connections, so a new one does not prove that the peer
+    /// responds: each call would wait until the silence is detected again.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         let ago_ms = clock::unix_ms().saturating_sub(self.silent_ms.load(Ordering::Relaxed));
         ago_ms < Millis::from(SILENT_PERIOD).0
     }
 
-    /// Closes the connection when no call has begun for a while; calls in flight end first.
+    /// Closes the connection if no call has begun within the idle time-out; calls in flight end first.
     pub fn close_idle(&self) {
         let idle_ms = clock::unix_ms().saturating_sub(self.used_ms.load(Ordering::Relaxed));
         if idle_ms > Millis::from(IDLE_TIMEOUT).0 {
@@ -126,11 +126,12 @@
         }
     }
 
-    /// Sends a control message and decodes its answer.
+    /// Sends a control message and decodes the response.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] before it was sent, [`Error::Peer`] or [`Error::Frame`] after.
+    /// [`Error::Unreachable`] if the message was not sent, [`Error::Peer`] or [`Error::Frame`] if it may
+    /// have been.
     pub async fn exchange<T: DeserializeOwned>(
         &self,
         meter: &Arc<Meter>,
@@ -156,7 +157,7 @@
         };
         let response = match tokio::time::timeout(CONTROL_TIMEOUT, exchange).await {
             Ok(response) => response,
-            Err(_) => Err(self.peer_error("no answer in time")),
+            Err(_) => Err(self.peer_error("no response within 3 s")),
         };
         if response.is_err() {
             self.sender.store(None);
@@ -164,7 +165,7 @@
         response
     }
 
-    /// A sender with room for one more request, over a connection that is open.
+    /// A sender with capacity for one more request; connects if necessary.
     async fn sender(&self, meter: Option<&Arc<Meter>>) -> Result<SendRequest<Bytes>> {
         if let Some(sender) = self.ready().await {
             return Ok(sender);
@@ -187,7 +188,7 @@
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await;
         let stream = match connecting {
             Ok(stream) => stream.map_err(|e| self.unreachable_error(&e.to_string()))?,
-            Err(_) => return Err(self.unreachable_error("no connection in time")),
+            Err(_) => return Err(self.unreachable_error("no connection within 500 ms")),
         };
         stream
             .set_nodelay(true)
@@ -201,7 +202,7 @@
         let (sender, mut connection) = match tokio::time::timeout(CONNECT_TIMEOUT, handshake).await
         {
             Ok(pair) => pair.map_err(|e| self.unreachable_error(&e.to_string()))?,
-            Err(_) => return Err(self.unreachable_error("no handshake in time")),
+            Err(_) => return Err(self.unreachable_error("no h2 handshake within 500 ms")),
         };
         if let Some(pings) = connection.ping_pong() {
             let (waiting, current) = (Arc::clone(&self.waiting), Arc::clone(&self.sender));
@@ -209,13 +210,13 @@
             let silence = wait_until_silent(pings, last_received, waiting);
             tokio::spawn(async move {
                 tokio::select! {
-                    // However it ended, the next call opens another one.
+                    // However the connection ended, the next call opens a new one.
                     _ = &mut connection => {}
                     () = silence => {
                         current.store(None);
                         silent_ms.store(clock::unix_ms(), Ordering::Relaxed);
                         metrics::counter!("jackdaw_silent_links_total").increment(1);
-                        // What is under way may still be answered, and ends with its own time.
+                        // Calls in flight may still be answered, and are bounded by their own time-outs.
                         let _ = connection.await;
                     }
                 }
@@ -227,8 +228,8 @@
             .map_err(|e| self.unreachable_error(&e.to_string()))
     }
 
-    /// Connects from this daemon's own address, so that peers on hosts with several addresses
-    /// see the one they know.
+    /// Connects from this daemon's own address, so that on a host with several addresses peers see the
+    /// one that they know.
     async fn connect(&self) -> io::Result<TcpStream> {
         let (socket, any) = match self.local {
             IpAddr::V4(_) => (TcpSocket::new_v4()?, self.local.is_unspecified()),
@@ -255,10 +256,11 @@
     }
 }
 
-/// Sends a body, once it is asked for where it is `held_back`, and waits for the head of the answer.
+/// Sends a body and waits for the head of the response; a `deferred` body is sent only after an
+/// informational response (100 Continue).
 ///
-/// Dropped, it sends no more and resets the stream: a body that nobody waits for would keep the link
-/// busy to its end.
+/// Dropping the future stops sending and resets the stream: otherwise a body that is no longer needed
+/// would keep the link busy to its end.
 async fn exchange_call(
     mut response: ResponseFuture,
     sending: Option<(Body, SendStream<Bytes>)>,
@@ -270,7 +272,7 @@
     if deferred {
         let informational = std::future::poll_fn(|cx| response.poll_informational(cx)).await;
         if informational.transpose()?.is_none() {
-            // The answer has come without the body: a refusal.
+            // The final response arrived before the body was requested: a refusal.
             return response.await;
         }
     }
@@ -278,16 +280,16 @@
     tokio::select! {
         biased;
         response = &mut response => {
-            // The target has answered before it has read the body; it reads the rest later.
+            // The target responded before it had read the whole body; the rest is still sent.
             tokio::spawn(sending_body);
             response
         }
-        // A body that broke off has reset its stream, which the answer tells.
+        // A body that fails resets its stream, which the response reports.
         _ = &mut sending_body => response.await,
     }
 }
 
-/// Counts a call that waits, until it is dropped.
+/// Counts a waiting call until dropped.
 struct WaitingGuard(Arc<AtomicU32>);
 
 impl WaitingGuard {
@@ -303,10 +305,10 @@
     }
 }
 
-/// Waits until the other end of a connection has gone silent.
+/// Waits until the peer of a connection no longer replies to pings.
 ///
-/// Guards against a connection that is dead without a reset, or a frozen peer: calls that take it
-/// would wait for their whole time. It is asked only while calls wait and nothing was heard for a
+/// Guards against a connection that is dead without a reset, or a frozen peer: calls on it would wait
+/// until they time out. Pings are sent only while calls wait and no data has been received for a
 /// while, since a ping costs as much as a small call.
 async fn wait_until_silent(
     mut pings: PingPong,
@@ -329,15 +331,15 @@
     }
 }
 
-/// Flow-control window of a stream towards the peer that opened it, in bytes.
+/// Flow-control window of a stream for data towards the peer that opened it, in bytes.
 pub const STREAM_WINDOW_BYTES: u32 = 64 << 10;
 /// Flow-control window of a connection, in bytes.
 pub const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
 
-/// Tells whether the gate may have processed a call that failed.
+/// Classifies by whether the sidecar may have processed a failed call.
 ///
-/// Only a stream that was refused as such is proof: any other reset and every broken connection
-/// may come after the gate has dispatched the call.
+/// Only a reset with `REFUSED_STREAM` proves that it has not: any other reset or a broken connection
+/// may follow the dispatch of the call.
 fn classify(error: &h2::Error) -> Failure {
     let refused = error.is_reset() && error.is_remote();
     if refused && error.reason() == Some(Reason::REFUSED_STREAM) {
@@ -347,17 +349,17 @@
     }
 }
 
-/// Collects a control body, bounded by the largest frame.
+/// Reads the body of a control message, up to the maximum frame size.
 ///
 /// # Errors
 ///
-/// What broke, or that the frame is too large.
+/// The error of the stream, or that the message is too large.
 pub async fn read_body(mut stream: RecvStream) -> std::result::Result<Bytes, stream::BoxError> {
     let mut body = BytesMut::new();
     while let Some(data) = stream.data().await {
         let data = data?;
         if body.len() + data.len() > wire::MAX_FRAME {
-            return Err("the frame is too large".into());
+            return Err("the message exceeds 8 MiB".into());
         }
         body.extend_from_slice(&data);
         stream.flow_control().release_capacity(data.len())?;
--- a/src/peer/link_pool.rs
+++ b/src/peer/link_pool.rs
@@ -1,4 +1,4 @@
-//! The control links of a daemon, one to each peer that it speaks to.
+//! Control links of a daemon, one to each peer that it communicates with.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,7 +18,7 @@
 pub struct LinkPool {
     local: IpAddr,
     meter: Arc<Meter>,
-    /// Sorted by peer; never held while a message is on its way.
+    /// Sorted by peer; the lock is never held while a message is in flight.
     entries: Mutex<Vec<Entry>>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl LinkPool {
-    /// No links yet; they will leave from the address `home`.
+    /// Creates an empty pool, whose links connect from the address `local`.
     #[must_use]
     pub const fn new(local: IpAddr, meter: Arc<Meter>) -> Self {
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends a control message and decodes its answer.
+    /// Sends a control message and decodes the response.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         link.exchange(&self.meter, path, body).await
     }
 
-    /// Encodes a message, sends it and decodes its answer.
+    /// Encodes a control message, sends it and decodes the response.
     ///
     /// # Errors
     ///
--- a/src/peer/metered_stream.rs
+++ b/src/peer/metered_stream.rs
@@ -1,4 +1,4 @@
-//! A connection whose control bytes are counted, and whose silence can be told.
+//! TCP stream that counts control bytes and records when it last received data.
 
 use std::io;
 use std::pin::Pin;
@@ -12,19 +12,19 @@
 use crate::clock;
 use crate::telemetry::Meter;
 
-/// A connection whose control bytes are counted.
+/// TCP stream that counts its bytes until it turns out to carry calls.
 #[derive(Debug)]
 pub struct MeteredStream {
     stream: TcpStream,
     meter: Option<Arc<Meter>>,
-    /// When bytes came last, in milliseconds since 1970.
+    /// When bytes were last received, in Unix milliseconds.
     last_received: Arc<AtomicU64>,
-    /// Set once the connection turns out to carry calls, which are not control.
+    /// Set once the stream turns out to carry calls, which are not control traffic.
     carries_calls: Arc<AtomicBool>,
 }
 
 impl MeteredStream {
-    /// Counts with `meter`, when there is one.
+    /// Wraps a stream whose bytes are counted by `meter`, if there is one.
     #[must_use]
     pub fn new(stream: TcpStream, meter: Option<Arc<Meter>>) -> Self {
         Self {
@@ -35,13 +35,13 @@
         }
     }
 
-    /// When bytes came last, in milliseconds since 1970.
+    /// When bytes were last received, in Unix milliseconds.
     #[must_use]
     pub fn last_received(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.last_received)
     }
 
-    /// A switch that ends the counting.
+    /// Flag that stops the counting when set.
     #[must_use]
     pub fn carries_calls(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.carries_calls)
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! Connections between daemons.
 //!
-//! A [`Link`] carries calls or control messages to one peer, a [`LinkPool`] keeps those for control, and
-//! the [`server`] answers them.
+//! A [`Link`] carries calls or control messages to one peer, a [`LinkPool`] holds the links for control
+//! messages, and the [`server`] receives both.
 
 pub mod link;
 pub mod link_pool;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The server for other daemons: control messages and calls handed over.
+//! Server for other daemons: control messages and forwarded calls.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -32,23 +32,23 @@
 
 /// Path of a [`Join`].
 pub const JOIN_PATH: &str = "/control/join";
-/// Requests that one connection may have open.
+/// Maximum number of concurrent requests on one connection.
 const MAX_STREAMS: u32 = 1_024;
-/// Largest head of a request, in bytes.
+/// Maximum size of a request's header list, in bytes.
 const MAX_HEADER_BYTES: u32 = 64 << 10;
 
-/// Everything that peers can ask for.
+/// Serves requests of other daemons.
 #[derive(Debug)]
 pub struct Server {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub shared: Arc<SharedState>,
-    /// Takes calls.
+    /// Runs forwarded calls.
     pub sidecar: Arc<Sidecar>,
-    /// Takes notes of keys.
+    /// Records intents and handoffs of idempotency keys.
     pub keys: Arc<Deduplicator>,
-    /// Takes and serves content.
+    /// Receives and serves configuration updates.
     pub relay: Arc<Relay>,
-    /// Lets joiners in.
+    /// Replies to joining daemons.
     pub membership: Arc<Membership>,
 }
 
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`](crate::Error::Listen) when the address can't be had.
+    /// [`Error::Listen`](crate::Error::Listen) if the address cannot be bound.
     pub async fn listen(&self) -> Result<TcpListener> {
         let address = self.shared.settings.peer_addr;
         TcpListener::bind(address)
@@ -68,7 +68,7 @@
     /// Accepts connections for as long as the daemon runs.
     pub async fn run(self: Arc<Self>, listener: TcpListener) {
         loop {
-            // An error here is one connection's or a lack of descriptors; the listener is kept.
+            // An error concerns one connection or a lack of file descriptors; the listener stays open.
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::task::yield_now().await;
                 continue;
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Answers one control message; a faulty one is reset, and the connection goes on.
+    /// Answers one control message; resets the stream of an invalid one, but keeps the connection.
     async fn control(&self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let path = request.uri().path().to_owned();
         let response = match read_body(request.into_body()).await {
@@ -126,7 +126,7 @@
             }
             Err(error) => {
                 metrics::counter!("jackdaw_bad_frames_total").increment(1);
-                debug!(self.shared.logger, "bad frame"; "path" => path, "error" => %error);
+                debug!(self.shared.logger, "invalid control message"; "path" => path, "error" => %error);
                 respond.send_reset(H2Reason::PROTOCOL_ERROR);
             }
         }
@@ -148,20 +148,20 @@
                 body
             )?))),
             _ => FrameSnafu {
-                reason: format!("nothing is served at {path}"),
+                reason: format!("unknown path {path}"),
             }
             .fail(),
         }
     }
 
     fn record_intent(&self, intent: &Intent) -> Result<Bytes> {
-        let reason = "this gate has handed its keys over".to_owned();
+        let reason = "this sidecar has handed off its keys".to_owned();
         let ack = self.keys.record_intent(intent);
         ack.map(|ack| wire::encode(&ack))
             .ok_or(Error::Frame { reason })
     }
 
-    /// Runs one call that an entry handed over.
+    /// Runs one call that an ingress forwarded.
     async fn call(
         &self,
         request: Request<RecvStream>,
@@ -174,9 +174,10 @@
             respond.send_reset(H2Reason::REFUSED_STREAM);
             return;
         };
-        // Guards against work for callers that have left: on a full link a call is on its way for most of a
-        // second, and its caller's time runs out meanwhile. By what its entry wrote it would run all the
-        // same, and the target would get more time than there is. The gate refuses what came too late.
+        // Guards against running calls whose callers have given up: on a congested link a call can be in
+        // transit for most of a second, which the remaining time written by its ingress does not include.
+        // Without the correction the target would get more time than is left; the sidecar refuses a call
+        // that arrives too late.
         let excess = Millis::from(transit_delay.excess(metadata.sent_ms, clock::boot_ms()));
         metadata.remaining.0 = metadata.remaining.0.saturating_sub(excess.0);
         metadata.max_wait.0 = metadata.max_wait.0.saturating_sub(excess.0);
@@ -188,15 +189,15 @@
         let mut run = pin!(self.sidecar.run(metadata, request));
         let response = loop {
             tokio::select! {
-                // What nobody waits for is not begun where its end has come with it.
+                // Checks for a reset first, so that a call that was reset on arrival does not begin.
                 biased;
-                // The entry has given up: dropping the run closes its connection to the target.
+                // The ingress has given up: dropping `run` closes its connection to the target.
                 _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return,
                 response = &mut run => break response,
                 () = body_request.wait() => {
                     let mut response = Response::new(());
                     *response.status_mut() = StatusCode::CONTINUE;
-                    // An error means that the entry has gone, which the reset tells as well.
+                    // An error means that the ingress has gone, which the reset reports as well.
                     let _ = respond.send_informational(response);
                 }
             }
@@ -208,7 +209,7 @@
 async fn send(response: Response<Body>, mut respond: SendResponse<Bytes>) {
     let (parts, body) = response.into_parts();
     let empty = http_body::Body::is_end_stream(&body);
-    // On an error the entry has gone, and there is nobody to tell.
+    // An error means that the ingress has gone, so there is nobody to report it to.
     if let Ok(stream) = respond.send_response(Response::from_parts(parts, ()), empty)
         && !empty
     {
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -25,8 +25,8 @@
 /// Exit status when an interrupt ended the shutdown early.
 pub const EXIT_INTERRUPTED: u8 = 3;
 
-/// Minimum time from the start of the shutdown until the daemon stops waiting for callers'
-/// connections, which are closed after a response.
+/// Minimum time from the start of the shutdown until idle connections of callers are closed; until then
+/// a connection is closed only after a response.
 const CONNECTION_LINGER: Duration = Duration::from_millis(2_500);
 /// How long before new connections of callers are refused the target stops receiving calls: most
 /// calls that it has are answered within this time.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests need.
+//! Helpers shared by several tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use jackdawpulley::configuration::document::{
@@ -7,7 +7,7 @@
 use jackdawpulley::units::{Millis, Percent, Service};
 use proptest::test_runner::{Config, RngSeed};
 
-/// Property tests that try the same cases on every run.
+/// Configuration of property tests that run the same cases each time.
 pub fn fixed(cases: u32) -> Config {
     Config {
         cases,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A document that differs from others by its number.
+/// A valid document that differs from others in `number`.
 pub fn numbered(number: u64) -> Document {
     Document {
         routes: vec![route("all", "/", "shelf")],
@@ -32,7 +32,7 @@
     }
 }
 
-/// A document whose route names a group that is not there.
+/// A document whose route refers to a missing group.
 pub fn faulty() -> Document {
     Document {
         groups: Vec::new(),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,12 +1,12 @@
-//! Checks of the daemon's settings.
+//! Validation of the daemon's settings.
 
 use clap::{CommandFactory, Parser};
 use jackdawpulley::Error;
 use jackdawpulley::settings::Settings;
 
-/// Settings on free ports of the loopback `host`, with `extra` flags.
+/// Settings with ports on the loopback address 127.0.0.`host`, and `extra` flags.
 ///
-/// A check binds the ports for a moment, and tests run side by side: each has a host of its own.
+/// The check binds the ports briefly and tests run concurrently, so each test uses its own address.
 fn settings(host: u8, extra: &[&str]) -> Settings {
     let address = |port| format!("127.0.0.{host}:{port}");
     let args = [
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Decoders against hostile bytes.
+//! Decoders on malformed and malicious input.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use jackdawpulley::wire;
 use proptest::prelude::*;
 
-/// Decoding has to end, bounded, with a message or a typed error.
+/// Decodes `bytes` as each message type: every decoder must return a message or an error, without panic.
 fn survive(bytes: &[u8]) {
     let _ = wire::decode::<Datagram>(bytes);
     if let Ok(Reply::Update(packed)) = wire::decode::<Reply>(bytes) {
@@ -58,8 +58,8 @@
     }
 }
 
-/// A peer sends a frame whose first bytes announce a list of 2^60 members. A decoder that trusted
-/// the length would allocate until the host kills the daemon, and with it the calls in flight.
+/// Guards against a message whose length prefix announces a list of 2^60 elements: a decoder that
+/// trusted it would allocate until the host kills the daemon and its calls in flight.
 #[test]
 fn hostile_length_does_not_allocate() {
     let mut bytes = vec![253];
@@ -67,7 +67,7 @@
     assert!(wire::decode::<Vec<u64>>(&bytes).is_err());
 }
 
-/// A peer sends an update that is said to grow to 4 GB. It is refused before anything is allocated.
+/// Guards against a compressed update that declares a size of 4 GB: it is rejected before allocation.
 #[test]
 fn hostile_size_is_refused() {
     let mut bytes = u32::MAX.to_le_bytes().to_vec();
@@ -76,9 +76,9 @@
     assert!(packed.decompress().is_err());
 }
 
-/// A version brings 1,400 routes, and every daemon of the tree sends it on four times, over links of
-/// 5 Mbit/s: the last daemons kept the old routes for three seconds. Routes are alike, so a version
-/// travels in less than half of its bytes.
+/// Guards against slow relaying of large versions: with 1,400 routes, relayed to four daemons at each
+/// level over links of 5 Mbit/s, the last daemons kept the old routes for three seconds. Routes are
+/// similar to each other, so compression must save more than half of the bytes.
 #[test]
 fn many_routes_travel_small() {
     let mut document = numbered(1);
