--- a/src/authority.rs
+++ b/src/authority.rs
@@ -6,15 +6,15 @@
 //! ```
 //! use jackdawpulley::authority;
 //!
-//! assert_eq!(authority::normalized("Shop.Example.:80"), "shop.example");
-//! assert_eq!(authority::plain("[2001:db8::1]:80"), "[2001:db8::1]");
+//! assert_eq!(authority::normalize("Shop.Example.:80"), "shop.example");
+//! assert_eq!(authority::without_port("[2001:db8::1]:80"), "[2001:db8::1]");
 //! ```
 
 use std::net::Ipv6Addr;
 
 /// Strips the port and the trailing dot from a host; the result is compared case-insensitively.
 #[must_use]
-pub fn plain(host: &str) -> &str {
+pub fn without_port(host: &str) -> &str {
     let name = match host.rfind(']') {
         // An IPv6 address in brackets contains colons.
         Some(end) => &host[..=end],
@@ -28,8 +28,8 @@
 
 /// Normalizes a host to lower case without port and trailing dot.
 #[must_use]
-pub fn normalized(host: &str) -> String {
-    plain(host).to_ascii_lowercase()
+pub fn normalize(host: &str) -> String {
+    without_port(host).to_ascii_lowercase()
 }
 
 /// Whether a text is a host name or address without a port.
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -133,7 +133,7 @@
     /// hold idempotency keys, that it can't serve.
     fn handle_failure(&self, reason: Reason, target: &Arc<Target>) {
         if matches!(reason, Reason::Unreachable | Reason::Misdirected) {
-            self.shared.drop_target(target);
+            self.shared.remove_target(target);
         }
         if matches!(reason, Reason::Unreachable | Reason::Broken) {
             self.crash_detector.check_target(target);
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -150,7 +150,7 @@
         config: &Snapshot,
         began: Instant,
     ) {
-        if self.shared.lines.admit(Instant::now()) {
+        if self.shared.log_limiter.admit(Instant::now()) {
             info!(self.shared.logger, "call refused"; "call" => id, "reason" => reason,
                 "host" => host.and_then(|host| host.to_str().ok()),
                 "version" => config.digest.version.0,
@@ -161,7 +161,7 @@
 
     /// Logs a failed attempt, with the values that decide whether there will be another one.
     fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, will_retry: bool) {
-        if self.shared.lines.admit(Instant::now()) {
+        if self.shared.log_limiter.admit(Instant::now()) {
             let (own, reported) = upstream.load();
             info!(self.shared.logger, "attempt failed"; "call" => &call.metadata.id,
                 "route" => &call.plan.route.name, "upstream" => %upstream.peer,
--- a/src/calls/route.rs
+++ b/src/calls/route.rs
@@ -78,7 +78,7 @@
             };
             let destinations = destinations?;
             let retry = document.retry(&route.retry)?.clone();
-            let host = route.host.as_deref().map(authority::normalized);
+            let host = route.host.as_deref().map(authority::normalize);
             Some(Arc::new(ResolvedRoute {
                 route: Route {
                     host,
@@ -123,7 +123,7 @@
         host: Option<&str>,
         path: &str,
     ) -> Option<&Arc<ResolvedRoute>> {
-        let host = host.map(authority::plain);
+        let host = host.map(authority::without_port);
         let matches = |route: &Route| {
             let begins = !route.below || path.starts_with(&route.path);
             begins
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -105,7 +105,7 @@
         let mut response = match result {
             Ok(response) => response,
             Err(reason) => {
-                if reason != Reason::Overloaded && self.shared.lines.admit(Instant::now()) {
+                if reason != Reason::Overloaded && self.shared.log_limiter.admit(Instant::now()) {
                     let instance = self
                         .shared
                         .target()
--- a/src/configuration/check.rs
+++ b/src/configuration/check.rs
@@ -69,7 +69,7 @@
 pub fn duplicate_routes(routes: &[Route]) -> Vec<(usize, usize)> {
     let key = |route: &Route| {
         (
-            route.host.as_deref().map(authority::normalized),
+            route.host.as_deref().map(authority::normalize),
             route.method.clone(),
         )
     };
--- a/src/configuration/log.rs
+++ b/src/configuration/log.rs
@@ -164,13 +164,13 @@
         if self.disabled {
             return Err(self.log_error("the platform keeps the configuration; publish it there"));
         }
-        self.meter.log(ESTIMATED_HEADER_BYTES + body.len());
+        self.meter.add_log(ESTIMATED_HEADER_BYTES + body.len());
         let response = self
             .http
             .exchange(self.address, method, path, body, timeout)
             .await;
         let response = response.map_err(|reason| self.log_error(&reason))?;
-        self.meter.log(response.body.len());
+        self.meter.add_log(response.body.len());
         Ok((response.status, response.body))
     }
 
--- a/src/configuration/normalize.rs
+++ b/src/configuration/normalize.rs
@@ -38,7 +38,7 @@
     let mut faults = Vec::new();
     drop_duplicate_groups(&mut document, &mut faults);
     for route in &mut document.routes {
-        route.host = route.host.take().map(|host| authority::normalized(&host));
+        route.host = route.host.take().map(|host| authority::normalize(&host));
         normalize_split(route, &mut faults);
     }
     drop_duplicate_routes(&mut document.routes, &mut faults);
--- a/src/configuration/publish.rs
+++ b/src/configuration/publish.rs
@@ -51,8 +51,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Faults`] and [`Error::Conflict`] are final. [`Error::Undecided`] means that the edit may
-    /// or may not be accepted, and that the same edit may be published again. [`Error::Gapped`] means that
+    /// [`Error::Faults`] and [`Error::Conflict`] are final. [`Error::OutcomeUnknown`] means that the edit may
+    /// or may not be accepted, and that the same edit may be published again. [`Error::MissingRecords`] means that
     /// earlier records are missing, so that there is no verdict.
     pub async fn publish(&self, proposal: Proposal, timeout: Duration) -> Result<Version> {
         let faults = check::document(&proposal.document);
@@ -80,7 +80,7 @@
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        Err(Error::Undecided { id })
+        Err(Error::OutcomeUnknown { id })
     }
 
     /// The head of the log's stream of edits.
@@ -129,7 +129,7 @@
                 // All records up to the edit have been applied. After a confirmed append there is no
                 // verdict only if earlier records are missing.
                 return if self.store.has_gap() {
-                    Err(Error::Gapped { first: next })
+                    Err(Error::MissingRecords { first: next })
                 } else {
                     Ok(None)
                 };
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -289,7 +289,7 @@
 /// Guards against memory growth: the recorder keeps each histogram sample until the metrics are
 /// rendered or its maintenance runs.
 fn recorder() -> Option<PrometheusHandle> {
-    let handle = telemetry::metrics()?;
+    let handle = telemetry::install_recorder()?;
     let upkeep = handle.clone();
     tokio::spawn(async move {
         loop {
--- a/src/error.rs
+++ b/src/error.rs
@@ -40,7 +40,7 @@
     },
     /// It is not known yet whether the edit took effect.
     #[snafu(display("the outcome of edit {id} is unknown; publish it again with the same id"))]
-    Undecided {
+    OutcomeUnknown {
         /// Identifier of the edit.
         id: EditId,
     },
@@ -68,7 +68,7 @@
         "records before offset {first} expired before they were applied, so an edit's base cannot be \
          checked; review the active configuration and publish with --force"
     ))]
-    Gapped {
+    MissingRecords {
         /// First offset that is still available.
         first: Offset,
     },
@@ -84,7 +84,7 @@
     #[snafu(display(
         "cannot reach daemon {daemon}: {reason}; check --daemon or use another daemon"
     ))]
-    NoDaemon {
+    DaemonUnreachable {
         /// Operator address of the daemon.
         daemon: SocketAddr,
         /// Cause of the failure.
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -217,7 +217,7 @@
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            self.shared.meter.received(length);
+            self.shared.meter.add_received(length);
             match wire::decode::<Datagram>(&buffer[..length]) {
                 Ok(datagram) if datagram.release == wire::RELEASE => {
                     self.handle(&datagram).await;
@@ -289,7 +289,7 @@
     pub(super) async fn send(&self, sends: Vec<Send>) {
         for send in sends {
             let bytes = wire::encode(&send.datagram);
-            self.shared.meter.probe(bytes.len());
+            self.shared.meter.add_probe(bytes.len());
             let _ = self.socket.send_to(&bytes, send.to).await;
         }
     }
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -291,7 +291,7 @@
     async fn register_again(&self, registration: &Registration) {
         let mut pauses = RETRY_BACKOFF;
         tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
-        while self.shared.is_listed() && !self.shared.stage().is_stopping() {
+        while self.shared.is_registered() && !self.shared.stage().is_stopping() {
             if registration.register().await.is_ok() {
                 return;
             }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -67,7 +67,7 @@
     /// As [`ControlPlane::register`].
     pub async fn register(&self) -> Result<()> {
         // The request may succeed although no response arrives.
-        self.shared.set_listed();
+        self.shared.set_registered();
         self.origin.register(&self.contact()).await
     }
 
@@ -93,7 +93,7 @@
     ///
     /// As [`Origin::unlist`].
     pub async fn deregister(&self) -> Result<()> {
-        if self.shared.is_listed() {
+        if self.shared.is_registered() {
             self.origin.deregister(&self.contact()).await?;
         }
         Ok(())
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -122,7 +122,7 @@
                 Some(Published::Unknown { .. }) | None => {}
             }
         }
-        Err(Error::Undecided {
+        Err(Error::OutcomeUnknown {
             id: proposal.id.clone(),
         })
     }
@@ -299,7 +299,7 @@
             .exchange(daemon, method, path, body, REQUEST_TIMEOUT)
             .await;
         sent.map(|response| (response.status, response.body))
-            .map_err(|reason| Error::NoDaemon { daemon, reason })
+            .map_err(|reason| Error::DaemonUnreachable { daemon, reason })
     }
 
     fn print(&self, value: &serde_json::Value, text: impl FnOnce() -> String) {
--- a/src/operation/ctl.rs
+++ b/src/operation/ctl.rs
@@ -154,7 +154,7 @@
     match error {
         Error::Conflict { .. } => EXIT_CONFLICT,
         Error::Faults { .. } | Error::Document { .. } => EXIT_INVALID,
-        Error::Undecided { .. } => EXIT_UNKNOWN,
+        Error::OutcomeUnknown { .. } => EXIT_UNKNOWN,
         _ => EXIT_FAILED,
     }
 }
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -219,7 +219,7 @@
         let id = EditId::from(id);
         match self.publisher.verdict(&id) {
             Ok(Some(version)) => publish_response(&id, Ok(version)),
-            Ok(None) => publish_response(&id, Err(Error::Undecided { id: id.clone() })),
+            Ok(None) => publish_response(&id, Err(Error::OutcomeUnknown { id: id.clone() })),
             Err(error) => publish_response(&id, Err(error)),
         }
     }
--- a/src/peer/metered_stream.rs
+++ b/src/peer/metered_stream.rs
@@ -67,7 +67,7 @@
                 .store(clock::unix_ms(), Ordering::Relaxed);
         }
         if let Some(meter) = self.active_meter() {
-            meter.received(buf.filled().len() - before);
+            meter.add_received(buf.filled().len() - before);
         }
         polled
     }
@@ -81,7 +81,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let (Poll::Ready(Ok(written)), Some(meter)) = (&polled, self.active_meter()) {
-            meter.peer(*written);
+            meter.add_peer(*written);
         }
         polled
     }
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -103,7 +103,7 @@
                 .running()
                 .finish_check(Instant::now(), refused_since);
             if refused_since.is_some() {
-                detector.shared.drop_target(&target);
+                detector.shared.remove_target(&target);
             }
             if !runs.is_empty() {
                 detector.log_crash(&target, &runs);
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -47,7 +47,7 @@
             Content::Whole(body) => ([0], body),
             Content::Stream(length) => ([1], length.unwrap_or_default()),
         };
-        let host = authority::normalized(host);
+        let host = authority::normalize(host);
         for field in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
             // The length prefix keeps different lists of fields from hashing alike.
             hasher.update(&(field.len() as u64).to_le_bytes());
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -110,7 +110,7 @@
     /// Logger of this daemon.
     pub logger: Logger,
     /// Rate limiter for log lines caused by requests.
-    pub lines: Limiter,
+    pub log_limiter: Limiter,
     /// Header conventions of callers and targets.
     pub dialect: Dialect,
     /// Counts control traffic in bytes.
@@ -128,7 +128,7 @@
     pub rollouts: Rollouts,
     stage: AtomicU8,
     /// Whether this daemon may be registered in the platform's list of daemons.
-    listed: AtomicBool,
+    registered: AtomicBool,
     drain_ms: AtomicU64,
     in_flight: AtomicU64,
     versions: watch::Sender<Version>,
@@ -150,7 +150,7 @@
             rollouts: Rollouts::default(),
             settings,
             logger,
-            lines: Limiter::new(MAX_LOG_LINES_PER_SECOND),
+            log_limiter: Limiter::new(MAX_LOG_LINES_PER_SECOND),
             dialect,
             meter: Meter::shared(),
             freshness: Freshness::default(),
@@ -159,7 +159,7 @@
             target: ArcSwapOption::empty(),
             running: Mutex::default(),
             stage: AtomicU8::new(Stage::Starting as u8),
-            listed: AtomicBool::new(false),
+            registered: AtomicBool::new(false),
             in_flight: AtomicU64::new(0),
             versions: watch::Sender::new(Version(0)),
             generations: watch::Sender::new(Generation(0)),
@@ -259,7 +259,7 @@
     }
 
     /// Removes the co-located target if it is still the one that failed.
-    pub fn drop_target(&self, failed: &Arc<Target>) {
+    pub fn remove_target(&self, failed: &Arc<Target>) {
         let current = self.target.load();
         if current.as_ref().is_some_and(|now| Arc::ptr_eq(now, failed)) {
             self.target.compare_and_swap(&current, None);
@@ -280,23 +280,23 @@
 
     /// Whether this daemon may be registered in the platform's list, and so has to deregister.
     #[must_use]
-    pub fn is_listed(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+    pub fn is_registered(&self) -> bool {
+        self.registered.load(Ordering::Acquire)
     }
 
     /// Records that this daemon is about to register in the platform's list.
-    pub fn set_listed(&self) {
-        self.listed.store(true, Ordering::Release);
+    pub fn set_registered(&self) {
+        self.registered.store(true, Ordering::Release);
     }
 
     /// Drain limit: how long a graceful shutdown waits for calls in flight.
     #[must_use]
-    pub fn drain(&self) -> Millis {
+    pub fn drain_limit(&self) -> Millis {
         Millis(self.drain_ms.load(Ordering::Relaxed))
     }
 
     /// Sets the drain limit; returns whether it has changed.
-    pub fn set_drain(&self, drain: Millis) -> bool {
+    pub fn set_drain_limit(&self, drain: Millis) -> bool {
         self.drain_ms.swap(drain.0, Ordering::Relaxed) != drain.0
     }
 
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -145,7 +145,10 @@
     async fn finish_calls(&self, began: Instant) {
         let shared = &self.shared;
         loop {
-            let limit = shared.drain().duration().saturating_sub(began.elapsed());
+            let limit = shared
+                .drain_limit()
+                .duration()
+                .saturating_sub(began.elapsed());
             if !shared.wait_until_idle(limit).await {
                 warn!(shared.logger, "aborting calls in flight: drain limit exceeded";
                     "in_flight" => shared.in_flight());
@@ -170,7 +173,7 @@
             warn!(shared.logger, "invalid settings, keeping the previous ones"; "problem" => problem);
         }
         Some(Ok(settings)) => {
-            let applied = shared.set_drain(settings.drain_ms);
+            let applied = shared.set_drain_limit(settings.drain_ms);
             let restart = shared.settings.differences(&settings);
             info!(shared.logger, "settings reloaded"; "drain_changed" => applied,
                 "restart_to_change" => restart.join(","));
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -66,13 +66,13 @@
 }
 
 /// Creates a logger that discards everything.
-pub fn silent() -> Logger {
+pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
 /// Installs the metrics recorder; returns `None` if the process already has one.
 #[must_use]
-pub fn metrics() -> Option<PrometheusHandle> {
+pub fn install_recorder() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new()
         .set_buckets(&HISTOGRAM_BUCKETS_S)
         .ok()?;
@@ -124,22 +124,22 @@
     }
 
     /// Counts bytes sent to a peer over TCP.
-    pub fn peer(&self, bytes: usize) {
+    pub fn add_peer(&self, bytes: usize) {
         add(&self.peers, bytes);
     }
 
     /// Counts bytes sent in a datagram.
-    pub fn probe(&self, bytes: usize) {
+    pub fn add_probe(&self, bytes: usize) {
         add(&self.probes, bytes);
     }
 
     /// Counts bytes exchanged with the log.
-    pub fn log(&self, bytes: usize) {
+    pub fn add_log(&self, bytes: usize) {
         add(&self.log, bytes);
     }
 
     /// Counts bytes received from a peer over TCP.
-    pub fn received(&self, bytes: usize) {
+    pub fn add_received(&self, bytes: usize) {
         add(&self.received, bytes);
     }
 
