--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -344,7 +344,7 @@
 /// Serves callers.
 ///
 /// With `accept_ms` at 0, callers can use another daemon, so connections are refused until this one is
-/// ready. Otherwise callers know no other daemon, and are told to retry until then.
+/// ready. Otherwise callers know no other daemon, and are told to retry later.
 async fn serve_calls(
     shared: Arc<SharedState>,
     ingress: Arc<Ingress>,
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,8 +1,8 @@
 //! Connection from one daemon to another: h2 over TCP.
 //!
 //! Control messages are single POST requests with bincode bodies; calls are ordinary requests with a
-//! [`Metadata`](crate::calls::metadata::Metadata) in a header. Links for calls and links for control are separate connections, so that control bytes
-//! can be counted where they are sent.
+//! [`Metadata`](crate::calls::metadata::Metadata) in a header. Links for calls and links for control
+//! are separate connections, so that control bytes can be counted where they are sent.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
