--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way, with its route, deadline and body.
+//! A caller's request with its route, deadline and body, over all of its attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::board::Snapshot;
 use crate::calls::dialect::Dialect;
-use crate::calls::handover::{Handover, write_handover};
+use crate::calls::metadata::{Metadata, write_metadata};
 use crate::calls::outcome::Reason;
 use crate::calls::patience;
 use crate::calls::route::Plan;
@@ -26,66 +26,68 @@
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
 
-/// A request that has been matched to a route of the configuration in force when it came.
+/// A request matched to a route of the configuration that was in force when it arrived.
 #[derive(Debug)]
 pub struct Call {
-    /// What its gate needs to know.
-    pub handover: Handover,
-    /// Its route and retry rule.
+    /// Metadata for the sidecar; each attempt sends its own version.
+    pub metadata: Metadata,
+    /// Route and retry rule.
     pub plan: Arc<Plan>,
-    /// The group that serves it.
+    /// Upstream group that serves the call.
     pub group: Arc<Group>,
-    /// Upstreams that are not asked again.
+    /// Upstreams that are not tried again.
     pub tried: Vec<SocketAddr>,
-    /// Attempts that an upstream may have begun to work on.
-    pub made: u32,
-    /// Whether any of it has been handed to an upstream.
+    /// Attempts that an upstream may have begun to process; the retry rule limits them.
+    pub attempts: u32,
+    /// Whether an attempt has been made.
     pub sent: bool,
-    /// Whether a gate had no room for it.
-    pub crowded: bool,
-    /// Why it has no answer yet.
+    /// Whether a sidecar refused the call as overloaded.
+    pub overloaded: bool,
+    /// Why the attempts so far have failed.
     pub reason: Option<Reason>,
-    /// Time that the caller still gives, by its own word.
-    pub given: Option<Millis>,
-    /// When the answer is no longer of full use.
-    prompt: Instant,
+    /// Time that the caller waits, as given in its request.
+    pub caller_timeout: Option<Millis>,
+    /// When the response starts to lose its value.
+    soft_deadline: Instant,
     deadline: Instant,
     head: request::Parts,
     body: Payload,
 }
 
-/// What one attempt sends.
+/// One attempt at a call.
 #[derive(Debug)]
-pub struct Part {
-    /// What the gate needs to know.
-    pub handover: Handover,
+pub struct Attempt {
+    /// Metadata for the sidecar.
+    pub metadata: Metadata,
     /// The request, with its body.
     pub request: Request<Body>,
-    /// When the head of the answer is due.
+    /// When the response head is due.
     pub deadline: Instant,
 }
 
-/// A request body, kept whole where that is cheap, so that it can be sent again.
+/// A request body, buffered if it is small, so that it can be sent again.
 #[derive(Debug)]
 enum Payload {
-    Kept(Bytes),
-    Stream(Option<Body>),
+    Buffered(Bytes),
+    Streamed(Option<Body>),
 }
 
 impl Call {
-    /// Matches a request that came at `began`; keeps a body of at most `limit` bytes. `draw` is
-    /// uniform in 0 to 1 and chooses among the groups of a split route.
+    /// Matches a request that arrived at `began` to a route.
+    ///
+    /// A body of at most `buffer_limit` bytes is buffered. `draw` is uniform in 0 to 1 and chooses
+    /// among the groups of a split route.
     ///
     /// # Errors
     ///
-    /// Why it can't be served; nothing of it has been sent on.
+    /// Why the request can't be served; no part of it has been forwarded.
     pub async fn prepare(
         id: &str,
         config: &Snapshot,
         request: Request<Body>,
         began: Instant,
         dialect: &Dialect,
-        limit: usize,
+        buffer_limit: usize,
         draw: f64,
     ) -> Result<Self, Reason> {
         let (mut head, body) = request.into_parts();
@@ -95,157 +97,159 @@
             .table
             .find(head.method.as_str(), host.as_deref(), head.uri.path());
         let plan = Arc::clone(found.ok_or(Reason::NoRoute)?);
-        let wanted = head
+        let caller_timeout = head
             .headers
             .get(&dialect.timeout)
             .and_then(text)
             .and_then(|ms| ms.parse().ok());
-        let timeout = wanted.map_or(plan.route.timeout_ms, |ms: Millis| {
+        let timeout = caller_timeout.map_or(plan.route.timeout_ms, |ms: Millis| {
             ms.min(plan.route.timeout_ms)
         });
         let deadline = began + timeout.duration();
-        let prompt = began + plan.route.latency_ms.unwrap_or(timeout).duration();
+        let soft_deadline = began + plan.route.latency_ms.unwrap_or(timeout).duration();
         let group = Arc::clone(plan.group(draw));
-        // Callers of different services may choose the same key.
+        // Keys are scoped by service: callers of two services may choose the same one.
         let scoped = |key| CallKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
-        let handover = Handover {
+        let metadata = Metadata {
             id: id.to_owned(),
             service: group.service.clone(),
             group: group.name.clone(),
             route: plan.route.name.clone(),
-            from: Service::default(),
+            caller_service: Service::default(),
             fingerprint: Fingerprint(0),
             priority: plan.route.rank(),
             sent_ms: 0,
             remaining: timeout,
-            tolerance: timeout,
+            max_wait: timeout,
             repeatable: plan.route.repeatable,
             key: key.filter(|_| !plan.route.repeatable),
             guard: plan.route.guard,
-            leaving: Vec::new(),
+            draining: Vec::new(),
         };
         stream::strip_hop_by_hop(&mut head.headers);
-        // The gate writes these anew, from the handover.
-        for name in [&dialect.call, &dialect.timeout, &dialect.remaining] {
+        // The sidecar writes the identifier and the remaining time anew, from the metadata.
+        for name in [&dialect.call_id, &dialect.timeout, &dialect.remaining] {
             head.headers.remove(name);
         }
-        let largest = config.document.bounds.max_body;
-        let keeping = Payload::keep(body, &head, limit, largest);
-        let body = tokio::time::timeout_at(deadline.into(), keeping).await;
+        let max_body = config.document.bounds.max_body;
+        let buffering = Payload::buffer(body, &head, buffer_limit, max_body);
+        let body = tokio::time::timeout_at(deadline.into(), buffering).await;
         let body = body.map_err(|_| Reason::Expired)??;
         let fingerprint = body.fingerprint(&head);
         Ok(Call {
-            handover: Handover {
+            metadata: Metadata {
                 fingerprint,
-                ..handover
+                ..metadata
             },
             plan,
             group,
-            given: wanted,
-            prompt,
+            caller_timeout,
+            soft_deadline,
             deadline,
             head,
             body,
             tried: Vec::new(),
-            crowded: false,
-            made: 0,
+            overloaded: false,
+            attempts: 0,
             sent: false,
             reason: None,
         })
     }
 
-    /// Time left until the head of the answer is due.
+    /// Time left until the response head is due.
     #[must_use]
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Whether there is a body to send once more.
+    /// Whether the body can be sent once more.
     #[must_use]
-    pub const fn sendable(&self) -> bool {
-        matches!(self.body, Payload::Kept(_) | Payload::Stream(Some(_)))
+    pub const fn is_sendable(&self) -> bool {
+        matches!(self.body, Payload::Buffered(_) | Payload::Streamed(Some(_)))
     }
 
-    /// Whether two attempts may be under way at the same time.
+    /// Whether two attempts may be in flight at the same time.
     #[must_use]
     pub const fn may_hedge(&self) -> bool {
-        self.handover.repeatable && matches!(self.body, Payload::Kept(_))
+        self.metadata.repeatable && matches!(self.body, Payload::Buffered(_))
     }
 
-    /// Notes why an attempt failed.
-    pub fn failed(&mut self, reason: Reason) {
+    /// Records why an attempt failed.
+    pub fn record_failure(&mut self, reason: Reason) {
         let earlier = self.reason.map(|earlier| earlier.followed_by(reason));
         self.reason = Some(earlier.unwrap_or(reason));
     }
 
-    /// Notes for how long the caller had waited before it sent this request.
-    ///
-    /// What it got before is over, but its time has been running since then.
-    pub fn waited(&mut self, before: Duration) {
-        self.prompt = self.prompt.checked_sub(before).unwrap_or(self.prompt);
+    /// Brings the soft deadline forward by the time that the caller had waited before it sent this
+    /// request: its earlier attempts failed, but its time has been running since then.
+    pub fn deduct_earlier_wait(&mut self, earlier_wait: Duration) {
+        self.soft_deadline = self
+            .soft_deadline
+            .checked_sub(earlier_wait)
+            .unwrap_or(self.soft_deadline);
     }
 
-    /// Notes that a running request needs the answer.
+    /// Moves the soft deadline to the deadline, for a call that a running request depends on.
     ///
-    /// Guards against work in vain: a call that is refused because its answer would come later than
-    /// usual fails the request that made it, with all that has been done for that one. Its answer is
-    /// of full use until the deadline.
-    pub const fn nest(&mut self) {
-        self.prompt = self.deadline;
+    /// Refusing such a call because its response would be later than usual would fail the request
+    /// that made it and waste the work already done for that request.
+    pub const fn extend_soft_deadline(&mut self) {
+        self.soft_deadline = self.deadline;
     }
 
-    /// Longest wait for a slot with which the next attempt is still of use, when it takes `needs`.
+    /// Longest wait for a slot with which an attempt that takes `expected_time` is still of use.
     #[must_use]
-    pub fn tolerance(&self, needs: Duration) -> Duration {
+    pub fn max_wait(&self, expected_time: Duration) -> Duration {
         let until = if self.plan.route.latency_ms.is_some() {
-            self.prompt.min(self.deadline)
+            self.soft_deadline.min(self.deadline)
         } else {
             self.deadline
         };
         let left = until.saturating_duration_since(Instant::now());
-        patience::tolerance(left, needs)
+        patience::tolerance(left, expected_time)
     }
 
-    /// What the next attempt sends; a streamed body can be taken only once.
-    pub fn part(&mut self, needs: Duration) -> Part {
+    /// Prepares the next attempt; a streamed body can be sent only once.
+    pub fn next_attempt(&mut self, expected_time: Duration) -> Attempt {
         self.sent = true;
-        let tolerance = Millis::from(self.tolerance(needs));
+        let max_wait = Millis::from(self.max_wait(expected_time));
         let mut request = Request::new(self.body.take());
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
         let remaining = Millis::from(self.left());
-        let handover = Handover {
+        let metadata = Metadata {
             sent_ms: clock::boot_ms(),
             remaining,
-            tolerance,
-            ..self.handover.clone()
+            max_wait,
+            ..self.metadata.clone()
         };
-        Part {
-            handover,
+        Attempt {
+            metadata,
             request,
             deadline: self.deadline,
         }
     }
 }
 
-impl Part {
-    /// Hands a request to the gate of another host.
+impl Attempt {
+    /// Forwards the request to the sidecar on another host.
     ///
     /// # Errors
     ///
-    /// [`Reason::Unreachable`] when the gate has provably not processed it, else [`Reason::Broken`].
-    pub async fn hand_over(self, upstream: &Upstream) -> Result<Response<Body>, Reason> {
+    /// [`Reason::Unreachable`] if the sidecar has provably not processed it, else
+    /// [`Reason::Broken`].
+    pub async fn forward(self, upstream: &Upstream) -> Result<Response<Body>, Reason> {
         let (mut parts, body) = self.request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = format!("http://{}{path}", upstream.peer);
         let mut request = Request::builder().method(parts.method).uri(uri);
         if let Some(headers) = request.headers_mut() {
             std::mem::swap(headers, &mut parts.headers);
-            write_handover(headers, self.handover);
+            write_metadata(headers, self.metadata);
             if stream::is_large(headers, &body) {
-                // The gate asks for it when its turn has come.
+                // The sidecar asks for the body when its turn has come.
                 headers.insert(header::EXPECT, HeaderValue::from_static("100-continue"));
             }
         }
@@ -268,14 +272,14 @@
 }
 
 impl Payload {
-    /// What stays the same when a request with this head and body is sent again.
+    /// Hash that stays the same when a request with this head and body is sent again.
     fn fingerprint(&self, head: &request::Parts) -> Fingerprint {
         let text = |name| head.headers.get(name).map(HeaderValue::as_bytes);
         let host = text(header::HOST).and_then(|host| std::str::from_utf8(host).ok());
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let content = match self {
-            Self::Kept(bytes) => Content::Whole(bytes),
-            Self::Stream(_) => Content::Stream(text(header::CONTENT_LENGTH)),
+            Self::Buffered(bytes) => Content::Whole(bytes),
+            Self::Streamed(_) => Content::Stream(text(header::CONTENT_LENGTH)),
         };
         Fingerprint::of(
             head.method.as_str(),
@@ -285,41 +289,41 @@
         )
     }
 
-    async fn keep(
+    async fn buffer(
         body: Body,
         head: &request::Parts,
-        limit: usize,
-        largest: u64,
+        buffer_limit: usize,
+        max_body: u64,
     ) -> Result<Self, Reason> {
         if http_body::Body::is_end_stream(&body) {
-            return Ok(Self::Kept(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         let length = head
             .headers
             .get(header::CONTENT_LENGTH)
             .and_then(|v| v.to_str().ok());
         let length = length.and_then(|text| text.parse::<usize>().ok());
-        let largest = usize::try_from(largest).unwrap_or(usize::MAX);
-        if length.is_some_and(|length| length > largest) {
+        let max_body = usize::try_from(max_body).unwrap_or(usize::MAX);
+        if length.is_some_and(|length| length > max_body) {
             return Err(Reason::TooLarge);
         }
-        if length.is_none_or(|length| length > limit) {
-            // One without a length breaks off where it grows too large.
-            let bounded = Body::from_body(Limited::new(body, largest));
-            return Ok(Self::Stream(Some(bounded)));
+        if length.is_none_or(|length| length > buffer_limit) {
+            // A body without a length is cut off where it exceeds the limit.
+            let bounded = Body::from_body(Limited::new(body, max_body));
+            return Ok(Self::Streamed(Some(bounded)));
         }
-        let collected = Limited::new(body, limit).collect().await;
-        // Nothing has been sent on yet, so the fate would be known; but the caller is gone.
+        let collected = Limited::new(body, buffer_limit).collect().await;
+        // Nothing has been forwarded yet, so the request has not run; but the caller is gone.
         collected
-            .map(|body| Self::Kept(body.to_bytes()))
+            .map(|body| Self::Buffered(body.to_bytes()))
             .map_err(|_| Reason::CallerGone)
     }
 
     fn take(&mut self) -> Body {
         match self {
-            Self::Kept(bytes) if bytes.is_empty() => Body::empty(),
-            Self::Kept(bytes) => Body::from_body(Full::new(bytes.clone())),
-            Self::Stream(body) => body.take().unwrap_or_default(),
+            Self::Buffered(bytes) if bytes.is_empty() => Body::empty(),
+            Self::Buffered(bytes) => Body::from_body(Full::new(bytes.clone())),
+            Self::Streamed(body) => body.take().unwrap_or_default(),
         }
     }
 }
--- /dev/null
+++ b/src/calls/ingress.rs
@@ -0,0 +1,353 @@
+//! The ingress: the daemon that receives a caller's request.
+//!
+//! The ingress chooses an upstream for a [`Call`], forwards the request to that upstream's sidecar,
+//! and is the only layer that retries.
+
+use std::ops::Range;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::{Duration, Instant};
+
+use http::{HeaderValue, Request, Response, header};
+use rand::RngExt;
+use slog::{debug, info};
+use volo_http::body::Body;
+
+use crate::board::{Board, Snapshot};
+use crate::calls::attempt::{Reply, Sender};
+use crate::calls::call::Call;
+use crate::calls::outcome::{self, OUTCOME, REASON, Reason};
+use crate::calls::retry;
+use crate::calls::sidecar::{LOAD, Sidecar};
+use crate::calls::stream::Guarded;
+use crate::configuration::document::Retry;
+use crate::membership::member::Stage;
+use crate::membership::roster::Upstream;
+use crate::units::{Millis, Service, Version};
+
+/// Header with the configuration version by which a call was routed.
+pub const VERSION: &str = "x-jackdaw-version";
+
+/// Number of sidecars that may refuse a request as overloaded before its caller is told.
+///
+/// The first is the one expected to have the most room, so trying more would only cost time.
+const MAX_OVERLOAD_REFUSALS: u32 = 3;
+/// Range of `Retry-After` for refused callers, in seconds. A queue drains in less, and most callers
+/// have this much time left.
+const RETRY_AFTER_S: Range<f64> = 0.15..0.5;
+/// Longest time that a request waits for a daemon that is starting: about what a start takes once
+/// the platform and a peer respond.
+const MAX_START_WAIT: Duration = Duration::from_millis(500);
+/// Divisor of the caller's time: a request waits for a starting daemon for at most that part, since
+/// processing needs the rest.
+const START_WAIT_DIVISOR: u32 = 4;
+/// Longest call identifier, in bytes.
+const MAX_ID_BYTES: usize = 64;
+
+/// When the quarantine of a refused request ends; an extension of the response inside the daemon.
+#[derive(Debug, Clone, Copy)]
+struct QuarantineEnd(Instant);
+
+/// Serves callers' requests.
+#[derive(Debug)]
+pub struct Ingress {
+    board: Arc<Board>,
+    calls: AtomicU64,
+    sender: Sender,
+}
+
+impl Ingress {
+    /// An ingress that passes calls for the local target directly to `sidecar`.
+    #[must_use]
+    pub fn new(board: Arc<Board>, sidecar: Arc<Sidecar>) -> Self {
+        Self {
+            sender: Sender::new(Arc::clone(&board), sidecar),
+            board,
+            calls: AtomicU64::new(0),
+        }
+    }
+
+    /// Serves one request of a caller.
+    pub async fn serve(&self, request: Request<Body>) -> Response<Body> {
+        let began = Instant::now();
+        let in_flight = self.board.begin();
+        self.await_start(&request).await;
+        let config = self.board.config();
+        let id = self.call_id(&request);
+        let host = request.headers().get(header::HOST).cloned();
+        let named = id.as_deref().ok_or(Reason::Unnamed);
+        let prepared = match named {
+            Ok(id) => tokio::select! {
+                prepared = self.prepare(id, &config, request, began) => prepared,
+                () = self.board.until_cut() => Err(Reason::Draining),
+            },
+            Err(reason) => Err(reason),
+        };
+        let id = id.unwrap_or_default();
+        let mut response = match prepared {
+            Ok(call) => self.complete(call).await,
+            Err(reason) => outcome::caller_refusal(&id, reason),
+        };
+        let quarantined = response.extensions_mut().remove::<QuarantineEnd>();
+        let headers = response.headers_mut();
+        if let Ok(id) = HeaderValue::from_str(&id) {
+            headers.insert(&self.board.dialect.call_id, id);
+        }
+        headers.remove(LOAD);
+        if self.board.dialect.fractional_retry_after && headers.contains_key(header::RETRY_AFTER) {
+            headers.insert(header::RETRY_AFTER, jittered_retry_after());
+        }
+        if let Some(QuarantineEnd(until)) = quarantined {
+            headers.insert(header::RETRY_AFTER, seconds_until(until));
+        }
+        headers.insert(VERSION, HeaderValue::from(config.digest.version.0));
+        if self.board.stage().is_stopping() {
+            // A planned stop closes a connection after a response, never within one.
+            headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        let outcome_label = headers
+            .get(OUTCOME)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("none")
+            .to_owned();
+        let refused = headers.get(REASON).and_then(|v| v.to_str().ok());
+        if let Some(reason) = refused {
+            self.log_refusal(&id, reason, host.as_ref(), &config, began);
+            // Closing bounds memory under refusals: refused callers return on new connections, and
+            // the old ones would stay open until the idle timeout.
+            headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        metrics::counter!("jackdaw_calls_total", "outcome" => outcome_label).increment(1);
+        metrics::histogram!("jackdaw_call_seconds").record(began.elapsed().as_secs_f64());
+        let (parts, body) = response.into_parts();
+        Response::from_parts(parts, Guarded::wrap(body, in_flight))
+    }
+
+    /// Waits a short time for this daemon to start.
+    ///
+    /// A restarted daemon is ready a moment after it accepts connections. A caller that was refused
+    /// twice meanwhile would have no retries left and lose its request to a short outage.
+    async fn await_start(&self, request: &Request<Body>) {
+        if self.board.stage() != Stage::Starting {
+            return;
+        }
+        let caller_timeout = request.headers().get(&self.board.dialect.timeout);
+        let caller_timeout = caller_timeout.and_then(|ms| ms.to_str().ok()?.parse::<Millis>().ok());
+        let max_wait = caller_timeout.map_or(MAX_START_WAIT, |caller_timeout| {
+            caller_timeout.duration() / START_WAIT_DIVISOR
+        });
+        let mut stages = self.board.stages();
+        let started = stages.wait_for(|stage| *stage != Stage::Starting);
+        // If the daemon has not started by then, the request is refused later.
+        let _ = tokio::time::timeout(max_wait.min(MAX_START_WAIT), started).await;
+    }
+
+    fn log_refusal(
+        &self,
+        id: &str,
+        reason: &str,
+        host: Option<&HeaderValue>,
+        config: &Snapshot,
+        began: Instant,
+    ) {
+        if self.board.lines.admit(Instant::now()) {
+            info!(self.board.logger, "call refused"; "call" => id, "reason" => reason,
+                "host" => host.and_then(|host| host.to_str().ok()),
+                "version" => config.digest.version.0,
+                "watermark_ms" => self.board.freshness.age(Instant::now()).map(|age| age.0),
+                "after_ms" => Millis::from(began.elapsed()).0);
+        }
+    }
+
+    /// Logs a failed attempt, with the values that decide whether there will be another one.
+    fn log_failure(&self, call: &Call, upstream: &Upstream, reason: Reason, will_retry: bool) {
+        if self.board.lines.admit(Instant::now()) {
+            let (own, reported) = upstream.load();
+            info!(self.board.logger, "attempt failed"; "call" => &call.metadata.id,
+                "route" => &call.plan.route.name, "upstream" => %upstream.peer,
+                "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
+                "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
+                "own" => own, "reported" => reported, "goes_on" => will_retry);
+        }
+    }
+
+    /// The caller's identifier, or a new one unless only callers may assign them.
+    fn call_id(&self, request: &Request<Body>) -> Option<String> {
+        let dialect = &self.board.dialect;
+        let given = request
+            .headers()
+            .get(&dialect.call_id)
+            .and_then(|value| value.to_str().ok());
+        let given = given.filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()));
+        given
+            .map(str::to_owned)
+            .or_else(|| (!dialect.echoes_call_id).then(|| self.new_id()))
+    }
+
+    fn new_id(&self) -> String {
+        let count = self.calls.fetch_add(1, Ordering::Relaxed);
+        let random = rand::random::<u32>();
+        format!("{}-{count}-{random:08x}", self.board.settings.call_addr)
+    }
+
+    async fn prepare(
+        &self,
+        id: &str,
+        config: &Snapshot,
+        mut request: Request<Body>,
+        began: Instant,
+    ) -> Result<Call, Reason> {
+        // A daemon that is stopped before it has any configuration knows no routes, which does not
+        // prove that none matches.
+        if self.board.stage() == Stage::Starting || config.digest.version == Version(0) {
+            return Err(Reason::Starting);
+        }
+        let Board {
+            settings, dialect, ..
+        } = &*self.board;
+        if let Some(name) = &dialect.caller_service {
+            let service = settings.service.as_ref().map_or("", Service::as_str);
+            let value = HeaderValue::from_str(service).map_err(|_| Reason::Unnamed)?;
+            request.headers_mut().insert(name, value);
+        }
+        let draw = rand::rng().random_range(0.0..1.0);
+        let preparing = Call::prepare(
+            id,
+            config,
+            request,
+            began,
+            dialect,
+            settings.kept_body,
+            draw,
+        );
+        let mut call = preparing.await?;
+        call.metadata.caller_service = settings.service.clone().unwrap_or_default();
+        let (experience, route) = (&self.sender.chooser.experience, &call.plan.route.name);
+        if experience.is_nested(route) {
+            call.extend_soft_deadline();
+        } else if let Some(given) = call.caller_timeout {
+            let earlier_wait = experience.waited(route, given);
+            call.deduct_earlier_wait(earlier_wait);
+        }
+        Ok(call)
+    }
+
+    /// Returns the target's response, or a refusal with the reason why there is none.
+    async fn complete(&self, mut call: Call) -> Response<Body> {
+        if self.quarantine_end(&call).is_some() {
+            // The sidecars refuse it as well; refusing here saves a slot and a round trip.
+            call.record_failure(Reason::Quarantined);
+            return self.refuse(&call);
+        }
+        let answered = tokio::select! {
+            answered = self.run_attempts(&mut call) => answered,
+            () = self.board.until_cut() => {
+                let reason = if call.sent { Reason::CutShort } else { Reason::Draining };
+                call.record_failure(reason);
+                None
+            }
+        };
+        answered.unwrap_or_else(|| self.refuse(&call))
+    }
+
+    /// Makes attempts until one is answered or no further one is allowed.
+    async fn run_attempts(&self, call: &mut Call) -> Option<Response<Body>> {
+        let rule = &Arc::clone(&call.plan).retry;
+        self.sender.budget(call).deposit_share(rule.budget);
+        let mut refusals = 0;
+        loop {
+            let Some(upstream) = self.sender.chooser.choose(call) else {
+                break;
+            };
+            let reason = match self.sender.attempt_hedged(&upstream, call).await {
+                Reply::Answered(response) => return Some(response),
+                Reply::Failed(reason) => reason,
+            };
+            call.record_failure(reason);
+            call.attempts += u32::from(!reason.is_unavailable() && reason != Reason::Overloaded);
+            // One sidecar owns an idempotency key, so it is tried again unless it is unavailable.
+            if call.metadata.key.is_none() || reason.is_unavailable() {
+                call.tried.push(upstream.peer);
+            }
+            if matches!(reason, Reason::Draining | Reason::NoTarget) {
+                // What the upstream says of itself overrides the next sidecar's view of it, which
+                // may be outdated.
+                call.metadata.draining.push(upstream.peer);
+            }
+            let overloaded = reason == Reason::Overloaded && call.metadata.key.is_none();
+            // An attempt that no target processed counts neither as one of the rule's attempts nor
+            // against the budget; each upstream is tried only once.
+            let unprocessed = reason.is_unavailable() || overloaded;
+            refusals += u32::from(overloaded);
+            call.overloaded |= overloaded;
+            // A request that must run in isolation is refused while another such request runs at
+            // the target. It is not sent to the next target, which might crash as well.
+            let isolated = reason == Reason::Overloaded && self.sender.chooser.is_suspect(call);
+            let will_retry = if isolated || reason == Reason::Quarantined {
+                false
+            } else if unprocessed {
+                call.is_sendable() && !call.left().is_zero() && refusals < MAX_OVERLOAD_REFUSALS
+            } else {
+                self.may_retry(rule, call, reason)
+            };
+            self.log_failure(call, &upstream, reason, will_retry);
+            if !will_retry {
+                break;
+            }
+            if unprocessed {
+                continue;
+            }
+            metrics::counter!("jackdaw_retries_total").increment(1);
+            let fraction = rand::rng().random_range(0.0..1.0);
+            tokio::time::sleep(retry::backoff(rule, call.left(), fraction)).await;
+        }
+        None
+    }
+
+    fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
+        let repeatable = call.metadata.repeatable;
+        let allowed = retry::again(
+            rule,
+            call.attempts,
+            repeatable,
+            reason.outcome(),
+            call.left(),
+        );
+        call.is_sendable() && allowed && self.sender.withdraw_retry(rule, call)
+    }
+
+    fn refuse(&self, call: &Call) -> Response<Body> {
+        let reason = call.reason.unwrap_or(Reason::NoTarget);
+        debug!(self.board.logger, "call failed";
+            "call" => &call.metadata.id, "reason" => %reason, "tried" => call.tried.len());
+        let mut response = outcome::caller_refusal(&call.metadata.id, reason);
+        if let Some(until) = self
+            .quarantine_end(call)
+            .filter(|_| reason == Reason::Quarantined)
+        {
+            response.extensions_mut().insert(until);
+        }
+        response
+    }
+
+    /// When the quarantine of a call ends, if targets have crashed while running the same request.
+    fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
+        let standing = self.board.quarantine.standing(call.metadata.fingerprint);
+        let until = standing.until.filter(|until| Instant::now() < *until);
+        until.map(QuarantineEnd)
+    }
+}
+
+/// Time until `until` in whole seconds, at least one.
+fn seconds_until(until: Instant) -> HeaderValue {
+    let left = until.saturating_duration_since(Instant::now());
+    HeaderValue::from(left.as_secs().max(1))
+}
+
+/// When a refused caller should retry, in fractional seconds.
+///
+/// The delay is random, so that callers refused together do not all retry at once.
+fn jittered_retry_after() -> HeaderValue {
+    let seconds = rand::rng().random_range(RETRY_AFTER_S);
+    HeaderValue::from_str(&format!("{seconds:.2}")).unwrap_or(HeaderValue::from_static("1"))
+}
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,16 +1,17 @@
 //! Calls: the path of a request from its caller to a target and back.
 //!
-//! The entry finds the [`route`] of a request, [`pick`]s an upstream by its [`pace`] and hands the
-//! request over ([`handover`]) to the gate, whose [`limit`] bounds the work. How long a request may wait
-//! there is its [`patience`]. Only the entry may [`retry`]; the caller is told the [`outcome`]. How headers
-//! are spelt is a [`dialect`]. Which [`connections`] of callers are kept is decided where they are
-//! accepted.
+//! The ingress is the daemon that receives a caller's request. It finds the request's [`route`],
+//! [`pick`]s an upstream by its [`pace`] and forwards the request with its [`metadata`] to the
+//! sidecar, the daemon beside the target. The sidecar's concurrency [`limit`] bounds the work;
+//! [`patience`] bounds how long a request may wait for a slot there. Only the ingress may
+//! [`retry`]. The caller is told the [`outcome`]. Header names and conventions are those of a
+//! [`dialect`]. Which [`connections`] of callers are kept is decided where they are accepted.
 
 pub mod connections;
 pub mod dialect;
-pub mod handover;
 pub mod limit;
 pub mod lines;
+pub mod metadata;
 pub mod origins;
 pub mod outcome;
 pub mod pace;
@@ -20,16 +21,16 @@
 pub mod route;
 pub mod transit;
 
-pub(crate) mod answer;
 pub(crate) mod attempt;
 pub(crate) mod call;
 pub(crate) mod callers;
 pub(crate) mod choice;
 pub(crate) mod dispatch;
-pub(crate) mod entry;
+pub(crate) mod executor;
 pub(crate) mod experience;
-pub(crate) mod gate;
 pub(crate) mod http_server;
+pub(crate) mod ingress;
 pub(crate) mod line;
+pub(crate) mod sidecar;
 pub(crate) mod stream;
-pub(crate) mod work;
+pub(crate) mod validator;
--- a/src/idempotency/guard.rs
+++ b/src/idempotency/guard.rs
@@ -11,8 +11,8 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::outcome::{Fate, Reason};
-use crate::calls::work::{Received, Work};
+use crate::calls::executor::{Executor, Received};
+use crate::calls::outcome::{Outcome, Reason};
 use crate::configuration::document::Guard;
 use crate::configuration::log::Log;
 use crate::idempotency::claim::Claims;
@@ -108,7 +108,7 @@
         self: &Arc<Self>,
         key: CallKey,
         received: Received,
-        work: &Arc<Work>,
+        work: &Arc<Executor>,
     ) -> Result<Response<Body>, Reason> {
         let service = received.service().clone();
         *self.service.lock().unwrap_or_else(PoisonError::into_inner) = Some(service);
@@ -147,7 +147,7 @@
         &self,
         key: &CallKey,
         received: Received,
-        work: &Work,
+        work: &Executor,
     ) -> Result<Response<Body>, Reason> {
         self.prove(&received, key).await?;
         work.run(received).await
@@ -157,7 +157,7 @@
         &self,
         key: &CallKey,
         received: Received,
-        work: &Work,
+        work: &Executor,
     ) -> Result<Response<Body>, Reason> {
         let claims = self.claims(received.service());
         let patience = received
@@ -170,7 +170,7 @@
         let claim = claim.unwrap_or(Err(Reason::LogAway))?;
         let result = work.run(received).await;
         if let Err(reason) = &result
-            && reason.fate() == Fate::NotRun
+            && reason.outcome() == Outcome::NotRun
         {
             claims.release(claim);
         }
@@ -223,7 +223,7 @@
 
     /// Makes sure that nobody else ran the key, and that this run will be known.
     async fn prove(&self, received: &Received, key: &CallKey) -> Result<(), Reason> {
-        let (service, leaving) = (received.service(), received.leaving());
+        let (service, leaving) = (received.service(), received.draining());
         let own = Own {
             address: self.board.settings.identity(),
             age: self.born.elapsed(),
@@ -370,7 +370,7 @@
                 answered
             }
             Err(reason) => {
-                let state = (reason.fate() == Fate::Unknown).then_some(State::Doubt);
+                let state = (reason.outcome() == Outcome::Unknown).then_some(State::Doubt);
                 self.end(state);
                 Err(reason)
             }
