--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -13,9 +13,9 @@
 use crate::calls::dialect::Dialect;
 use crate::calls::metadata::{Metadata, write_metadata};
 use crate::calls::outcome::Reason;
-use crate::calls::patience;
-use crate::calls::route::Plan;
+use crate::calls::route::ResolvedRoute;
 use crate::calls::stream::{self, Incoming};
+use crate::calls::wait;
 use crate::clock;
 use crate::configuration::document::Group;
 use crate::membership::roster::Upstream;
@@ -32,7 +32,7 @@
     /// Metadata for the sidecar; each attempt sends its own version.
     pub metadata: Metadata,
     /// Route and retry rule.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<ResolvedRoute>,
     /// Upstream group that serves the call.
     pub group: Arc<Group>,
     /// Upstreams that are not tried again.
@@ -207,7 +207,7 @@
             self.deadline
         };
         let left = until.saturating_duration_since(Instant::now());
-        patience::tolerance(left, expected_time)
+        wait::max_wait(left, expected_time)
     }
 
     /// Prepares the next attempt; a streamed body can be sent only once.
--- a/src/calls/connections.rs
+++ b/src/calls/connections.rs
@@ -1,135 +1,137 @@
-//! Which of its callers' connections a daemon keeps.
+//! Limit on callers' open connections.
 //!
-//! A host has a bounded number of descriptors, and callers keep connections open between their
-//! requests. [`Connections`] bounds how many are open: for a new one the one that has been idle
-//! longest is closed. It is a plain state machine over ticket numbers; the server closes the
-//! connections that it names.
+//! A host has a limited number of file descriptors, and callers keep connections open between
+//! requests. [`Connections`] limits how many are open: a new connection evicts the one that has
+//! been idle longest. It is a state machine without I/O; the server closes the evicted connections.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use jackdawpulley::calls::connections::{Admission, Connections};
+//! use jackdawpulley::calls::connections::{Connections, Decision};
 //!
 //! let now = Instant::now();
 //! let later = now + Duration::from_secs(1);
 //! let mut connections = Connections::new(2);
-//! assert_eq!(connections.open(now), Admission::Take { ticket: 1, closed: None });
-//! assert_eq!(connections.open(now), Admission::Take { ticket: 2, closed: None });
+//! assert_eq!(connections.open(now), Decision::Accept { id: 1, evicted: None });
+//! assert_eq!(connections.open(now), Decision::Accept { id: 2, evicted: None });
 //! connections.begin(1);
-//! assert_eq!(connections.open(later), Admission::Take { ticket: 3, closed: Some(2) });
+//! assert_eq!(connections.open(later), Decision::Accept { id: 3, evicted: Some(2) });
 //! ```
 
 use std::time::Instant;
 
-/// Number of a connection at its daemon.
-pub type Ticket = u64;
+/// Number of a connection, unique on its listener.
+pub type Id = u64;
 
-/// What becomes of a new connection.
+/// Decision on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
-    /// It is taken.
-    Take {
-        /// Its ticket.
-        ticket: Ticket,
-        /// The idle connection that makes room for it and is to be closed.
-        closed: Option<Ticket>,
+pub enum Decision {
+    /// The connection is accepted.
+    Accept {
+        /// Its identifier.
+        id: Id,
+        /// The idle connection that was evicted for it and is to be closed.
+        evicted: Option<Id>,
     },
-    /// Every connection carries a request: it waits until one is idle or has ended.
+    /// Every open connection carries a request; the new one waits until one is idle or closed.
     Full,
 }
 
 /// An open connection.
 #[derive(Debug, Clone, Copy)]
-struct Open {
-    ticket: Ticket,
-    /// Requests under way on it.
+struct Connection {
+    id: Id,
+    /// Requests in progress.
     requests: u32,
     idle_since: Instant,
 }
 
-/// Callers' open connections.
+/// Open connections of callers.
 #[derive(Debug)]
 pub struct Connections {
-    most: usize,
-    last: Ticket,
-    /// Sorted by ticket.
-    open: Vec<Open>,
+    capacity: usize,
+    last_id: Id,
+    /// Sorted by id.
+    open: Vec<Connection>,
 }
 
 impl Connections {
-    /// No connections yet, and at most `most` later.
+    /// Creates an empty set with room for `capacity` connections.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(capacity: usize) -> Self {
         Self {
-            most,
-            last: 0,
+            capacity,
+            last_id: 0,
             open: Vec::new(),
         }
     }
 
-    /// How many are open.
+    /// Number of open connections.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.open.len()
     }
 
-    /// Asks for a place for a new connection.
+    /// Registers a new connection, evicting an idle one if the set is full.
     ///
-    /// Guards against callers that hold idle connections until no descriptor is left: the daemon
-    /// could accept nobody, and new callers would wait for a time-out beside an idle process.
-    pub fn open(&mut self, now: Instant) -> Admission {
-        let mut closed = None;
-        if self.open.len() >= self.most {
+    /// Guards against idle connections that use up all file descriptors: an idle daemon could not
+    /// accept new callers, and these would time out.
+    pub fn open(&mut self, now: Instant) -> Decision {
+        let mut evicted = None;
+        if self.open.len() >= self.capacity {
             let Some(index) = self.longest_idle() else {
-                return Admission::Full;
+                return Decision::Full;
             };
-            closed = Some(self.open.remove(index).ticket);
+            evicted = Some(self.open.remove(index).id);
         }
-        self.last += 1;
-        self.open.push(Open {
-            ticket: self.last,
+        self.last_id += 1;
+        self.open.push(Connection {
+            id: self.last_id,
             requests: 0,
             idle_since: now,
         });
-        Admission::Take {
-            ticket: self.last,
-            closed,
+        Decision::Accept {
+            id: self.last_id,
+            evicted,
         }
     }
 
-    /// Notes that a request begins on a connection; `false` when its place was given away.
-    pub fn begin(&mut self, ticket: Ticket) -> bool {
-        let open = self.find(ticket);
-        open.map(|open| open.requests += 1).is_some()
+    /// Records the start of a request; `false` if the connection has been evicted.
+    pub fn begin(&mut self, id: Id) -> bool {
+        let connection = self.find(id);
+        connection
+            .map(|connection| connection.requests += 1)
+            .is_some()
     }
 
-    /// Notes that the answer to a request has been sent, or was given up.
-    pub fn end(&mut self, ticket: Ticket, now: Instant) {
-        if let Some(open) = self.find(ticket) {
-            open.requests = open.requests.saturating_sub(1);
-            open.idle_since = now;
+    /// Records that the response to a request has been sent or abandoned.
+    pub fn end(&mut self, id: Id, now: Instant) {
+        if let Some(connection) = self.find(id) {
+            connection.requests = connection.requests.saturating_sub(1);
+            connection.idle_since = now;
         }
     }
 
-    /// Notes that a connection is gone.
-    pub fn close(&mut self, ticket: Ticket) {
-        if let Ok(index) = self.place(ticket) {
+    /// Removes a closed connection.
+    pub fn close(&mut self, id: Id) {
+        if let Ok(index) = self.index_of(id) {
             self.open.remove(index);
         }
     }
 
     fn longest_idle(&self) -> Option<usize> {
         let idle = self.open.iter().enumerate();
-        idle.filter(|(_, open)| open.requests == 0)
-            .min_by_key(|(_, open)| open.idle_since)
+        idle.filter(|(_, connection)| connection.requests == 0)
+            .min_by_key(|(_, connection)| connection.idle_since)
             .map(|(index, _)| index)
     }
 
-    fn place(&self, ticket: Ticket) -> Result<usize, usize> {
-        self.open.binary_search_by_key(&ticket, |open| open.ticket)
+    fn index_of(&self, id: Id) -> Result<usize, usize> {
+        self.open
+            .binary_search_by_key(&id, |connection| connection.id)
     }
 
-    fn find(&mut self, ticket: Ticket) -> Option<&mut Open> {
-        let index = self.place(ticket).ok()?;
+    fn find(&mut self, id: Id) -> Option<&mut Connection> {
+        let index = self.index_of(id).ok()?;
         self.open.get_mut(index)
     }
 }
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -11,14 +11,14 @@
 use volo_http::body::Body;
 
 use crate::board::{Board, InFlight, Target};
+use crate::calls::admission::{Options, Permit, Queue};
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
-use crate::calls::line::{Bid, Line, Permit};
 use crate::calls::metadata::Metadata;
 use crate::calls::outcome::{OUTCOME, Outcome as CallOutcome, Reason};
-use crate::calls::patience;
 use crate::calls::stream::{self, Buffered, Continue, Guarded};
 use crate::calls::validator::Validator;
+use crate::calls::wait;
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
 use crate::quarantine::inspect::Inspector;
@@ -72,9 +72,9 @@
     board: Arc<Board>,
     dispatcher: Dispatcher,
     inspector: Inspector,
-    queue: Arc<Line>,
+    queue: Arc<Queue>,
     /// Bodies that are being received, and those waiting for that.
-    body_queue: Arc<Line>,
+    body_queue: Arc<Queue>,
 }
 
 impl Executor {
@@ -206,10 +206,10 @@
         if left.is_zero() {
             return Err(Reason::Expired);
         }
-        let mut bid = Bid {
+        let mut bid = Options {
             priority: self.metadata.priority,
-            tolerance: self.metadata.max_wait.duration(),
-            patience: left / QUEUE_WAIT_DIVISOR,
+            max_wait: self.metadata.max_wait.duration(),
+            timeout: left / QUEUE_WAIT_DIVISOR,
         };
         let (slots, queue) = executor.queue_limits(&self.metadata);
         let mut waited = Duration::ZERO;
@@ -219,11 +219,11 @@
                 .await?;
             // Refusing the request now would waste the transfer of its body.
             let left = self.deadline.saturating_duration_since(Instant::now());
-            bid.tolerance = patience::tolerance(left, Duration::ZERO);
-            bid.patience = left / QUEUE_WAIT_DIVISOR;
+            bid.max_wait = wait::max_wait(left, Duration::ZERO);
+            bid.timeout = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
-        let permit = executor.queue.enter(slots, queue, bid).await?;
+        let permit = executor.queue.acquire(slots, queue, bid).await?;
         // If the daemon was suspended while the request waited, the caller may have timed out and
         // been told so, or the target may have left. Hence deadline and target are checked again
         // with the slot held, right before the request is dispatched.
@@ -251,12 +251,12 @@
         continue_signal: &Continue,
         executor: &Executor,
         queue: u32,
-        bid: Bid,
+        bid: Options,
     ) -> Result<Duration, Reason> {
         let began = Instant::now();
         let _permit = executor
             .body_queue
-            .enter(MAX_BODY_TRANSFERS, queue, bid)
+            .acquire(MAX_BODY_TRANSFERS, queue, bid)
             .await?;
         let waited = began.elapsed();
         continue_signal.send();
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -222,11 +222,11 @@
         );
         let mut call = preparing.await?;
         call.metadata.caller_service = settings.service.clone().unwrap_or_default();
-        let (experience, route) = (&self.sender.chooser.experience, &call.plan.route.name);
+        let (experience, route) = (&self.sender.chooser.statistics, &call.plan.route.name);
         if experience.is_nested(route) {
             call.extend_soft_deadline();
         } else if let Some(given) = call.caller_timeout {
-            let earlier_wait = experience.waited(route, given);
+            let earlier_wait = experience.caller_wait(route, given);
             call.deduct_earlier_wait(earlier_wait);
         }
         Ok(call)
@@ -306,7 +306,7 @@
 
     fn may_retry(&self, rule: &Retry, call: &Call, reason: Reason) -> bool {
         let repeatable = call.metadata.repeatable;
-        let allowed = retry::again(
+        let allowed = retry::is_allowed(
             rule,
             call.attempts,
             repeatable,
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -1,44 +1,44 @@
-//! The gate's limit: slots, and a short queue by priority.
+//! Concurrency limit of a sidecar: a number of slots and a short queue ordered by priority.
 //!
-//! A [`Limit`] decides which request runs, waits or is shed. It is a plain state machine over
-//! ticket numbers; the gate wakes the tickets that it names.
+//! A [`Limit`] decides which request runs, waits or is shed. It is a state machine without I/O:
+//! requests are ticket numbers, and the admission queue wakes those that it returns.
 //!
 //! ```
 //! use jackdawpulley::configuration::document::Class;
-//! use jackdawpulley::calls::limit::{Admission, Limit};
+//! use jackdawpulley::calls::limit::{Decision, Limit};
 //!
 //! let mut limit = Limit::new(1, 1);
-//! assert_eq!(limit.enter(1, Class::Interactive), Admission::Run);
-//! assert_eq!(limit.enter(2, Class::Background), Admission::Wait { shed: None });
-//! assert_eq!(limit.enter(3, Class::Interactive), Admission::Wait { shed: Some(2) });
-//! assert_eq!(limit.leave(), Some(3));
+//! assert_eq!(limit.acquire(1, Class::Interactive), Decision::Run);
+//! assert_eq!(limit.acquire(2, Class::Background), Decision::Wait { shed: None });
+//! assert_eq!(limit.acquire(3, Class::Interactive), Decision::Wait { shed: Some(2) });
+//! assert_eq!(limit.release(), Some(3));
 //! ```
 
 use std::time::Duration;
 
 use crate::units::Priority;
 
-/// Weight of one request in the average time for which a slot is held: some thirty requests.
+/// Weight of one request in the moving average of the hold time: averages about thirty requests.
 const HOLD_WEIGHT: f64 = 0.03;
 
-/// Number of a request at its gate.
+/// Number of a request at its sidecar, in order of arrival.
 pub type Ticket = u64;
 
-/// What becomes of a request that asks for a slot.
+/// Decision on a request that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
-    /// It has a slot.
+pub enum Decision {
+    /// The request has a slot.
     Run,
-    /// It waits; the request of lower priority that it displaced is shed.
+    /// The request waits.
     Wait {
-        /// Ticket that lost its place.
+        /// Request of lower priority that lost its place in the full queue and is shed.
         shed: Option<Ticket>,
     },
-    /// It is shed itself.
+    /// The request is shed.
     Shed,
 }
 
-/// Slots in use and requests that wait.
+/// Concurrency limit with a priority queue.
 #[derive(Debug)]
 pub struct Limit {
     slots: u32,
@@ -46,12 +46,12 @@
     running: u32,
     /// Sorted by priority, then by ticket: the first is the next to run.
     waiting: Vec<(Priority, Ticket)>,
-    /// Average time for which a slot is held, in seconds; 0 before the first was given back.
-    hold_s: f64,
+    /// Moving average of the time for which a slot is held; 0 before the first sample.
+    mean_hold_s: f64,
 }
 
 impl Limit {
-    /// A limit with `slots` to run and `queue` places to wait.
+    /// Creates a limit with `slots` slots and `queue` places to wait.
     #[must_use]
     pub const fn new(slots: u32, queue: u32) -> Self {
         Self {
@@ -59,53 +59,56 @@
             queue,
             running: 0,
             waiting: Vec::new(),
-            hold_s: 0.0,
+            mean_hold_s: 0.0,
         }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     #[must_use]
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Changes the sizes; returns the tickets that may run now.
+    /// Changes the sizes and returns the tickets that may run now.
     pub fn resize(&mut self, slots: u32, queue: u32) -> Vec<Ticket> {
         self.slots = slots;
         self.queue = queue;
         std::iter::from_fn(|| self.promote()).collect()
     }
 
-    /// Asks for a slot.
-    pub fn enter(&mut self, ticket: Ticket, priority: impl Into<Priority>) -> Admission {
+    /// Requests a slot.
+    pub fn acquire(&mut self, ticket: Ticket, priority: impl Into<Priority>) -> Decision {
         let priority = priority.into();
         if self.running < self.slots && self.waiting.is_empty() {
             self.running += 1;
-            return Admission::Run;
+            return Decision::Run;
         }
         if self.waiting.len() < self.queue as usize {
             self.insert(priority, ticket);
-            return Admission::Wait { shed: None };
+            return Decision::Wait { shed: None };
         }
         match self.waiting.last() {
-            Some(&(lowest, loser)) if priority < lowest => {
+            Some(&(lowest, displaced)) if priority < lowest => {
                 self.waiting.pop();
                 self.insert(priority, ticket);
-                Admission::Wait { shed: Some(loser) }
+                Decision::Wait {
+                    shed: Some(displaced),
+                }
             }
-            _ => Admission::Shed,
+            _ => Decision::Shed,
         }
     }
 
-    /// Requests that would leave before one of `priority` that asked now: 0 while a slot is free.
+    /// Number of slot releases after which a new request of `priority` would run; 0 while a slot
+    /// is free.
     #[must_use]
-    pub fn ahead(&self, priority: impl Into<Priority>) -> usize {
+    pub fn position(&self, priority: impl Into<Priority>) -> usize {
         if self.running < self.slots && self.waiting.is_empty() {
             return 0;
         }
@@ -115,35 +118,35 @@
             .partition_point(|&(other, _)| other <= priority)
     }
 
-    /// Wait to expect for a request of `priority` that asks now.
+    /// Expected wait of a new request of `priority`.
     #[must_use]
     pub fn expected_wait(&self, priority: impl Into<Priority>) -> Duration {
-        let ahead = u32::try_from(self.ahead(priority)).unwrap_or(u32::MAX);
+        let position = u32::try_from(self.position(priority)).unwrap_or(u32::MAX);
         let slots = f64::from(self.slots.max(1));
-        let seconds = f64::from(ahead) * self.hold_s / slots;
+        let seconds = f64::from(position) * self.mean_hold_s / slots;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Notes for how long a slot was held.
-    pub fn held(&mut self, time: Duration) {
+    /// Records for how long a slot was held.
+    pub fn record_hold(&mut self, time: Duration) {
         let time = time.as_secs_f64();
-        if self.hold_s == 0.0 {
-            self.hold_s = time;
+        if self.mean_hold_s == 0.0 {
+            self.mean_hold_s = time;
         }
-        self.hold_s += HOLD_WEIGHT * (time - self.hold_s);
+        self.mean_hold_s += HOLD_WEIGHT * (time - self.mean_hold_s);
     }
 
-    /// Gives a waiting request up; `false` when it does not wait any more.
+    /// Removes a waiting request; `false` if it no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let place = self
+        let index = self
             .waiting
             .iter()
             .position(|&(_, waiting)| waiting == ticket);
-        place.map(|index| self.waiting.remove(index)).is_some()
+        index.map(|index| self.waiting.remove(index)).is_some()
     }
 
-    /// Gives a slot back; the ticket that gets it runs now.
-    pub fn leave(&mut self) -> Option<Ticket> {
+    /// Releases a slot and returns the ticket that runs next, if any.
+    pub fn release(&mut self) -> Option<Ticket> {
         self.running = self.running.saturating_sub(1);
         self.promote()
     }
@@ -157,9 +160,9 @@
     }
 
     fn insert(&mut self, priority: Priority, ticket: Ticket) {
-        let place = self
+        let index = self
             .waiting
             .partition_point(|&waiting| waiting < (priority, ticket));
-        self.waiting.insert(place, (priority, ticket));
+        self.waiting.insert(index, (priority, ticket));
     }
 }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -7,30 +7,29 @@
 //! [`retry`]. The caller is told the [`outcome`]. Header names and conventions are those of a
 //! [`dialect`]. Which [`connections`] of callers are kept is decided where they are accepted.
 
+pub(crate) mod admission;
+pub(crate) mod attempt;
+pub(crate) mod balancer;
+pub(crate) mod call;
+pub(crate) mod callers;
 pub mod connections;
 pub mod dialect;
+pub(crate) mod dispatch;
+pub(crate) mod executor;
+pub(crate) mod http_server;
+pub(crate) mod ingress;
+pub mod latency;
 pub mod limit;
-pub mod lines;
+pub mod log_rate;
 pub mod metadata;
-pub mod origins;
+pub mod nesting;
 pub mod outcome;
-pub mod pace;
-pub mod patience;
 pub mod pick;
 pub mod retry;
 pub mod route;
-pub mod transit;
-
-pub(crate) mod attempt;
-pub(crate) mod call;
-pub(crate) mod callers;
-pub(crate) mod choice;
-pub(crate) mod dispatch;
-pub(crate) mod executor;
-pub(crate) mod experience;
-pub(crate) mod http_server;
-pub(crate) mod ingress;
-pub(crate) mod line;
 pub(crate) mod sidecar;
+pub(crate) mod statistics;
 pub(crate) mod stream;
+pub mod transit_delay;
 pub(crate) mod validator;
+pub mod wait;
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -16,7 +16,7 @@
 use crate::board::Board;
 use crate::calls::executor::{Executor, QueueTime, Received};
 use crate::calls::metadata::Metadata;
-use crate::calls::origins::Origins;
+use crate::calls::nesting::Detector;
 use crate::calls::outcome::{self, Reason};
 use crate::idempotency::guard::Keys;
 use crate::units::{Millis, Service};
@@ -31,7 +31,7 @@
     executor: Arc<Executor>,
     keys: Arc<Keys>,
     /// Locked only briefly, and never across an await.
-    origins: Mutex<Origins>,
+    origins: Mutex<Detector>,
 }
 
 /// Load that a sidecar reports with each response, written as numbers separated by commas.
@@ -132,7 +132,7 @@
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&metadata.route, &metadata.caller_service, &roster.fleet)
+        origins.record(&metadata.route, &metadata.caller_service, &roster.fleet)
     }
 
     fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -17,8 +17,7 @@
 use crate::calls::metadata::{METADATA, read_metadata};
 use crate::calls::sidecar::Sidecar;
 use crate::calls::stream::{self, Continue, Incoming, REQUEST_WINDOW_BYTES};
-use crate::calls::transit::Transit;
-use crate::clock;
+use crate::calls::transit_delay::Estimator;
 use crate::configuration::exchange::{Pull, Reply};
 use crate::configuration::relay::{PULL, PUSH, Relay};
 use crate::error::{Error, FrameSnafu, ListenSnafu, Result};
@@ -29,7 +28,7 @@
 use crate::peer::counted::Counted;
 use crate::peer::link::{CONNECTION_WINDOW, collect};
 use crate::units::Millis;
-use crate::wire;
+use crate::{clock, wire};
 
 /// Path of a [`Join`].
 pub const JOIN: &str = "/control/join";
@@ -87,7 +86,7 @@
         let _ = stream.set_nodelay(true);
         let counted = Counted::new(stream, Some(Arc::clone(&self.board.meter)));
         let calls = counted.calls();
-        let transit = Arc::new(Transit::default());
+        let transit = Arc::new(Estimator::default());
         let mut connection = h2::server::Builder::new()
             .initial_window_size(REQUEST_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW)
@@ -164,7 +163,7 @@
         &self,
         request: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
-        transit: &Transit,
+        transit: &Estimator,
     ) {
         let (mut parts, stream) = request.into_parts();
         let Ok(mut handover) = read_metadata(&mut parts.headers) else {
@@ -175,7 +174,7 @@
         // Guards against work for callers that have left: on a full link a call is on its way for most of a
         // second, and its caller's time runs out meanwhile. By what its entry wrote it would run all the
         // same, and the target would get more time than there is. The gate refuses what came too late.
-        let late = Millis::from(transit.late(handover.sent_ms, clock::boot_ms()));
+        let late = Millis::from(transit.excess(handover.sent_ms, clock::boot_ms()));
         handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
         handover.max_wait.0 = handover.max_wait.0.saturating_sub(late.0);
         let held_back = Continue::default();
--- /dev/null
+++ b/tests/upstream_pick.rs
@@ -0,0 +1,115 @@
+//! Choice and ejection of upstreams.
+
+mod common;
+
+use std::time::{Duration, Instant};
+
+use common::fixed;
+use jackdawpulley::calls::pick::{Candidate, Detector, Policy, choose, slow_start_share};
+use jackdawpulley::configuration::document::Ejection;
+use jackdawpulley::units::{Millis, Percent};
+use proptest::prelude::*;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+fn candidate() -> impl Strategy<Value = Candidate> {
+    (
+        any::<bool>(),
+        0_u32..30,
+        1_u32..30,
+        0.1_f64..1.0,
+        prop::bool::weighted(0.3),
+    )
+        .prop_map(|(local, load, slots, share, ejected)| Candidate {
+            local,
+            load,
+            slots,
+            share,
+            ejected,
+        })
+}
+
+proptest! {
+    #![proptest_config(fixed(500))]
+
+    #[test]
+    fn best_tier_is_preferred(all in prop::collection::vec(candidate(), 1..12), seed: u64) {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let chosen = all[choose(Policy::TwoChoices, &all, &mut rng).expect("there are candidates")];
+        let room = |c: &Candidate| !c.ejected && c.load < c.slots;
+        if all.iter().any(|c| room(c) && c.local) {
+            prop_assert!(room(&chosen) && chosen.local);
+        } else if all.iter().any(room) {
+            prop_assert!(room(&chosen));
+        } else if all.iter().any(|c| !c.ejected) {
+            prop_assert!(!chosen.ejected);
+        }
+    }
+
+    /// Guards against refusing callers of a healthy group: if a fault that is not the targets' own
+    /// fails every call, all targets would be ejected one after the other without a maximum share.
+    #[test]
+    fn group_is_never_fully_ejected(total in 1_usize..12, failing in prop::collection::vec(0_usize..12, 0..200)) {
+        let rule = Ejection { failures: 2, base_ms: Millis(1_000), max_share: Percent(50) };
+        let now = Instant::now();
+        let mut all = vec![Detector::default(); total];
+        for index in failing {
+            let ejected = all.iter().filter(|detector| detector.ejected(now)).count();
+            all[index % total].record_failure(now, &rule, ejected, total);
+        }
+        let ejected = all.iter().filter(|detector| detector.ejected(now)).count();
+        prop_assert!(ejected * 2 <= total && ejected < total);
+    }
+}
+
+#[test]
+fn no_candidate_gives_no_choice() {
+    let mut rng = SmallRng::seed_from_u64(1);
+    assert_eq!(choose(Policy::TwoChoices, &[], &mut rng), None);
+    assert_eq!(choose(Policy::Random, &[], &mut rng), None);
+}
+
+#[test]
+fn share_grows_during_slow_start() {
+    let ramp = Duration::from_secs(10);
+    let shares: Vec<f64> = [0, 5, 10]
+        .map(|s| slow_start_share(Duration::from_secs(s), ramp))
+        .to_vec();
+    assert!(shares[0] > 0.0 && shares[0] < shares[1] && shares[1] < shares[2]);
+    assert!((shares[2] - 1.0).abs() < f64::EPSILON);
+}
+
+#[test]
+fn ejection_ends_and_grows() {
+    let rule = Ejection {
+        failures: 1,
+        base_ms: Millis(100),
+        max_share: Percent(100),
+    };
+    let now = Instant::now();
+    let mut detector = Detector::default();
+    detector.record_failure(now, &rule, 0, 4);
+    let first = detector.ejected_until.expect("it is ejected") - now;
+    let later = now + first;
+    assert!(!detector.ejected(later));
+    detector.record_failure(later, &rule, 0, 4);
+    assert_eq!(
+        detector.ejected_until.expect("it is ejected") - later,
+        2 * first
+    );
+}
+
+/// Guards against sending every call to a daemon that is stopping: it refuses them until the
+/// membership update has spread. It must be tried again a moment later.
+#[test]
+fn unavailable_upstream_is_ejected_briefly() {
+    let now = Instant::now();
+    let mut detector = Detector::default();
+    detector.record_unavailable(now);
+    assert!(detector.ejected(now));
+    assert!(!detector.ejected(now + Duration::from_secs(1)));
+    assert_eq!(
+        detector.ejections, 0,
+        "it does not count as an ejection for failures"
+    );
+}
