--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -187,7 +187,8 @@
             }
             Recency::New => {
                 info!(self.board.logger, "target announced"; "service" => %renewal.service,
-                    "instance" => %renewal.process.instance, "born" => renewal.process.start_time.map(|start_time| start_time.0),
+                    "instance" => %renewal.process.instance,
+                    "born" => renewal.process.start_time.map(|start_time| start_time.0),
                     "sequence" => renewal.sequence,
                     "revision" => renewal.revision.as_ref().map(ToString::to_string),
                     "slots" => renewal.slots.0);
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -239,7 +239,7 @@
         self.note_watermark(datagram);
         match &datagram.message {
             Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
-            Message::Rollouts(told) => self.board.rollouts.merge(told),
+            Message::Rollouts(rollouts) => self.board.rollouts.merge(rollouts),
             Message::Report(report) => {
                 self.board.rollouts.hear(datagram.from.peer, report.clone());
             }
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -94,7 +94,7 @@
         self.maintain_registration(&registration).await;
     }
 
-    /// Restores the stored quarantine notes. While the log is unavailable, the peers have sent them.
+    /// Restores the stored quarantine notes. If the log is unavailable, peers have already sent them.
     async fn restore_quarantine(&self) {
         match self.archive.recall().await {
             Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
@@ -174,7 +174,8 @@
                 _ = rosters.changed() => candidates = self.known_peers(),
                 _ = versions.changed() => {}
                 () = tokio::time::sleep_until(deadline), if !late => {
-                    warn!(self.board.logger, "not ready yet: no configuration known to be recent enough"; "version" => version.0, "read" => read);
+                    warn!(self.board.logger, "not ready yet: no configuration known to be recent enough";
+                        "version" => version.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
@@ -316,7 +317,8 @@
                 && !before_deadline
                 && floor.met_by_peers(version, self.count_data_centres())
             {
-                warn!(self.board.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
+                warn!(self.board.logger, "the log is unavailable; using the configuration of peers";
+                    "version" => version.0);
                 return;
             }
             if !before_deadline && !warned {
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -167,10 +167,10 @@
     /// Whether a target runs the stable revision of its service, as far as both are known.
     #[must_use]
     pub fn is_stable(&self, target: &Target, now: Instant) -> bool {
-        let stable_revisions = self.stable_revisions.get(&target.service, now);
-        stable_revisions.is_none()
+        let stable_revision = self.stable_revisions.get(&target.service, now);
+        stable_revision.is_none()
             || target.revision.is_none()
-            || target.revision.as_ref() == stable_revisions
+            || target.revision.as_ref() == stable_revision
     }
 
     fn pool(&self, service: &Service) -> Option<&Pool> {
@@ -207,14 +207,14 @@
 
 /// Number of hosts of each service, sorted by service.
 fn host_counts(members: &[Member]) -> Vec<(Service, usize)> {
-    let mut fleet: Vec<(Service, usize)> = Vec::new();
+    let mut host_counts: Vec<(Service, usize)> = Vec::new();
     for offer in members.iter().filter_map(|member| member.offer.as_ref()) {
-        match fleet.binary_search_by(|(service, _)| service.cmp(&offer.service)) {
-            Ok(index) => fleet[index].1 += 1,
-            Err(index) => fleet.insert(index, (offer.service.clone(), 1)),
+        match host_counts.binary_search_by(|(service, _)| service.cmp(&offer.service)) {
+            Ok(index) => host_counts[index].1 += 1,
+            Err(index) => host_counts.insert(index, (offer.service.clone(), 1)),
         }
     }
-    fleet
+    host_counts
 }
 
 impl Upstream {
@@ -330,14 +330,14 @@
 
     /// Records that it could not be reached.
     pub fn record_unavailable(&self, now: Instant) {
-        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
-        evidence.absent(now);
+        let mut detector = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
+        detector.absent(now);
     }
 
     /// Records a failure; `out` of `total` upstreams of its group are ejected.
     pub fn record_failure(&self, now: Instant, rule: &Ejection, out: usize, total: usize) {
-        let mut evidence = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
-        evidence.failed(now, rule, out, total);
+        let mut detector = self.detector.lock().unwrap_or_else(PoisonError::into_inner);
+        detector.failed(now, rule, out, total);
     }
 
     /// Counts an own request until the returned value is dropped.
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -148,8 +148,8 @@
     }
 
     /// Sets the hash of the target crashes and rollouts that the own daemon knows.
-    pub const fn set_gossip_hash(&mut self, evidence: u64) {
-        self.gossip_hash = evidence;
+    pub const fn set_gossip_hash(&mut self, gossip_hash: u64) {
+        self.gossip_hash = gossip_hash;
     }
 
     /// Returns up to `count` members at random that are not gone.
