--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -51,19 +51,21 @@
     }
 
     /// Sends messages to a few members chosen at random.
-    async fn send_to_random(&self, probes: Vec<Message>) {
+    async fn send_to_random(&self, messages: Vec<Message>) {
         let sends = {
             let mut guard = self.state();
             self.refresh_view(&mut guard);
             let State { view, rng, .. } = &mut *guard;
             let receivers = view.sample_live(FANOUT, rng);
             let sends = receivers.into_iter().flat_map(|peer| {
-                let probes = probes.iter().cloned();
-                probes.map(move |probe| (peer, probe))
+                let messages = messages.iter().cloned();
+                messages.map(move |message| (peer, message))
             });
             let sends: Vec<(SocketAddr, Message)> = sends.collect();
             let sends = sends.into_iter();
-            sends.map(|(to, probe)| view.datagram(to, probe)).collect()
+            sends
+                .map(|(to, message)| view.datagram(to, message))
+                .collect()
         };
         self.send(sends).await;
     }
@@ -86,7 +88,7 @@
         let rollouts = pages(rollouts).into_iter().map(Message::Rollouts);
         crashes
             .chain(rollouts)
-            .map(|probe| guard.view.datagram(peer, probe))
+            .map(|message| guard.view.datagram(peer, message))
             .collect()
     }
 }
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -149,8 +149,8 @@
 
 /// Concurrent join requests of a starting daemon.
 ///
-/// Each response is applied when it arrives. After a power failure a few of the peers are mostly still down, and
-/// a daemon that waits for them before it applies the other responses refuses its callers for as long.
+/// Each response is applied when it arrives. After a power failure a few peers are usually still down, and a
+/// daemon that waits for them before it applies the other responses refuses its callers for as long.
 #[derive(Debug)]
 pub struct Requests {
     join_client: Arc<JoinClient>,
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Listing::consult`].
+    /// As [`Registration::discover`].
     pub async fn register_and_read(&self) -> Result<Peers> {
         self.register().await?;
         Ok(peers(self.read(usize::MAX).await?))
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Listing::consult`].
+    /// As [`Registration::discover`].
     pub async fn maintain(&self) -> Result<Peers> {
         let contacts = self.read(usize::MAX).await?;
         let roster = self.board.roster();
