--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -193,7 +193,7 @@
         join_client: greeting,
         reader: Arc::clone(&reader),
         contacts,
-        origin: origin.clone(),
+        control_plane: origin.clone(),
         archive: archive.clone(),
         endpoint: Arc::clone(&desk),
     };
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -178,7 +178,7 @@
             slots,
             crashes: self.board.quarantine.told(),
             rollouts: self.board.rollouts.told(),
-            era: self.board.era(),
+            generation: self.board.era(),
             stable_revisions: guard.stable_revisions.told(),
         }
     }
@@ -235,7 +235,7 @@
     }
 
     async fn handle(&self, datagram: &Datagram) {
-        self.board.note_era(datagram.era);
+        self.board.note_era(datagram.generation);
         self.note_watermark(datagram);
         match &datagram.message {
             Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
@@ -341,7 +341,7 @@
         let latest = self.board.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.board.digest());
-        state.view.set_era(self.board.era());
+        state.view.set_generation(self.board.era());
         state.view.set_gossip_hash(self.gossip_hash());
     }
 
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -27,7 +27,7 @@
     /// first read.
     pub watermark: Option<freshness::Report>,
     /// Highest generation of the control plane's store that the sender knows.
-    pub era: Era,
+    pub generation: Era,
     /// Hash of the target crashes and rollouts that the sender knows; 0 if it knows none.
     pub gossip_hash: u64,
     /// Kind of message, with its content.
@@ -89,7 +89,7 @@
     /// Rollouts that the responder knows.
     pub rollouts: Vec<Progress>,
     /// Highest generation of the control plane's store that the responder knows.
-    pub era: Era,
+    pub generation: Era,
     /// Stable revision of each service: the one that gets its requests while no rollout is ordered.
     pub stable_revisions: Vec<(Service, Revision)>,
 }
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -61,7 +61,7 @@
     /// List of contacts on the log.
     pub contacts: Contacts,
     /// Control plane, if one keeps the configuration and lists daemons.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub control_plane: Option<Arc<dyn Origin>>,
     /// Stored quarantine notes.
     pub archive: Archive,
     /// Endpoint that finds the target of a daemon that was killed.
@@ -74,14 +74,14 @@
     pub async fn run(self: Arc<Self>) {
         // Spreads the requests when a whole data centre comes back.
         tokio::time::sleep(jitter(ROUND_PAUSE)).await;
-        let Some(origin) = self.origin.clone() else {
+        let Some(control_plane) = self.control_plane.clone() else {
             self.start_from_log().await;
             self.restore_quarantine().await;
             self.serve().await;
             self.contacts.maintain().await;
             return;
         };
-        let registration = Registration::new(Arc::clone(&self.board), origin);
+        let registration = Registration::new(Arc::clone(&self.board), control_plane);
         let listed = self.start_from_control_plane(&registration).await;
         self.serve().await;
         self.join_late_peers(listed).await;
@@ -138,14 +138,14 @@
         while self.board.stage() == Stage::Starting {
             let late = tokio::time::Instant::now() >= deadline;
             let version = self.board.digest().version;
-            let has_version = version > Version(0) && version >= welcomes.floor.version();
+            let has_version = version > Version(0) && version >= welcomes.requirement.version();
             // Responses of peers contain the targets that this daemon's callers need, and what its own target
             // offered.
             let waits_for_welcome =
                 welcomes.count == 0 && (!list_received || requests.is_pending()) && !late;
             let peers_suffice = (list_received || late)
                 && welcomes
-                    .floor
+                    .requirement
                     .met_by_peers(version, self.count_data_centres());
             if has_version && !waits_for_welcome && (read || peers_suffice) {
                 break;
@@ -257,7 +257,7 @@
     /// Keeps enough daemons listed, and joins those that were listed meanwhile.
     async fn maintain_registration(&self, registration: &Registration) {
         let mut pause_when_alone = ISOLATED_PAUSE;
-        let mut eras = self.board.eras();
+        let mut generations = self.board.eras();
         loop {
             // Waits first, since the list has just been read.
             let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
@@ -267,7 +267,7 @@
             } else {
                 pause
             };
-            let waiting = tokio::time::timeout(pause, eras.changed());
+            let waiting = tokio::time::timeout(pause, generations.changed());
             if waiting.await.is_ok_and(|changed| changed.is_ok()) {
                 self.register_again(registration).await;
                 continue;
@@ -306,16 +306,16 @@
         while self.board.stage() == Stage::Starting {
             let contacts = self.seed_addresses().await;
             self.join_client.join_through(contacts, &mut welcomes).await;
-            let floor = &mut welcomes.floor;
-            let log_read = self.read_log(floor).await;
+            let requirement = &mut welcomes.requirement;
+            let log_read = self.read_log(requirement).await;
             let version = self.board.digest().version;
-            if log_read && floor.met_by_log(version, self.store.next()) {
+            if log_read && requirement.met_by_log(version, self.store.next()) {
                 return;
             }
             let before_deadline = began.elapsed() < self.board.settings.log_patience_ms.duration();
             if !log_read
                 && !before_deadline
-                && floor.met_by_peers(version, self.count_data_centres())
+                && requirement.met_by_peers(version, self.count_data_centres())
             {
                 warn!(self.board.logger, "the log is unavailable; using the configuration of peers";
                     "version" => version.0);
@@ -333,12 +333,12 @@
     }
 
     /// Reads the log to its head; returns `false` while it is unavailable.
-    async fn read_log(&self, floor: &mut Floor) -> bool {
+    async fn read_log(&self, requirement: &mut Floor) -> bool {
         loop {
             let Ok(head) = self.reader.turn(Millis(0)).await else {
                 return false;
             };
-            floor.read_head(head);
+            requirement.read_head(head);
             if self.store.next() >= head {
                 return true;
             }
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Welcomes {
     /// Requirement on the configuration with which it may serve.
-    pub floor: Floor,
+    pub requirement: Floor,
     /// Number of responses.
     pub count: usize,
     /// Last entry of an earlier daemon at this address.
@@ -109,10 +109,10 @@
         let responder = welcome.members.first();
         let responder = responder.map(|m| m.data_centre.clone()).unwrap_or_default();
         welcomes
-            .floor
+            .requirement
             .heard(&responder, welcome.digest.version, welcome.highest_version);
         welcomes.slots = welcome.slots.or(welcomes.slots);
-        self.board.note_era(welcome.era);
+        self.board.note_era(welcome.generation);
         self.board.quarantine.merge(&welcome.crashes);
         self.board.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, welcomes);
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -25,14 +25,17 @@
 #[derive(Debug, Clone)]
 pub struct Registration {
     board: Arc<Board>,
-    origin: Arc<dyn Origin>,
+    control_plane: Arc<dyn Origin>,
 }
 
 impl Registration {
-    /// Creates the registration of the daemon of `board` in the list of `origin`.
+    /// Creates the registration of the daemon of `board` in the list of `control_plane`.
     #[must_use]
-    pub const fn new(board: Arc<Board>, origin: Arc<dyn Origin>) -> Self {
-        Self { board, origin }
+    pub const fn new(board: Arc<Board>, control_plane: Arc<dyn Origin>) -> Self {
+        Self {
+            board,
+            control_plane,
+        }
     }
 
     /// Reads the list, and lists this daemon if too few are listed.
@@ -68,7 +71,7 @@
     pub async fn register(&self) -> Result<()> {
         // The request may succeed although no response arrives.
         self.board.set_listed();
-        self.origin.list(&self.contact()).await
+        self.control_plane.list(&self.contact()).await
     }
 
     /// Reads the whole list, and lists this daemon if too few of those listed are members.
@@ -94,20 +97,20 @@
     /// As [`Origin::unlist`].
     pub async fn deregister(&self) -> Result<()> {
         if self.board.is_listed() {
-            self.origin.unlist(&self.contact()).await?;
+            self.control_plane.unlist(&self.contact()).await?;
         }
         Ok(())
     }
 
     /// Reads the list, and restores the quarantine notes that come with it; deletes those that are outdated.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
-        let Directory { contacts, notes } = self.origin.directory(enough).await?;
+        let Directory { contacts, notes } = self.control_plane.directory(enough).await?;
         let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
         self.board.quarantine.recall(&notes, now);
         for (cause, note) in notes {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // A note that cannot be deleted is read again and has no effect.
-                let _ = self.origin.note(cause, None).await;
+                let _ = self.control_plane.note(cause, None).await;
             }
         }
         Ok(contacts)
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -77,7 +77,7 @@
     me: Member,
     digest: Digest,
     watermark: Option<Report>,
-    era: Era,
+    generation: Era,
     gossip_hash: u64,
     entries: Entries,
     pending: Vec<Pending>,
@@ -96,7 +96,7 @@
             me,
             digest: Digest::default(),
             watermark: None,
-            era: Era(0),
+            generation: Era(0),
             gossip_hash: 0,
             entries: Entries::default(),
             pending: Vec::new(),
@@ -143,8 +143,8 @@
     }
 
     /// Sets the highest generation of the control plane's store that the own daemon knows.
-    pub const fn set_era(&mut self, era: Era) {
-        self.era = era;
+    pub const fn set_generation(&mut self, generation: Era) {
+        self.generation = generation;
     }
 
     /// Sets the hash of the target crashes and rollouts that the own daemon knows.
@@ -414,7 +414,7 @@
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
-            era: self.era,
+            generation: self.generation,
             gossip_hash: self.gossip_hash,
             message,
             updates: Vec::new(),
@@ -429,7 +429,7 @@
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
-            era: self.era,
+            generation: self.generation,
             gossip_hash: self.gossip_hash,
             message,
             updates: self.entries.updates(to),
