--- a/src/calls/statistics.rs
+++ b/src/calls/statistics.rs
@@ -52,7 +52,7 @@
         // Refusals carry the load as well, so that a sidecar that has just refused a request for
         // lack of capacity gets a high load.
         if let Some(load) = load {
-            upstream.report(now, load.in_flight);
+            upstream.record_load(now, load.in_flight);
             if load.nested {
                 route_mut(&mut self.routes(), route).nested_until = Some(now + NESTED_TTL);
             }
@@ -61,28 +61,30 @@
             Ok(response) => response,
             Err(reason) => {
                 if reason.is_upstream_failure() || reason == Reason::Shed {
-                    upstream.pace().record_failure(now);
+                    upstream.latency().record_failure(now);
                 }
                 // Until the membership view shows that a daemon or target is leaving, every call
                 // would be sent there, be refused and go on to another upstream.
                 if reason.is_unavailable() && reason != Reason::Moved {
-                    upstream.absent(now);
+                    upstream.record_unavailable(now);
                 }
                 return reason.is_upstream_failure();
             }
         };
         let failed = response.status().is_server_error();
         if failed {
-            upstream.pace().record_failure(now);
+            upstream.latency().record_failure(now);
         } else {
-            upstream.succeeded();
+            upstream.record_success();
             let waited = load.unwrap_or_default().waited.duration();
             let processing = now.saturating_duration_since(began).saturating_sub(waited);
             let bytes = response.headers().get(header::CONTENT_LENGTH);
             let bytes = bytes.and_then(|v| v.to_str().ok()?.parse().ok());
-            let slowdown = upstream.pace().slowdown(now);
+            let slowdown = upstream.latency().slowdown(now);
             let baseline = self.update_baseline(route, processing, slowdown, bytes.unwrap_or(0));
-            upstream.pace().record_response(now, processing, &baseline);
+            upstream
+                .latency()
+                .record_response(now, processing, &baseline);
         }
         failed
     }
--- a/src/membership/probe.rs
+++ b/src/membership/controller.rs
@@ -1,4 +1,4 @@
-//! The membership controller: the view, its datagrams and the roster made from it.
+//! Membership controller: runs the view, sends its datagrams and builds the roster from it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,11 +13,11 @@
 use crate::clock;
 use crate::configuration::relay::Relay;
 use crate::error::{ListenSnafu, Result};
-use crate::membership::census::Census;
-use crate::membership::datagram::{Datagram, Join, Probe, Welcome};
+use crate::membership::datagram::{Datagram, Join, Message, Welcome};
 use crate::membership::entries::Entry;
 use crate::membership::member::{Health, Member, Offer, Stage};
-use crate::membership::roster::{Departed, Home, Roster};
+use crate::membership::member_count::Throttle;
+use crate::membership::roster::{Departed, Location, Roster};
 use crate::membership::timing::Timing;
 use crate::membership::view::{Effects, Send, View};
 use crate::rollout::usual::Usual;
@@ -27,14 +27,15 @@
 use snafu::ResultExt;
 
 /// Ticks of the view in one probe period.
-const TICKS: u64 = 5;
-/// Keeps the membership view.
+const TICKS_PER_PERIOD: u64 = 5;
+
+/// Controller of the membership view.
 #[derive(Debug)]
 pub struct Membership {
     board: Arc<Board>,
     relay: Arc<Relay>,
     socket: UdpSocket,
-    born: Incarnation,
+    initial_incarnation: Incarnation,
     state: Mutex<State>,
 }
 
@@ -42,10 +43,10 @@
 pub(super) struct State {
     pub view: View,
     pub rng: SmallRng,
-    /// When another daemon was told everything that is known of ends of targets.
-    pub reconciled: Option<Instant>,
-    /// Revisions that get requests without an order.
-    usual: Usual,
+    /// When all known target crashes and rollouts were last sent to a peer.
+    pub last_full_sync: Option<Instant>,
+    /// Stable revision of each service.
+    stable_revisions: Usual,
 }
 
 impl Membership {
@@ -53,74 +54,75 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`](crate::Error::Listen) when the address can't be had.
+    /// [`Error::Listen`](crate::Error::Listen) if the address cannot be bound.
     pub async fn open(board: Arc<Board>, relay: Arc<Relay>) -> Result<Self> {
         let settings = &board.settings;
         let address = settings.peer_addr;
         let socket = UdpSocket::bind(address)
             .await
             .context(ListenSnafu { address })?;
-        let me = newborn(settings);
-        let born = me.incarnation;
+        let me = initial_member(settings);
+        let initial_incarnation = me.incarnation;
         let view = View::new(me, timing(settings));
         let rng = SmallRng::from_rng(&mut rand::rng());
         let state = Mutex::new(State {
             view,
             rng,
-            reconciled: None,
-            usual: Usual::default(),
+            last_full_sync: None,
+            stable_revisions: Usual::default(),
         });
         let membership = Self {
             board,
             relay,
             socket,
-            born,
+            initial_incarnation,
             state,
         };
-        membership.rebuild(&mut membership.state());
+        membership.rebuild_roster(&mut membership.state());
         Ok(membership)
     }
 
-    /// Probes and answers for as long as the daemon runs.
+    /// Sends and answers probes for as long as the daemon runs.
     pub async fn run(self: Arc<Self>) {
         let receiver = Arc::clone(&self);
         tokio::spawn(async move { receiver.receive().await });
         let announcer = Arc::clone(&self);
-        tokio::spawn(async move { announcer.announce().await });
+        tokio::spawn(async move { announcer.announce_version().await });
         let voucher = Arc::clone(&self);
-        tokio::spawn(async move { voucher.vouch().await });
+        tokio::spawn(async move { voucher.send_watermark().await });
         let period = self.board.settings.probe_period_ms;
-        let mut census = Census::default();
-        let mut ticks = tokio::time::interval(Millis((period.0 / TICKS).max(1)).duration());
+        let mut throttle = Throttle::default();
+        let mut ticks =
+            tokio::time::interval(Millis((period.0 / TICKS_PER_PERIOD).max(1)).duration());
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.reflect().await;
+            self.publish_own_entry().await;
             self.close_idle_links();
             let live = self.board.roster().members.len();
-            if let Some(before) = census.due(Instant::now(), live) {
+            if let Some(before) = throttle.due(Instant::now(), live) {
                 info!(self.board.logger, "members"; "live" => live, "before" => before);
             }
             let effects = {
                 let mut guard = self.state();
-                self.refresh(&mut guard);
+                self.refresh_view(&mut guard);
                 let State { view, rng, .. } = &mut *guard;
                 let effects = view.tick(Instant::now(), rng);
-                self.settle(&mut guard, &effects);
+                self.rebuild_if_changed(&mut guard, &effects);
                 effects
             };
-            self.carry_out(effects).await;
+            self.apply_effects(effects).await;
         }
     }
 
     fn close_idle_links(&self) {
-        for (_, upstream) in self.board.roster().all() {
+        for (_, upstream) in self.board.roster().all_upstreams() {
             upstream.link.close_idle();
         }
     }
 
-    /// Shows the others what the board says of this daemon and its target.
-    pub async fn reflect(&self) {
+    /// Updates the own entry from the board, and sends it to peers if it has changed.
+    pub async fn publish_own_entry(&self) {
         let stage = self.board.stage();
         let now = Instant::now();
         let target = self
@@ -139,15 +141,15 @@
                 None => view.me().offer.clone().map(closed),
             };
             let sends = view.update(stage, offer, rng);
-            if !sends.is_empty() || view.me().incarnation != self.published(view) {
-                self.rebuild(&mut guard);
+            if !sends.is_empty() || view.me().incarnation != self.published_incarnation(view) {
+                self.rebuild_roster(&mut guard);
             }
             sends
         };
         self.send(sends).await;
     }
 
-    /// Says good-bye to the others.
+    /// Notifies other members that this daemon leaves.
     pub async fn leave(&self, health: Health) {
         let sends = {
             let mut guard = self.state();
@@ -157,45 +159,45 @@
         self.send(sends).await;
     }
 
-    /// Lets a joiner in.
+    /// Adds a joining daemon to the view and returns the response to it.
     #[must_use]
     pub fn welcome(&self, join: &Join) -> Welcome {
         let mut guard = self.state();
-        let ran = guard.view.ran(join.member.peer);
+        let highest_version = guard.view.highest_version(join.member.peer);
         let slots = guard.view.slots(join.member.peer);
-        // The view goes out as it was before the join, so that the joiner sees what is said of
-        // its own address and can refute it.
+        // Taken before the join is merged, so that the joining daemon sees the entry that exists for its
+        // address and can refute it.
         let members = guard.view.members();
         if guard.view.merge(Instant::now(), &join.member) {
-            self.rebuild(&mut guard);
+            self.rebuild_roster(&mut guard);
         }
         Welcome {
             members,
             digest: self.board.digest(),
-            ran,
+            highest_version,
             slots,
             crashes: self.board.quarantine.told(),
             rollouts: self.board.rollouts.told(),
-            era: self.board.era(),
-            usual: guard.usual.told(),
+            generation: self.board.era(),
+            stable_revisions: guard.stable_revisions.told(),
         }
     }
 
-    /// Takes over the view of a peer, and which revisions it has as the usual ones.
-    pub fn learn(&self, members: &[Member], usual: &[(Service, Revision)]) {
+    /// Merges the view of a peer, and adopts its stable revisions.
+    pub fn merge_members(&self, members: &[Member], stable_revisions: &[(Service, Revision)]) {
         let now = Instant::now();
         let mut guard = self.state();
-        guard.usual.adopt(usual);
+        guard.stable_revisions.adopt(stable_revisions);
         for member in members {
             guard.view.merge(now, member);
         }
-        self.rebuild(&mut guard);
+        self.rebuild_roster(&mut guard);
     }
 
-    /// Incarnation with which this daemon started.
+    /// Incarnation of this daemon at its start.
     #[must_use]
-    pub const fn born(&self) -> Incarnation {
-        self.born
+    pub const fn initial_incarnation(&self) -> Incarnation {
+        self.initial_incarnation
     }
 
     /// This daemon's own entry.
@@ -219,63 +221,63 @@
             self.board.meter.received(length);
             match wire::decode::<Datagram>(&buffer[..length]) {
                 Ok(datagram) if datagram.release == wire::RELEASE => {
-                    self.take(&datagram).await;
+                    self.handle(&datagram).await;
                 }
                 Ok(_) => {
                     debug!(self.board.logger, "datagram of another release"; "from" => %sender);
                 }
                 Err(error) => {
                     metrics::counter!("jackdaw_bad_datagrams_total").increment(1);
-                    debug!(self.board.logger, "bad datagram"; "from" => %sender, "error" => %error);
+                    debug!(self.board.logger, "invalid datagram"; "from" => %sender, "error" => %error);
                 }
             }
         }
     }
 
-    async fn take(&self, datagram: &Datagram) {
-        self.board.note_era(datagram.era);
+    async fn handle(&self, datagram: &Datagram) {
+        self.board.note_era(datagram.generation);
         self.note_watermark(datagram);
-        match &datagram.probe {
-            Probe::Crashes(crashes) => self.board.quarantine.merge(crashes),
-            Probe::Rollouts(told) => self.board.rollouts.merge(told),
-            Probe::Report(report) => {
+        match &datagram.message {
+            Message::Crashes(crashes) => self.board.quarantine.merge(crashes),
+            Message::Rollouts(rollouts) => self.board.rollouts.merge(rollouts),
+            Message::Report(report) => {
                 self.board.rollouts.hear(datagram.from.peer, report.clone());
             }
             _ => {}
         }
         let effects = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
+            self.refresh_view(&mut guard);
             let effects = guard.view.receive(Instant::now(), datagram);
-            self.settle(&mut guard, &effects);
+            self.rebuild_if_changed(&mut guard, &effects);
             effects
         };
-        self.carry_out(effects).await;
+        self.apply_effects(effects).await;
     }
 
-    /// Hash of what this daemon knows of requests that end targets and of roll-outs.
-    pub(super) fn evidence(&self) -> u64 {
+    /// Hash of the target crashes and rollouts that this daemon knows.
+    pub(super) fn gossip_hash(&self) -> u64 {
         self.board.quarantine.hash() ^ self.board.rollouts.hash()
     }
 
-    fn settle(&self, state: &mut State, effects: &Effects) {
+    fn rebuild_if_changed(&self, state: &mut State, effects: &Effects) {
         if effects.changed {
-            self.rebuild(state);
+            self.rebuild_roster(state);
         }
     }
 
-    async fn carry_out(&self, effects: Effects) {
-        if let Some(peer) = effects.ahead {
-            self.catch_up(peer);
+    async fn apply_effects(&self, effects: Effects) {
+        if let Some(peer) = effects.newer_config_at {
+            self.pull_from(peer);
         }
-        if let Some(peer) = effects.differs {
-            self.send(self.reconcile(peer)).await;
+        if let Some(peer) = effects.gossip_differs_at {
+            self.send(self.full_sync(peer)).await;
         }
         self.send(effects.sends).await;
     }
 
-    /// Repairs what the tree lost: fetches from a peer that is ahead.
-    fn catch_up(&self, peer: SocketAddr) {
+    /// Fetches a configuration that the relay tree did not deliver from a peer with a newer one.
+    fn pull_from(&self, peer: SocketAddr) {
         if self.board.settings.delivery == Delivery::Poll {
             return;
         }
@@ -291,19 +293,19 @@
         }
     }
 
-    fn published(&self, view: &View) -> Incarnation {
+    fn published_incarnation(&self, view: &View) -> Incarnation {
         let roster = self.board.roster();
         roster
             .member(view.me().peer)
             .map_or(Incarnation(0), |me| me.incarnation)
     }
 
-    fn rebuild(&self, state: &mut State) {
+    fn rebuild_roster(&self, state: &mut State) {
         let now = Instant::now();
-        let old = self.board.roster();
+        let previous = self.board.roster();
         let settings = &self.board.settings;
         let address = settings.peer_addr.ip();
-        let home = Home {
+        let location = Location {
             data_centre: settings.data_centre.clone(),
             address,
         };
@@ -323,9 +325,9 @@
             .cloned()
             .chain([state.view.me().clone()])
             .collect();
-        let usual = state.usual.clone();
-        let roster = Roster::build(live, gone, &home, &old, usual, now);
-        state.usual.clone_from(&roster.usual);
+        let stable_revisions = state.stable_revisions.clone();
+        let roster = Roster::build(live, gone, &location, &previous, stable_revisions, now);
+        state.stable_revisions.clone_from(&roster.stable_revisions);
         self.board.set_roster(roster);
     }
 
@@ -333,14 +335,14 @@
         &self.board
     }
 
-    /// Has the view tell what this daemon has and knows now.
-    pub(super) fn refresh(&self, state: &mut State) {
-        // Before the version, which may rise meanwhile: the watermark holds for a newer one as well.
+    /// Updates what the view sends about the state of this daemon.
+    pub(super) fn refresh_view(&self, state: &mut State) {
+        // Read before the version, which may rise meanwhile: the watermark is also valid for a newer one.
         let latest = self.board.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.board.digest());
-        state.view.set_era(self.board.era());
-        state.view.set_evidence(self.evidence());
+        state.view.set_generation(self.board.era());
+        state.view.set_gossip_hash(self.gossip_hash());
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
@@ -348,10 +350,10 @@
     }
 }
 
-/// The entry of a daemon that starts now.
-fn newborn(settings: &Settings) -> Member {
-    // A restarted daemon has to win over what is said of its earlier life: the clock mostly does
-    // that at once, and the welcome of any peer does it when the clock was set back.
+/// Entry of a daemon that starts now.
+fn initial_member(settings: &Settings) -> Member {
+    // After a restart the entry has to override those of the earlier process. The clock mostly ensures that at
+    // once; if the clock was set back, the Welcome of any peer does.
     Member {
         peer: settings.identity(),
         operator: settings.operator_addr,
@@ -365,9 +367,9 @@
 
 fn timing(settings: &Settings) -> Timing {
     Timing {
-        period: settings.probe_period_ms.duration(),
-        patience: settings.probe_timeout_ms.duration(),
-        suspicion: settings.suspicion_ms.duration(),
-        memory: settings.gone_memory_ms.duration(),
+        probe_period: settings.probe_period_ms.duration(),
+        probe_timeout: settings.probe_timeout_ms.duration(),
+        suspicion_timeout: settings.suspicion_ms.duration(),
+        gone_retention: settings.gone_memory_ms.duration(),
     }
 }
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -1,4 +1,4 @@
-//! Starting: find contacts, join, and reach a floor for the configuration.
+//! Start of a daemon: finds contacts, joins, and waits for a recent enough configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,190 +17,203 @@
 use crate::configuration::reader::Reader;
 use crate::configuration::relay::jitter;
 use crate::error::Result;
-use crate::membership::announce::Desk;
-use crate::membership::contacts::{Contacts, RENEWAL};
-use crate::membership::greeters::{Listed, greeters};
-use crate::membership::greeting::{Greeting, Heard, Round};
-use crate::membership::listing::Listing;
+use crate::membership::announce::Endpoint;
+use crate::membership::contacts::{Contacts, RENEWAL_INTERVAL};
+use crate::membership::controller::Membership;
+use crate::membership::join_client::{JoinClient, Requests, Welcomes};
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
+use crate::membership::registration::Registration;
+use crate::membership::seeds::{Peers, choose_seeds};
 use crate::quarantine::archive::Archive;
 use crate::units::{DataCentre, Millis, Offset, Version};
 
-/// Welcomes after which a joiner asks nobody else while a platform lists daemons: in a joint start
-/// of many each of them would otherwise be sent the view of every other one.
-const WELCOMES: usize = 8;
-/// Pause between two rounds while no floor has been reached.
-const ROUND: Duration = Duration::from_millis(200);
-/// Pauses after calls to the platform that failed: who lapsed from the list while it was away is back
-/// within two seconds.
-const PAUSES: Backoff = Backoff::new(ROUND, Duration::from_secs(2));
-/// Time between two first reads of the configuration in a joint start, over all daemons that are known:
-/// whoever has read it tells the others in less time than all of them would take to read.
+/// Responses after which a daemon sends no more join requests, if a control plane lists daemons: when many start
+/// at once, each of them would otherwise be sent the view of every other one.
+const ENOUGH_WELCOMES: usize = 8;
+/// Pause between two rounds of requests while the daemon is not ready.
+const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Pauses after failed calls to the control plane: a daemon that has dropped off the list during an outage is
+/// listed again within two seconds.
+const RETRY_BACKOFF: Backoff = Backoff::new(ROUND_PAUSE, Duration::from_secs(2));
+/// Time between two first reads of the configuration over all known daemons, when they start at once: one that
+/// has read it propagates it to the others in less time than all of them would take to read.
 const READ_SPACING: Duration = Duration::from_millis(10);
 /// Time that a read waits for the first version while there is none.
-const ORIGIN_WAIT: Millis = Millis(1_500);
-/// Time over which listed daemons list themselves again.
-const LIST_SPREAD: Duration = Duration::from_secs(1);
-/// Time between two looks at the list for a daemon that knows nobody; each look doubles it.
-const ALONE: Duration = Duration::from_secs(2);
+const FIRST_VERSION_WAIT: Millis = Millis(1_500);
+/// Time over which listed daemons spread their renewed registrations.
+const REREGISTRATION_SPREAD: Duration = Duration::from_secs(1);
+/// Time between two reads of the list by a daemon that knows no other one; each read doubles it.
+const ISOLATED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Brings a daemon from its start to serving, and keeps contacts fresh.
+/// Brings a daemon from its start to serving, and keeps its contacts up to date.
 #[derive(Debug)]
 pub struct Joiner {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub board: Arc<Board>,
-    /// What is in force.
+    /// Store of the active configuration.
     pub store: Arc<Store>,
-    /// The membership view.
+    /// Membership controller.
     pub membership: Arc<Membership>,
-    /// Joins through peers.
-    pub greeting: Arc<Greeting>,
-    /// Reads the log.
+    /// Client for join requests.
+    pub join_client: Arc<JoinClient>,
+    /// Reader of the source.
     pub reader: Arc<Reader>,
-    /// The log's list of contacts.
+    /// List of contacts on the log.
     pub contacts: Contacts,
-    /// The platform, where it keeps the configuration and lists daemons.
-    pub origin: Option<Arc<dyn Origin>>,
-    /// What is kept of requests in quarantine.
+    /// Control plane, if one keeps the configuration and lists daemons.
+    pub control_plane: Option<Arc<dyn Origin>>,
+    /// Stored quarantine notes.
     pub archive: Archive,
-    /// Finds the target of a daemon that was killed.
-    pub desk: Arc<Desk>,
+    /// Endpoint that finds the target of a daemon that was killed.
+    pub endpoint: Arc<Endpoint>,
 }
 
 impl Joiner {
-    /// Joins, waits for the floor, then serves and keeps contacts for as long as the daemon runs.
+    /// Joins, waits for a recent enough configuration, then serves and keeps contacts for as long as the daemon
+    /// runs.
     pub async fn run(self: Arc<Self>) {
-        // A whole data centre that comes back must not ask in the same instant.
-        tokio::time::sleep(jitter(ROUND)).await;
-        let Some(origin) = self.origin.clone() else {
-            self.reach_floor().await;
-            self.recall().await;
+        // Spreads the requests when a whole data centre comes back.
+        tokio::time::sleep(jitter(ROUND_PAUSE)).await;
+        let Some(control_plane) = self.control_plane.clone() else {
+            self.start_from_log().await;
+            self.restore_quarantine().await;
             self.serve().await;
-            self.contacts.keep().await;
+            self.contacts.maintain().await;
             return;
         };
-        let listing = Listing::new(Arc::clone(&self.board), origin);
-        let listed = self.reach_origin(&listing).await;
+        let registration = Registration::new(Arc::clone(&self.board), control_plane);
+        let listed = self.start_from_control_plane(&registration).await;
         self.serve().await;
-        self.meet_listed(listed).await;
+        self.join_late_peers(listed).await;
         if self.is_alone() {
-            // Guards against a list on which those that are read first are gone for good: this daemon
-            // would know nobody, and nobody would learn of it. An error leaves it for the next look.
-            self.meet(listing.enter().await.unwrap_or_default()).await;
+            // If those read first from the list are gone for good, this daemon knows nobody, and nobody learns
+            // of it unless it is listed. After an error the next round tries again.
+            self.join_unknown(registration.register_and_read().await.unwrap_or_default())
+                .await;
         }
-        self.keep_listed(&listing).await;
+        self.maintain_registration(&registration).await;
     }
 
-    /// Takes in what is kept of requests in quarantine. With the log away, the peers have told it.
-    async fn recall(&self) {
+    /// Restores the stored quarantine notes. If the log is unavailable, peers have already sent them.
+    async fn restore_quarantine(&self) {
         match self.archive.recall().await {
             Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
             Err(error) => {
-                warn!(self.board.logger, "notes of the quarantine can't be read"; "error" => %error);
+                warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
             }
         }
     }
 
-    /// Begins to serve, unless a stop has been ordered meanwhile.
+    /// Starts to serve, unless a stop has been requested meanwhile.
     async fn serve(&self) {
         if self.board.stage() == Stage::Starting {
             self.board.advance(Stage::Serving);
-            self.membership.reflect().await;
+            self.membership.publish_own_entry().await;
             info!(self.board.logger, "serving"; "version" => self.board.digest().version.0);
         }
     }
 
-    /// Reaches the floor where the platform has accepted the versions already.
+    /// Waits for a recent enough configuration, where a control plane has already accepted the versions.
     ///
-    /// The list of daemons and the configuration are read side by side, and peers that make
-    /// themselves known are asked at once: with the platform away, nothing waits for a time-out.
-    /// Returns where the list is still to come from, if it has not come.
-    async fn reach_origin(self: &Arc<Self>, listing: &Listing) -> mpsc::Receiver<Listed> {
-        let patience = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
-        let mut told = false;
-        let mut heard = Heard::default();
-        let mut round = Round::new(&self.greeting);
-        round.ask(self.board.settings.contacts.clone());
+    /// The list of daemons and the configuration are read concurrently, and peers that become known are asked at
+    /// once, so that nothing waits for a time-out while the control plane is unavailable. Returns the channel on
+    /// which the list will arrive if it has not arrived yet.
+    async fn start_from_control_plane(
+        self: &Arc<Self>,
+        registration: &Registration,
+    ) -> mpsc::Receiver<Peers> {
+        let deadline = tokio::time::Instant::now() + self.board.settings.log_patience_ms.duration();
+        let mut list_received = false;
+        let mut welcomes = Welcomes::default();
+        let mut requests = Requests::new(&self.join_client);
+        requests.ask(self.board.settings.contacts.clone());
         let mut rosters = self.board.rosters();
         let mut versions = self.board.versions();
         let mut stages = self.board.stages();
         let (sender, mut listed) = mpsc::channel(1);
-        tokio::spawn(Arc::clone(self).consult(listing.clone(), sender));
-        let mut pauses = PAUSES;
-        let mut reading = self.reading(ROUND);
+        tokio::spawn(Arc::clone(self).discover(registration.clone(), sender));
+        let mut pauses = RETRY_BACKOFF;
+        let mut reading = self.read_after(ROUND_PAUSE);
         let mut read = false;
         while self.board.stage() == Stage::Starting {
-            let late = tokio::time::Instant::now() >= patience;
-            let have = self.board.digest().version;
-            let known = have > Version(0) && have >= heard.floor.version();
-            // Peers have the targets that this daemon's callers need, and remember what its own
-            // target offered.
-            let early = heard.welcomes == 0 && (!told || round.is_open()) && !late;
-            let peers = (told || late) && heard.floor.met_by_peers(have, self.data_centres());
-            if known && !early && (read || peers) {
+            let late = tokio::time::Instant::now() >= deadline;
+            let version = self.board.digest().version;
+            let has_version = version > Version(0) && version >= welcomes.requirement.version();
+            // Responses of peers contain the targets that this daemon's callers need, and what its own target
+            // offered.
+            let waits_for_welcome =
+                welcomes.count == 0 && (!list_received || requests.is_pending()) && !late;
+            let peers_suffice = (list_received || late)
+                && welcomes
+                    .requirement
+                    .met_by_peers(version, self.count_data_centres());
+            if has_version && !waits_for_welcome && (read || peers_suffice) {
                 break;
             }
-            let mut strangers = Vec::new();
+            let mut candidates = Vec::new();
             tokio::select! {
                 result = &mut reading => {
                     read = result.is_ok();
                     let pause = if read {
-                        turn_to_read(self.board.roster().members.len())
+                        read_delay(self.board.roster().members.len())
                     } else {
                         pauses.next_delay()
                     };
-                    reading = self.reading(pause);
+                    reading = self.read_after(pause);
                 }
                 Some(peers) = listed.recv() => {
-                    told = true;
-                    reading = self.reading(turn_to_read(peers.len()));
-                    strangers = peers;
+                    list_received = true;
+                    reading = self.read_after(read_delay(peers.len()));
+                    candidates = peers;
                 }
-                (peer, answer) = round.next() => {
-                    if let Ok(welcome) = answer {
-                        self.greeting.take(peer, &welcome, &mut heard);
+                (peer, response) = requests.next() => {
+                    if let Ok(welcome) = response {
+                        self.join_client.apply(peer, &welcome, &mut welcomes);
                     }
                 }
-                _ = rosters.changed() => strangers = self.known(),
+                _ = rosters.changed() => candidates = self.known_peers(),
                 _ = versions.changed() => {}
-                () = tokio::time::sleep_until(patience), if !late => {
-                    warn!(self.board.logger, "no floor yet"; "version" => have.0, "read" => read);
+                () = tokio::time::sleep_until(deadline), if !late => {
+                    warn!(self.board.logger, "not ready yet: no configuration known to be recent enough"; "version" => version.0, "read" => read);
                 }
                 _ = stages.wait_for(|stage| *stage != Stage::Starting) => break,
             }
-            if heard.welcomes < WELCOMES {
-                round.ask_few(strangers, &self.board.settings.data_centre);
+            if welcomes.count < ENOUGH_WELCOMES {
+                requests.ask_seeds(candidates, &self.board.settings.data_centre);
             }
         }
         if !self.board.settings.first_start {
-            self.desk.find_target(heard.slots()).await;
+            self.endpoint.discover_target(welcomes.slots()).await;
         }
-        tokio::spawn(round.finish(heard));
+        tokio::spawn(requests.finish(welcomes));
         listed
     }
 
-    /// Meets daemons of a list that came after this one had begun to serve.
+    /// Joins daemons of a list that arrived after this one had begun to serve.
     ///
-    /// Guards against a platform that answers late while this daemon starts: it has a configuration,
-    /// but nobody else's target, and refused every caller until the list was looked at the next
-    /// time, minutes later.
-    async fn meet_listed(&self, mut listed: mpsc::Receiver<Listed>) {
+    /// If the control plane responds late while this daemon starts, it has a configuration but no other daemon's
+    /// target. It refused every caller until the list was read the next time, minutes later.
+    async fn join_late_peers(&self, mut listed: mpsc::Receiver<Peers>) {
         if let Some(peers) = listed.recv().await {
-            self.meet(peers).await;
+            self.join_unknown(peers).await;
         }
     }
 
-    /// Joins through a few of `peers` that are not known yet; through others where none of those
-    /// answers, since a list may be full of hosts that are gone.
-    async fn meet(&self, mut peers: Listed) {
+    /// Joins through a few of `peers` that are not members yet, and through others if none of those responds,
+    /// since a list may be full of hosts that are gone.
+    async fn join_unknown(&self, mut peers: Peers) {
         let roster = self.board.roster();
         peers.retain(|(peer, _)| roster.member(*peer).is_none());
-        let mut heard = Heard::default();
+        let mut welcomes = Welcomes::default();
         while !peers.is_empty() {
-            let strangers = greeters(peers.clone(), &self.board.settings.data_centre);
-            peers.retain(|(peer, _)| !strangers.contains(peer));
-            if self.greeting.greet_all(strangers, &mut heard).await > 0 {
+            let candidates = choose_seeds(peers.clone(), &self.board.settings.data_centre);
+            peers.retain(|(peer, _)| !candidates.contains(peer));
+            if self
+                .join_client
+                .join_through(candidates, &mut welcomes)
+                .await
+                > 0
+            {
                 return;
             }
         }
@@ -211,21 +224,21 @@
         self.board.roster().members.len() <= 1
     }
 
-    /// Reads the newest version, or waits a while for one, after a pause.
-    fn reading(self: &Arc<Self>, pause: Duration) -> BoxFuture<'static, Result<Offset>> {
+    /// Reads the newest version after a pause, or waits a while for one.
+    fn read_after(self: &Arc<Self>, pause: Duration) -> BoxFuture<'static, Result<Offset>> {
         let reader = Arc::clone(&self.reader);
         Box::pin(async move {
             tokio::time::sleep(pause).await;
-            reader.turn(ORIGIN_WAIT).await
+            reader.turn(FIRST_VERSION_WAIT).await
         })
     }
 
-    /// Tells who is listed, as soon as the platform does.
-    async fn consult(self: Arc<Self>, listing: Listing, found: mpsc::Sender<Listed>) {
-        let mut pauses = PAUSES;
+    /// Sends the list of daemons to `found` as soon as the control plane returns it.
+    async fn discover(self: Arc<Self>, registration: Registration, found: mpsc::Sender<Peers>) {
+        let mut pauses = RETRY_BACKOFF;
         while !self.board.stage().is_stopping() {
-            if let Ok(listed) = listing.consult().await {
-                // Whoever waited for them may have found others meanwhile.
+            if let Ok(listed) = registration.discover().await {
+                // The receiver may be gone: it may have found other peers meanwhile.
                 let _ = found.send(listed).await;
                 return;
             }
@@ -233,98 +246,106 @@
         }
     }
 
-    /// Members that are there, as far as known.
-    fn known(&self) -> Listed {
+    /// Members that are not gone, as far as known.
+    fn known_peers(&self) -> Peers {
         let roster = self.board.roster();
         let members = roster.members.iter();
         members.map(|m| (m.peer, m.data_centre.clone())).collect()
     }
 
-    /// Keeps enough daemons listed, and meets those that were listed meanwhile.
-    async fn keep_listed(&self, listing: &Listing) {
-        let mut alone = ALONE;
-        let mut eras = self.board.eras();
+    /// Keeps enough daemons listed, and joins those that were listed meanwhile.
+    async fn maintain_registration(&self, registration: &Registration) {
+        let mut pause_when_alone = ISOLATED_PAUSE;
+        let mut generations = self.board.eras();
         loop {
-            // It has just read who was listed before it.
-            let pause = RENEWAL / 2 + jitter(RENEWAL);
+            // Waits first, since the list has just been read.
+            let pause = RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL);
             let is_alone = self.is_alone();
-            let pause = if is_alone { pause.min(alone) } else { pause };
-            let waiting = tokio::time::timeout(pause, eras.changed());
+            let pause = if is_alone {
+                pause.min(pause_when_alone)
+            } else {
+                pause
+            };
+            let waiting = tokio::time::timeout(pause, generations.changed());
             if waiting.await.is_ok_and(|changed| changed.is_ok()) {
-                self.list_again(listing).await;
+                self.register_again(registration).await;
                 continue;
             }
             let listed = if is_alone {
-                alone *= 2;
-                listing.enter().await
+                pause_when_alone *= 2;
+                registration.register_and_read().await
             } else {
-                listing.tend().await
+                registration.maintain().await
             };
-            // An error leaves it for the next round.
-            self.meet(listed.unwrap_or_default()).await;
+            // After an error the next round tries again.
+            self.join_unknown(listed.unwrap_or_default()).await;
         }
     }
 
-    /// Lists this daemon once more if it was listed before.
+    /// Lists this daemon again if it was listed before.
     ///
-    /// Guards against a platform that comes back from a copy of before that: with too few daemons on the
-    /// list, one that starts alone in its view would find nobody. Those that were listed do it alone, each
-    /// after a random pause, so the calls fit the platform however large the fleet is.
-    async fn list_again(&self, listing: &Listing) {
-        let mut pauses = PAUSES;
-        tokio::time::sleep(jitter(LIST_SPREAD)).await;
+    /// A control plane that was restored from an older copy may list too few daemons, so that one that starts and
+    /// knows no other would find nobody. Only daemons that were listed do this, each after a random pause, so
+    /// that the load on the control plane does not grow with the fleet.
+    async fn register_again(&self, registration: &Registration) {
+        let mut pauses = RETRY_BACKOFF;
+        tokio::time::sleep(jitter(REREGISTRATION_SPREAD)).await;
         while self.board.is_listed() && !self.board.stage().is_stopping() {
-            if listing.list().await.is_ok() {
+            if registration.register().await.is_ok() {
                 return;
             }
             tokio::time::sleep(pauses.next_delay()).await;
         }
     }
 
-    async fn reach_floor(&self) {
+    async fn start_from_log(&self) {
         let began = Instant::now();
-        let mut heard = Heard::default();
+        let mut welcomes = Welcomes::default();
         let mut warned = false;
         while self.board.stage() == Stage::Starting {
-            let contacts = self.addresses().await;
-            self.greeting.greet_all(contacts, &mut heard).await;
-            let floor = &mut heard.floor;
-            let log_read = self.read_log(floor).await;
-            let have = self.board.digest().version;
-            if log_read && floor.met_by_log(have, self.store.next()) {
+            let contacts = self.seed_addresses().await;
+            self.join_client.join_through(contacts, &mut welcomes).await;
+            let requirement = &mut welcomes.requirement;
+            let log_read = self.read_log(requirement).await;
+            let version = self.board.digest().version;
+            if log_read && requirement.met_by_log(version, self.store.next()) {
                 return;
             }
-            let patient = began.elapsed() < self.board.settings.log_patience_ms.duration();
-            if !log_read && !patient && floor.met_by_peers(have, self.data_centres()) {
-                warn!(self.board.logger, "the log is away, peers decide"; "version" => have.0);
+            let before_deadline = began.elapsed() < self.board.settings.log_patience_ms.duration();
+            if !log_read
+                && !before_deadline
+                && requirement.met_by_peers(version, self.count_data_centres())
+            {
+                warn!(self.board.logger, "the log is unavailable; using the configuration of peers"; "version" => version.0);
                 return;
             }
-            if !patient && !warned {
+            if !before_deadline && !warned {
                 warned = true;
                 warn!(
                     self.board.logger,
-                    "no floor yet: neither the log nor enough peers answer"
+                    "not ready yet: neither the log nor enough peers respond"
                 );
             }
-            tokio::time::sleep(ROUND + jitter(ROUND)).await;
+            tokio::time::sleep(ROUND_PAUSE + jitter(ROUND_PAUSE)).await;
         }
     }
 
-    /// Reads the log to its head; `false` while it is away.
-    async fn read_log(&self, floor: &mut Floor) -> bool {
+    /// Reads the log to its head; returns `false` while it is unavailable.
+    async fn read_log(&self, requirement: &mut Floor) -> bool {
         loop {
             let Ok(head) = self.reader.turn(Millis(0)).await else {
                 return false;
             };
-            floor.read_head(head);
+            requirement.read_head(head);
             if self.store.next() >= head {
                 return true;
             }
         }
     }
 
-    /// A few addresses to join through: known members, settings, then the log's contacts.
-    async fn addresses(&self) -> Vec<SocketAddr> {
+    /// Addresses to join through: known members and the contacts of the settings, or of the log if there are none
+    /// in the settings.
+    async fn seed_addresses(&self) -> Vec<SocketAddr> {
         let me = self.board.settings.identity();
         let roster = self.board.roster();
         let known = roster.members.iter().map(|member| member.peer);
@@ -333,7 +354,7 @@
         if self.board.settings.contacts.is_empty() {
             contacts.extend(
                 self.contacts
-                    .listed()
+                    .read_recent()
                     .await
                     .into_iter()
                     .map(|contact| contact.peer),
@@ -345,7 +366,7 @@
         contacts
     }
 
-    fn data_centres(&self) -> usize {
+    fn count_data_centres(&self) -> usize {
         let roster = self.board.roster();
         let mut names: Vec<&DataCentre> = roster.members.iter().map(|m| &m.data_centre).collect();
         names.sort_unstable();
@@ -354,8 +375,7 @@
     }
 }
 
-/// Pause before a daemon that knows of `others` reads the configuration, unless one of them tells it
-/// by then.
-fn turn_to_read(others: usize) -> Duration {
+/// Pause before a daemon that knows `others` daemons reads the configuration, unless one of them sends it earlier.
+fn read_delay(others: usize) -> Duration {
     jitter(READ_SPACING.saturating_mul(u32::try_from(others).unwrap_or(u32::MAX)))
 }
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,27 +1,27 @@
-//! Times of the membership protocol.
+//! Timing parameters of the membership protocol.
 
 use std::time::Duration;
 
-/// Times of the protocol.
+/// Timing parameters.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Between two probes of a daemon.
-    pub period: Duration,
-    /// Until a direct probe counts as missed.
-    pub patience: Duration,
-    /// Until a suspect counts as gone.
-    pub suspicion: Duration,
-    /// Until a gone member is forgotten.
-    pub memory: Duration,
+    /// Interval between two probes that a daemon sends.
+    pub probe_period: Duration,
+    /// Time-out of a direct probe, after which indirect probes are sent.
+    pub probe_timeout: Duration,
+    /// Time after which a suspect that has not refuted counts as gone.
+    pub suspicion_timeout: Duration,
+    /// Time after which the entry of a gone member is dropped.
+    pub gone_retention: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(1),
-            patience: Duration::from_millis(400),
-            suspicion: Duration::from_secs(3),
-            memory: Duration::from_mins(10),
+            probe_period: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(400),
+            suspicion_timeout: Duration::from_secs(3),
+            gone_retention: Duration::from_mins(10),
         }
     }
 }
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -15,8 +15,8 @@
 use crate::board::Board;
 use crate::clock;
 use crate::configuration::origin::Origin;
+use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::probe::Membership;
 use crate::quarantine::inspect;
 use crate::rollout::decision::{Decision, decide};
 use crate::rollout::duty::{Duty, Gates, MOVE_TICK, SAMPLED, TICK, ranked};
@@ -108,7 +108,7 @@
     async fn pass_on(&self) {
         let news = self.board.rollouts.take_news();
         if !news.is_empty() {
-            self.membership.pass_on_rollouts(news).await;
+            self.membership.gossip_rollouts(news).await;
         }
     }
 
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -16,9 +16,9 @@
 use crate::error::{Error, Result};
 use crate::extension::Reread;
 use crate::idempotency::guard::Keys;
-use crate::membership::listing::Listing;
+use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::probe::Membership;
+use crate::membership::registration::Registration;
 
 /// Exit status after a planned stop.
 pub const EXIT_STOPPED: u8 = 0;
@@ -105,16 +105,16 @@
 
     async fn drain(&self) {
         let (board, began) = (&self.board, Instant::now());
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         if let Some(origin) = self.origin.clone() {
-            let listing = Listing::new(Arc::clone(board), origin);
+            let listing = Registration::new(Arc::clone(board), origin);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
-            tokio::spawn(async move { listing.leave().await });
+            tokio::spawn(async move { listing.deregister().await });
         }
         let accept = board.settings.accept_ms.duration();
         tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
         board.advance(Stage::Draining);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
         self.phases.send_replace(Phase::Closed);
         // Guards against a connection that was taken at the last moment: its request has not come
