--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -353,10 +353,10 @@
     let open = known
         .iter()
         .filter(|known| known.progress().verdict.is_none());
-    let moves =
+    let is_promotion =
         |known: &LocalProgress| matches!(known.progress().plan.step, Step::Ramp | Step::All);
     let each = open.map(|known| {
-        if moves(known) {
+        if is_promotion(known) {
             PROMOTION_TICK_INTERVAL
         } else {
             TICK_INTERVAL
@@ -390,10 +390,10 @@
     let age = known.age(Instant::now());
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
-    let begin = origin
+    let ordered_at_ms = origin
         .note_begin(order, now_ms.saturating_sub(age_ms))
         .await?;
-    let age = Duration::from_millis(now_ms.saturating_sub(begin));
+    let age = Duration::from_millis(now_ms.saturating_sub(ordered_at_ms));
     if let Some(ordered_at) = Instant::now().checked_sub(age) {
         board.rollouts.backdate(order, ordered_at);
     }
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -12,8 +12,8 @@
 use crate::rollout::progress::LocalProgress;
 use crate::units::{Revision, Service};
 
-/// Upstreams that a request tries before it goes to the new revision without having been selected for it.
-const MAX_OLD_ATTEMPTS: usize = 1;
+/// Retries of a request that go to the old side; a further one goes to the new side.
+const MAX_OLD_RETRIES: usize = 1;
 
 /// Role of a target in a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +113,7 @@
             Some(Step::All) => Side::New,
             Some(Step::Canary | Step::Ramp) => {
                 let is_selected = random * f64::from(FULL_PERMILLE) < f64::from(self.permille);
-                if tried > MAX_OLD_ATTEMPTS || tried == 0 && is_selected {
+                if tried > MAX_OLD_RETRIES || tried == 0 && is_selected {
                     Side::New
                 } else {
                     Side::Old
