--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -67,7 +67,7 @@
         // An unrelated request may be retried along with the cause, from one crashing target to the next. On
         // separate targets, the next crash tells which of them is the cause.
         let must_isolate = |run: &Run| quarantine.assessment(run.fingerprint).must_isolate();
-        if assessment.must_isolate() && running.under_way().any(must_isolate) {
+        if assessment.must_isolate() && running.in_flight().any(must_isolate) {
             return Err(Reason::Overloaded);
         }
         let fingerprint = run.fingerprint;
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -54,7 +54,7 @@
 pub struct Running {
     next: u64,
     /// Sorted by id.
-    under_way: Vec<(u64, Run)>,
+    in_flight: Vec<(u64, Run)>,
     /// Unresolved runs, with the time at which they finished.
     unresolved: Vec<(Instant, Run)>,
     /// Requests that the current target process has answered, as a ring buffer.
@@ -73,22 +73,22 @@
     pub fn begin(&mut self, run: Run) -> RunId {
         let id = self.next;
         self.next += 1;
-        self.under_way.push((id, run));
+        self.in_flight.push((id, run));
         RunId(id)
     }
 
     /// The requests that are in flight.
-    pub fn under_way(&self) -> impl Iterator<Item = &Run> {
-        self.under_way.iter().map(|(_, run)| run)
+    pub fn in_flight(&self) -> impl Iterator<Item = &Run> {
+        self.in_flight.iter().map(|(_, run)| run)
     }
 
     /// Ends a run; does nothing if it ended before.
     pub fn finish(&mut self, now: Instant, id: RunId, completion: Completion) {
-        let found = self.under_way.binary_search_by_key(&id.0, |(id, _)| *id);
+        let found = self.in_flight.binary_search_by_key(&id.0, |(id, _)| *id);
         let Ok(index) = found else {
             return;
         };
-        let (_, run) = self.under_way.remove(index);
+        let (_, run) = self.in_flight.remove(index);
         match completion {
             Completion::Answered => self.remember_answered(run.fingerprint),
             Completion::Resolved => {}
@@ -154,8 +154,8 @@
         let last = unresolved.iter().map(|(_, run)| run.began).max();
         let unresolved = unresolved.into_iter().map(|(_, run)| run);
         let before = |run: &&Run| started_at.is_some_and(|started_at| run.began < started_at);
-        let under_way = self.under_way().filter(before).cloned();
-        let runs = self.implicated(unresolved.chain(under_way));
+        let in_flight = self.in_flight().filter(before).cloned();
+        let runs = self.implicated(unresolved.chain(in_flight));
         self.mark_attributed(started_at.or(last));
         runs
     }
@@ -187,11 +187,11 @@
         self.unresolved = later;
         let is_recent = |over: Instant| now.saturating_duration_since(over) < ABANDONED_WINDOW;
         let unresolved = unresolved.into_iter().filter(|(over, _)| is_recent(*over));
-        let under_way = self
-            .under_way()
+        let in_flight = self
+            .in_flight()
             .filter(|run| began_before_crash(run))
             .cloned();
-        let runs = self.implicated(unresolved.map(|(_, run)| run).chain(under_way));
+        let runs = self.implicated(unresolved.map(|(_, run)| run).chain(in_flight));
         self.mark_attributed(Some(refused_since));
         runs
     }
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -179,7 +179,7 @@
     fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
         let mut ages = Counters::default();
         let running = detector::lock_running(&self.board.running);
-        for run in running.under_way() {
+        for run in running.in_flight() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
         }
@@ -188,7 +188,7 @@
 
     fn in_flight(&self) -> u32 {
         let running = detector::lock_running(&self.board.running);
-        u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
+        u32::try_from(running.in_flight().count()).unwrap_or(u32::MAX)
     }
 
     /// Serving daemons in the order in which they coordinate rollouts of a service.
