--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -21,9 +21,9 @@
 use crate::calls::wait;
 use crate::configuration::document::Guard;
 use crate::membership::member::Stage;
-use crate::quarantine::inspect::Inspector;
-use crate::quarantine::running::{End, Run};
-use crate::rollout::tally::Outcome;
+use crate::quarantine::detector::Detector;
+use crate::quarantine::running::{Completion, Run};
+use crate::rollout::counters::Outcome;
 use crate::settings::Limits;
 use crate::units::{Millis, Service};
 
@@ -71,7 +71,7 @@
 pub struct Executor {
     board: Arc<Board>,
     dispatcher: Dispatcher,
-    inspector: Inspector,
+    crash_detector: Detector,
     queue: Arc<Queue>,
     /// Bodies that are being received, and those waiting for that.
     body_queue: Arc<Queue>,
@@ -83,7 +83,7 @@
     pub fn new(board: Arc<Board>) -> Self {
         let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
         Self {
-            inspector: Inspector::new(Arc::clone(&board)),
+            crash_detector: Detector::new(Arc::clone(&board)),
             board,
             dispatcher,
             queue: Arc::default(),
@@ -136,7 +136,7 @@
             self.board.drop_target(target);
         }
         if matches!(reason, Reason::Unreachable | Reason::Broken) {
-            self.inspector.inspect(target);
+            self.crash_detector.check_target(target);
         }
     }
 
@@ -295,7 +295,7 @@
             left,
         );
         let began = Instant::now();
-        let run = executor.inspector.begin(Run {
+        let run = executor.crash_detector.begin(Run {
             fingerprint: metadata.fingerprint,
             route: metadata.route.clone(),
             from: metadata.caller_service.clone(),
@@ -344,11 +344,11 @@
 ///
 /// A server error does not clear the request of suspicion: it may have occurred before the part of
 /// the work that would crash the target.
-fn completion(result: &Result<Response<Body>, Reason>) -> End {
+fn completion(result: &Result<Response<Body>, Reason>) -> Completion {
     match result {
-        Ok(response) if !response.status().is_server_error() => End::Answered,
-        Err(Reason::Broken | Reason::TimedOut) => End::Open,
-        _ => End::Over,
+        Ok(response) if !response.status().is_server_error() => Completion::Answered,
+        Err(Reason::Broken | Reason::TimedOut) => Completion::Unresolved,
+        _ => Completion::Resolved,
     }
 }
 
@@ -385,7 +385,7 @@
 
 impl<'a> Recorder<'a> {
     fn begin(board: &'a Board, route: &'a str, deadline: Instant) -> Self {
-        board.rollouts.arrive();
+        board.rollouts.count_request();
         Self {
             board,
             route,
@@ -405,7 +405,7 @@
             // The request has not run.
             Err(_) => return,
         };
-        self.board.rollouts.answer(self.route, outcome);
+        self.board.rollouts.count_answer(self.route, outcome);
     }
 }
 
@@ -414,7 +414,9 @@
         // Counts requests that a silent target held until their callers gave up, which are dropped
         // here. A caller that leaves earlier proves nothing about the target.
         if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
-            self.board.rollouts.answer(self.route, Outcome::Failed);
+            self.board
+                .rollouts
+                .count_answer(self.route, Outcome::Failed);
         }
     }
 }
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -332,8 +332,10 @@
 
     /// When the quarantine of a call ends, if targets have crashed while running the same request.
     fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
-        let standing = self.board.quarantine.standing(call.metadata.fingerprint);
-        let until = standing.until.filter(|until| Instant::now() < *until);
+        let standing = self.board.quarantine.assessment(call.metadata.fingerprint);
+        let until = standing
+            .quarantined_until
+            .filter(|until| Instant::now() < *until);
         until.map(QuarantineEnd)
     }
 }
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -22,7 +22,7 @@
 use crate::configuration::relay::{jitter, order};
 use crate::error::{Error, Result};
 use crate::membership::member::Stage;
-use crate::rollout::order::Notice;
+use crate::rollout::order::Change;
 use crate::settings::Delivery;
 use crate::units::{Millis, Offset, Version};
 
@@ -231,8 +231,8 @@
         }
     }
 
-    fn note_order(&self, notice: &Notice) {
-        if !self.board.rollouts.notice(notice) {
+    fn note_order(&self, notice: &Change) {
+        if !self.board.rollouts.apply_change(notice) {
             return;
         }
         let Some(order) = &notice.order else {
@@ -241,7 +241,7 @@
         };
         info!(self.board.logger, "order to roll out"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
-            "era" => notice.at.era.0, "offset" => notice.at.offset.0);
+            "era" => notice.position.era.0, "offset" => notice.position.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
--- a/src/membership/announce.rs
+++ b/src/membership/announce.rs
@@ -21,7 +21,7 @@
 use crate::membership::controller::Membership;
 use crate::membership::member::Stage;
 use crate::membership::target::{Process, Processes, Recency, Renewal};
-use crate::quarantine::inspect::{Inspector, lock};
+use crate::quarantine::detector::{Detector, lock_running};
 use crate::units::{Instance, Millis, Revision, Service, Slots, StartTime, Version};
 
 /// Longest lease, in milliseconds.
@@ -103,7 +103,7 @@
     board: Arc<Board>,
     membership: Arc<Membership>,
     dispatcher: Dispatcher,
-    inspector: Inspector,
+    crash_detector: Detector,
     processes: Mutex<Processes>,
     /// Latest start time of targets that name no instance, in milliseconds since 1970; 0 if none was reported.
     latest_start_ms: AtomicU64,
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn new(board: Arc<Board>, membership: Arc<Membership>) -> Self {
         Self {
-            inspector: Inspector::new(Arc::clone(&board)),
+            crash_detector: Detector::new(Arc::clone(&board)),
             board,
             membership,
             dispatcher: Dispatcher::new(Duration::ZERO),
@@ -222,7 +222,7 @@
             lease_until: Instant::now() + renewal.lease.duration(),
         };
         if recency == Recency::New && contested {
-            self.inspector.succeed(&target);
+            self.crash_detector.target_restarted(&target);
         }
         self.set_target(target).await;
         Ok(())
@@ -316,7 +316,7 @@
         let identity = |target: &Target| (target.instance.clone(), target.start_time);
         let before = self.board.target();
         let same = before.is_some_and(|before| identity(&before) == identity(&target));
-        lock(&self.board.running).open(!same);
+        lock_running(&self.board.running).mark_ready(!same);
         self.board.set_target(Some(target));
         self.membership.publish_own_entry().await;
     }
@@ -325,7 +325,7 @@
         if self.board.target().is_some() {
             info!(self.board.logger, "{}", event; "instance" => %instance);
         }
-        lock(&self.board.running).leave();
+        lock_running(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.publish_own_entry().await;
     }
@@ -376,7 +376,7 @@
             info!(self.board.logger, "target announced"; "service" => %target.service);
         }
         if self.replaces_earlier(target.start_time) {
-            self.inspector.succeed(&target);
+            self.crash_detector.target_restarted(&target);
         }
         self.set_target(target).await;
         (StatusCode::OK, "announced".to_owned())
@@ -393,7 +393,7 @@
 
     async fn leave(&self) -> (StatusCode, String) {
         info!(self.board.logger, "target left");
-        lock(&self.board.running).leave();
+        lock_running(&self.board.running).mark_draining();
         self.board.set_target(None);
         self.membership.publish_own_entry().await;
         (StatusCode::OK, "left".to_owned())
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -96,8 +96,8 @@
 
     /// Restores the stored quarantine notes. If the log is unavailable, peers have already sent them.
     async fn restore_quarantine(&self) {
-        match self.archive.recall().await {
-            Ok(notes) => self.board.quarantine.recall(&notes, clock::unix_ms()),
+        match self.archive.load().await {
+            Ok(notes) => self.board.quarantine.restore(&notes, clock::unix_ms()),
             Err(error) => {
                 warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
             }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -14,7 +14,7 @@
 use crate::configuration::document::{Ejection, Group};
 use crate::membership::member::{Health, Member};
 use crate::peer::Link;
-use crate::rollout::usual::Usual;
+use crate::rollout::stable::Revisions;
 use crate::units::{DataCentre, Millis, Revision, Service, StartTime};
 
 const BYTES_PER_KB: f64 = 1_024.0;
@@ -34,7 +34,7 @@
     pub host_counts: Vec<(Service, usize)>,
     pools: Vec<Pool>,
     /// Stable revision of each service.
-    pub stable_revisions: Usual,
+    pub stable_revisions: Revisions,
 }
 
 /// A member that counts as gone.
@@ -96,7 +96,7 @@
         gone: Vec<Departed>,
         location: &Location,
         old: &Self,
-        mut stable_revisions: Usual,
+        mut stable_revisions: Revisions,
         now: Instant,
     ) -> Self {
         members.sort_by_key(|member| member.peer);
@@ -139,10 +139,10 @@
         }
         for pool in &pools {
             let reported: Vec<&Revision> = pool.revisions.iter().flatten().collect();
-            stable_revisions.note(now, &pool.service, &reported);
+            stable_revisions.observe(now, &pool.service, &reported);
         }
         let services: Vec<&Service> = pools.iter().map(|pool| &pool.service).collect();
-        stable_revisions.miss(now, &services);
+        stable_revisions.mark_absent(now, &services);
         Self {
             host_counts: host_counts(&members),
             members,
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -11,7 +11,7 @@
 use crate::idempotency::guard::Keys;
 use crate::membership::member::{Health, Member, Stage};
 use crate::membership::roster::{Roster, Upstream};
-use crate::quarantine::evidence::Verdicts;
+use crate::quarantine::crash_set::Assessments;
 use crate::rollout::progress::Progress;
 use crate::settings::Settings;
 use crate::telemetry::Reading;
@@ -167,9 +167,9 @@
             running,
             waiting,
             keys: keys.len(),
-            rollouts: board.rollouts.told(),
+            rollouts: board.rollouts.snapshot(),
             era: board.era(),
-            quarantined: quarantined(&board.quarantine.verdicts(), now),
+            quarantined: quarantined(&board.quarantine.assessments(), now),
             control: board.meter.read(),
             live: roster
                 .members
@@ -193,12 +193,12 @@
     offer.revision.clone()
 }
 
-fn quarantined(verdicts: &Verdicts, now: Instant) -> Vec<QuarantineDump> {
-    let quarantined = verdicts.quarantined().take(MOST);
+fn quarantined(assessments: &Assessments, now: Instant) -> Vec<QuarantineDump> {
+    let quarantined = assessments.quarantined().take(MOST);
     quarantined
         .map(|(cause, until)| QuarantineDump {
             fingerprint: cause.to_string(),
-            ends: verdicts.of(cause).ends,
+            ends: assessments.of(cause).crashes,
             left_ms: until.saturating_duration_since(now).into(),
         })
         .collect()
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -1,222 +1,228 @@
-//! What runs at the co-located target, and what ran when it ended.
+//! Requests at the co-located target, and which of them may have caused its crash.
 //!
-//! All work enters a target through its gate, so the gate alone knows what was under way when the target
-//! ended. [`Running`] gets time as an argument.
+//! All requests reach a target through its sidecar, so only the sidecar knows what was running when the
+//! target crashed. [`Running`] takes the current time as an argument.
 
 use std::time::{Duration, Instant};
 
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Service;
 
-/// Time for which a request counts that its entry or caller has given up: not every target stops the work
-/// when its connection closes, and what takes longer to end a target than this is told by later ends.
-const LINGER: Duration = Duration::from_secs(1);
-/// Time after a broken connection in which another life of the target proves that it had ended: a supervisor
-/// starts it again, and it announces itself.
-const SUCCESSION: Duration = Duration::from_secs(5);
-/// Requests of unknown fate that are kept: as many as a target of many slots may have under way.
-const MOST_ENDED: usize = 256;
-/// Answered requests that are remembered of one life of the target, in 8 KB. At a hundred answers a second
-/// they span ten seconds, many times what a request takes.
-const MOST_ANSWERED: usize = 1_024;
-
-/// One request at the target.
+/// Time for which a request that its ingress or caller gave up may still have caused a crash: not every
+/// target stops work when the connection closes. A request that takes longer to crash its target is found by
+/// later crashes.
+const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
+/// Time after a broken connection within which a new target process shows that the earlier one had crashed:
+/// its supervisor restarts it, and it announces itself.
+const RESTART_WINDOW: Duration = Duration::from_secs(5);
+/// Most unresolved requests that are kept: as many as a target with many slots may have in flight.
+const MAX_UNRESOLVED: usize = 256;
+/// Answered requests remembered for one target process, 8 KB in all. At a hundred answers per second they
+/// cover ten seconds, many times what a request takes.
+const MAX_ANSWERED: usize = 1_024;
+
+/// A request at the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// What it is.
+    /// Identifies the request across retries.
     pub fingerprint: Fingerprint,
-    /// Its route.
+    /// Name of its route.
     pub route: String,
-    /// Service on whose host it began.
+    /// Service on whose host the request began.
     pub from: Service,
-    /// When it was sent to the target.
+    /// When the request was sent to the target.
     pub began: Instant,
 }
 
-/// Names a run until it is over.
+/// Identifies a run while it is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ticket(u64);
+pub struct RunId(u64);
 
-/// How a run was over.
+/// How a run finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// The target answered it.
+pub enum Completion {
+    /// The target answered the request.
     Answered,
-    /// The target failed or refused it, or never saw it.
-    Over,
-    /// Its connection broke, or whoever waited for it has given up.
-    Open,
+    /// The target failed or refused the request, or never received it.
+    Resolved,
+    /// The connection broke, or whoever waited for the response gave up; the target may still process it.
+    Unresolved,
 }
 
 /// The requests at one target.
 #[derive(Debug, Default)]
 pub struct Running {
     next: u64,
-    /// Sorted by ticket.
-    under_way: Vec<(u64, Run)>,
-    /// Runs of unknown fate, with the time at which they were over.
-    ended: Vec<(Instant, Run)>,
-    /// Fingerprints that this life of the target has answered; the oldest is overwritten first.
+    /// Sorted by id.
+    in_flight: Vec<(u64, Run)>,
+    /// Unresolved runs, with the time at which they finished.
+    unresolved: Vec<(Instant, Run)>,
+    /// Requests that the current target process has answered, as a ring buffer.
     answered: Vec<Fingerprint>,
-    oldest_answered: usize,
-    /// Whether the target has said that it ends.
-    leaving: bool,
-    /// Runs that began up to then were at lives whose end is known.
-    known_until: Option<Instant>,
-    /// Whether it is being found out if the target is still there.
-    inspected: bool,
+    next_answered: usize,
+    /// Whether the target announced that it is going to stop.
+    draining: bool,
+    /// Runs that began up to this time were at processes whose end is known.
+    attributed_until: Option<Instant>,
+    /// Whether a check of the target is in progress.
+    check_in_progress: bool,
 }
 
 impl Running {
-    /// Notes that a request is sent to the target.
-    pub fn begin(&mut self, run: Run) -> Ticket {
-        let ticket = self.next;
+    /// Adds a request that is sent to the target.
+    pub fn begin(&mut self, run: Run) -> RunId {
+        let id = self.next;
         self.next += 1;
-        self.under_way.push((ticket, run));
-        Ticket(ticket)
+        self.in_flight.push((id, run));
+        RunId(id)
     }
 
-    /// The requests that are under way.
-    pub fn under_way(&self) -> impl Iterator<Item = &Run> {
-        self.under_way.iter().map(|(_, run)| run)
+    /// The requests that are in flight.
+    pub fn in_flight(&self) -> impl Iterator<Item = &Run> {
+        self.in_flight.iter().map(|(_, run)| run)
     }
 
-    /// Notes that a run is over.
-    pub fn finish(&mut self, now: Instant, ticket: Ticket, end: End) {
-        let found = self
-            .under_way
-            .binary_search_by_key(&ticket.0, |(ticket, _)| *ticket);
+    /// Ends a run; does nothing if it ended before.
+    pub fn finish(&mut self, now: Instant, id: RunId, completion: Completion) {
+        let found = self.in_flight.binary_search_by_key(&id.0, |(id, _)| *id);
         let Ok(index) = found else {
             return;
         };
-        let (_, run) = self.under_way.remove(index);
-        match end {
-            End::Answered => self.remember(run.fingerprint),
-            End::Over => {}
-            // What is cut while the target leaves is not the cause.
-            End::Open if self.leaving => {}
-            End::Open => {
-                self.forget_old(now);
-                if self.ended.len() == MOST_ENDED {
-                    self.ended.remove(0);
+        let (_, run) = self.in_flight.remove(index);
+        match completion {
+            Completion::Answered => self.remember_answered(run.fingerprint),
+            Completion::Resolved => {}
+            // A target that stops as announced has not crashed.
+            Completion::Unresolved if self.draining => {}
+            Completion::Unresolved => {
+                self.drop_expired(now);
+                if self.unresolved.len() == MAX_UNRESOLVED {
+                    self.unresolved.remove(0);
                 }
-                self.ended.push((now, run));
+                self.unresolved.push((now, run));
             }
         }
     }
 
-    /// Runs that were over with an unknown fate in the last `time`.
+    /// Number of runs that finished as unresolved in the last `time`.
     #[must_use]
-    pub fn ended_within(&self, now: Instant, time: Duration) -> usize {
-        let ended = self.ended.iter();
-        ended
+    pub fn unresolved_within(&self, now: Instant, time: Duration) -> usize {
+        let unresolved = self.unresolved.iter();
+        unresolved
             .filter(|(over, _)| now.saturating_duration_since(*over) < time)
             .count()
     }
 
-    /// When the target ended that another life, `age` after its begin, has taken the place of.
+    /// When the earlier target process crashed, judged at the announcement of a new one that is `age` old.
     ///
-    /// Guards against targets that end together and whose ends pass for several moments: the next lives announce
+    /// Guards against simultaneous crashes that seem to lie apart, because the new processes announce
     /// themselves one after the other.
     #[must_use]
-    pub fn ended_at(&self, now: Instant, age: Option<Duration>) -> Instant {
-        let broken = self.ended.iter().map(|(over, _)| *over).max();
-        let born = age.and_then(|age| now.checked_sub(age));
-        broken.into_iter().chain(born).min().unwrap_or(now)
+    pub fn crash_time(&self, now: Instant, age: Option<Duration>) -> Instant {
+        let broken = self.unresolved.iter().map(|(over, _)| *over).max();
+        let started_at = age.and_then(|age| now.checked_sub(age));
+        broken.into_iter().chain(started_at).min().unwrap_or(now)
     }
 
-    /// Notes that the target has said that it ends: what was cut before did not end it.
-    pub fn leave(&mut self) {
-        self.leaving = true;
-        self.ended.clear();
+    /// Records that the target announced its stop; requests that were cut off before did not crash it.
+    pub fn mark_draining(&mut self) {
+        self.draining = true;
+        self.unresolved.clear();
     }
 
-    /// Notes that the target takes requests; `another` when it is not the life that did so before.
-    pub fn open(&mut self, another: bool) {
-        self.leaving = false;
-        if another {
+    /// Records that the target accepts requests; `restarted` if it is a new process.
+    pub fn mark_ready(&mut self, restarted: bool) {
+        self.draining = false;
+        if restarted {
             self.answered.clear();
-            self.oldest_answered = 0;
+            self.next_answered = 0;
         }
     }
 
-    /// Notes that another life of the target has announced itself, `age` after it began where it tells that;
-    /// returns what may have ended the former one, unless its end is known.
+    /// Records the announcement of a new target process that is `age` old, where it tells its age. Returns
+    /// the runs that may have crashed the earlier process, unless its end is known.
     ///
-    /// Guards against a supervisor that starts a target again before its gate has looked: the end would pass for
-    /// a connection that was cut.
-    pub fn succeed(&mut self, now: Instant, age: Option<Duration>) -> Vec<Run> {
-        self.forget_old(now);
-        if self.leaving {
+    /// Guards against a target that is restarted before its sidecar has checked it: the check finds a
+    /// listener, and the crash would pass for a broken connection.
+    pub fn restarted(&mut self, now: Instant, age: Option<Duration>) -> Vec<Run> {
+        self.drop_expired(now);
+        if self.draining {
             return Vec::new();
         }
-        let born = age.and_then(|age| now.checked_sub(age));
-        let ended = std::mem::take(&mut self.ended);
-        let last = ended.iter().map(|(_, run)| run.began).max();
-        let ended = ended.into_iter().map(|(_, run)| run);
-        let before = |run: &&Run| born.is_some_and(|born| run.began < born);
-        let under_way = self.under_way().filter(before).cloned();
-        let runs = self.suspects(ended.chain(under_way));
-        self.know_until(born.or(last));
+        let started_at = age.and_then(|age| now.checked_sub(age));
+        let unresolved = std::mem::take(&mut self.unresolved);
+        let last = unresolved.iter().map(|(_, run)| run.began).max();
+        let unresolved = unresolved.into_iter().map(|(_, run)| run);
+        let before = |run: &&Run| started_at.is_some_and(|started_at| run.began < started_at);
+        let in_flight = self.in_flight().filter(before).cloned();
+        let runs = self.implicated(unresolved.chain(in_flight));
+        self.mark_attributed(started_at.or(last));
         runs
     }
 
-    /// Whether to find out if the target is still there; no second time until [`Running::inspected`].
-    pub const fn inspect(&mut self) -> bool {
-        let begins = !self.inspected;
-        self.inspected = true;
+    /// Returns whether to check the target; `false` until [`Running::finish_check`] if a check is in
+    /// progress.
+    pub const fn begin_check(&mut self) -> bool {
+        let begins = !self.check_in_progress;
+        self.check_in_progress = true;
         begins
     }
 
-    /// Notes whether the target has ended without a word, and since when nobody listens; returns what may have
-    /// ended it.
+    /// Records the result of a check: since when connections are refused, if the target has crashed. Returns
+    /// the runs that may have crashed it.
     ///
-    /// What this life has answered before did not end it now: a request that many callers send is under
-    /// way whenever a target ends.
-    pub fn inspected(&mut self, now: Instant, gone_since: Option<Instant>) -> Vec<Run> {
-        self.inspected = false;
-        self.forget_old(now);
-        let Some(gone_since) = gone_since.filter(|_| !self.leaving) else {
+    /// Requests that this process answered before are not among them: one that many callers send is in flight
+    /// at every crash.
+    pub fn finish_check(&mut self, now: Instant, refused_since: Option<Instant>) -> Vec<Run> {
+        self.check_in_progress = false;
+        self.drop_expired(now);
+        let Some(refused_since) = refused_since.filter(|_| !self.draining) else {
             return Vec::new();
         };
-        let at_the_end = |run: &Run| run.began <= gone_since;
-        let ended = std::mem::take(&mut self.ended);
-        let (ended, later) = ended.into_iter().partition(|(_, run)| at_the_end(run));
-        self.ended = later;
-        let lingers = |over: Instant| now.saturating_duration_since(over) < LINGER;
-        let ended = ended.into_iter().filter(|(over, _)| lingers(*over));
-        let under_way = self.under_way().filter(|run| at_the_end(run)).cloned();
-        let runs = self.suspects(ended.map(|(_, run)| run).chain(under_way));
-        self.know_until(Some(gone_since));
+        let began_before_crash = |run: &Run| run.began <= refused_since;
+        let unresolved = std::mem::take(&mut self.unresolved);
+        let (unresolved, later) = unresolved
+            .into_iter()
+            .partition(|(_, run)| began_before_crash(run));
+        self.unresolved = later;
+        let is_recent = |over: Instant| now.saturating_duration_since(over) < ABANDONED_WINDOW;
+        let unresolved = unresolved.into_iter().filter(|(over, _)| is_recent(*over));
+        let in_flight = self
+            .in_flight()
+            .filter(|run| began_before_crash(run))
+            .cloned();
+        let runs = self.implicated(unresolved.map(|(_, run)| run).chain(in_flight));
+        self.mark_attributed(Some(refused_since));
         runs
     }
 
-    /// Those of some runs that may have ended this life: not answered by it, nor told at an earlier end.
-    fn suspects(&self, runs: impl Iterator<Item = Run>) -> Vec<Run> {
-        runs.filter(|run| self.known_until.is_none_or(|until| run.began > until))
+    /// The runs that may have crashed the current process: those that it has not answered before and that
+    /// began after the last known end of a process.
+    fn implicated(&self, runs: impl Iterator<Item = Run>) -> Vec<Run> {
+        runs.filter(|run| self.attributed_until.is_none_or(|until| run.began > until))
             .filter(|run| !self.answered.contains(&run.fingerprint))
             .collect()
     }
 
-    /// Notes that the end of the life is known at which runs were that began up to `until`.
+    /// Records that runs which began up to `until` were at a process whose end is known.
     ///
-    /// Guards against one end that is told twice, and against a look that comes back when the next life is there:
-    /// the end of that one would pass for known.
-    fn know_until(&mut self, until: Option<Instant>) {
-        self.known_until = self.known_until.max(until);
+    /// Guards against reporting a crash twice, and against a check that finishes after the restart and would
+    /// mark the runs of the new process as well.
+    fn mark_attributed(&mut self, until: Option<Instant>) {
+        self.attributed_until = self.attributed_until.max(until);
     }
 
-    fn remember(&mut self, fingerprint: Fingerprint) {
-        if self.answered.len() < MOST_ANSWERED {
+    fn remember_answered(&mut self, fingerprint: Fingerprint) {
+        if self.answered.len() < MAX_ANSWERED {
             self.answered.push(fingerprint);
             return;
         }
-        self.answered[self.oldest_answered] = fingerprint;
-        self.oldest_answered = (self.oldest_answered + 1) % MOST_ANSWERED;
+        self.answered[self.next_answered] = fingerprint;
+        self.next_answered = (self.next_answered + 1) % MAX_ANSWERED;
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        self.ended
-            .retain(|(over, _)| now.saturating_duration_since(*over) < SUCCESSION);
+    fn drop_expired(&mut self, now: Instant) {
+        self.unresolved
+            .retain(|(over, _)| now.saturating_duration_since(*over) < RESTART_WINDOW);
     }
 }
