--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -96,16 +96,17 @@
     /// [`Error::Frame`](crate::Error::Frame) when the bytes do not decode to an update, or decompress to
     /// more than [`wire::MAX_FRAME`] bytes.
     pub fn decompress(&self) -> Result<Update> {
-        let broken = |reason: String| FrameSnafu { reason }.build();
-        let (size, packed) =
-            block::uncompressed_size(&self.0).map_err(|error| broken(error.to_string()))?;
+        let invalid = |reason: String| FrameSnafu { reason }.build();
+        let (size, compressed) =
+            block::uncompressed_size(&self.0).map_err(|error| invalid(error.to_string()))?;
         // The size comes from the sender and must not cause an unbounded allocation.
         if size > wire::MAX_FRAME {
-            return Err(broken(format!(
+            return Err(invalid(format!(
                 "{size} bytes exceed the size limit of a frame"
             )));
         }
-        let bytes = block::decompress(packed, size).map_err(|error| broken(error.to_string()))?;
+        let bytes =
+            block::decompress(compressed, size).map_err(|error| invalid(error.to_string()))?;
         wire::decode(&bytes)
     }
 }
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -179,11 +179,11 @@
     ) -> Result<Offset> {
         let from = self.board.freshness.latest().next;
         let mut began = Instant::now();
-        let found = match from {
+        let changes = match from {
             Some(from) => control_plane.read_from(from, wait).await,
             None => control_plane.read_newest().await,
         };
-        let found = match found {
+        let changes = match changes {
             // The newest version is always retained. After the platform was restored from an older copy,
             // offsets are assigned again: reading on from an old one would miss the records written
             // before it since then.
@@ -191,23 +191,23 @@
                 began = Instant::now();
                 control_plane.read_newest().await?
             }
-            found => found?,
+            changes => changes?,
         };
-        self.log_unreadable(&found.faults);
-        self.accept_newest(found.releases);
-        for notice in &found.orders {
+        self.log_unreadable(&changes.faults);
+        self.accept_newest(changes.releases);
+        for notice in &changes.orders {
             self.apply_order(notice);
         }
-        let has_waited = from == Some(found.next) && began.elapsed() >= wait.duration();
+        let has_waited = from == Some(changes.next) && began.elapsed() >= wait.duration();
         // A wait without a result shows that there was no record until the wait ended.
         let as_of = if has_waited {
             began + wait.duration()
         } else {
             began
         };
-        let as_of = Some(as_of).filter(|_| found.at_end);
-        self.board.freshness.record_read(found.next, as_of);
-        Ok(found.next.offset)
+        let as_of = Some(as_of).filter(|_| changes.at_end);
+        self.board.freshness.record_read(changes.next, as_of);
+        Ok(changes.next.offset)
     }
 
     /// Activates the newest valid version.
--- a/src/configuration/relay.rs
+++ b/src/configuration/relay.rs
@@ -101,17 +101,17 @@
     /// Handles a push.
     #[must_use]
     pub fn accept_push(&self, reply: Reply) -> Reply {
-        let Reply::Update(packed) = reply else {
+        let Reply::Update(compressed) = reply else {
             return Reply::Have(self.board.digest());
         };
-        match self.accept(&packed, Channel::Push) {
+        match self.accept(&compressed, Channel::Push) {
             Ok(digest) => Reply::Have(digest),
             Err(_) => Reply::Need(self.board.digest()),
         }
     }
 
-    fn accept(&self, packed: &CompressedUpdate, way: Channel) -> Result<Digest> {
-        self.store.accept(packed.decompress()?, way)
+    fn accept(&self, compressed: &CompressedUpdate, channel: Channel) -> Result<Digest> {
+        self.store.accept(compressed.decompress()?, channel)
     }
 
     /// Handles a pull; only a few whole documents are sent at the same time.
@@ -156,7 +156,7 @@
         let mut have = self.board.digest().version;
         for _ in 0..MAX_PULL_ATTEMPTS {
             match self.links.send(peer, PULL_PATH, &Pull { have }).await? {
-                Reply::Update(packed) => match self.accept(&packed, Channel::Pull) {
+                Reply::Update(compressed) => match self.accept(&compressed, Channel::Pull) {
                     Ok(digest) => {
                         self.pulled.store(true, Ordering::Release);
                         return Ok(digest);
--- a/src/idempotency/claim.rs
+++ b/src/idempotency/claim.rs
@@ -214,8 +214,7 @@
         Ok(ledger)
     }
 
-    /// First offset whose record was written at or after `horizon_ms` (since 1970), by binary
-    /// search.
+    /// First offset whose record was written at or after the Unix time `horizon_ms`, found by binary search.
     async fn first_since(&self, bounds: &Page, horizon_ms: u64) -> Result<Offset> {
         let (mut low, mut high) = (bounds.first.0, bounds.head.0);
         while low < high {
