--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -62,7 +62,7 @@
     pub as_of: Option<Instant>,
     /// Position to continue reading from; `None` until one is known.
     pub next: Option<Position>,
-    /// Whether the time comes from this daemon's own read rather than from a report.
+    /// Whether this daemon's own read updated the watermark last, rather than a more recent report.
     pub own: bool,
 }
 
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -255,7 +255,8 @@
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
-            warn!(self.board.logger, "no group has the service of the roll-out order; publish one, or correct the order";
+            warn!(self.board.logger,
+                "no group has the service of the roll-out order; publish one, or correct the order";
                 "service" => %order.service);
         }
     }
