--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records a version read from the platform, before it is validated.
-    pub fn note_received(&self, version: Version) {
+    pub fn record_received(&self, version: Version) {
         self.received.fetch_max(version.0, Ordering::Relaxed);
     }
 
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -216,7 +216,7 @@
     /// together with it would never become active.
     fn accept_newest(&self, releases: Vec<Release>) {
         for Release { version, document } in releases.into_iter().rev() {
-            self.board.freshness.note_received(version);
+            self.board.freshness.record_received(version);
             if version <= self.board.digest().version {
                 return;
             }
