--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -18,7 +18,7 @@
 use crate::idempotency::keys;
 use crate::membership::roster::{Roster, Upstream};
 use crate::rollout::rules::Side;
-use crate::units::{CallKey, Revision};
+use crate::units::{IdempotencyKey, Revision};
 
 /// Load balancer over the upstreams of the current roster.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     pub fn choose(&self, call: &Call) -> Option<Arc<Upstream>> {
         let roster = self.board.roster();
         let untried = self.eligible(&roster, call);
-        let by_key = |key: &CallKey| {
+        let by_key = |key: &IdempotencyKey| {
             let indices = 0..untried.len();
             indices.max_by_key(|index| keys::rank(key, untried[*index].peer))
         };
@@ -63,7 +63,7 @@
         } else if self.is_suspect(call) {
             // Guards against a request that crashes several targets at the same moment, when its
             // retries arrive at several daemons: all go to one sidecar, which runs one at a time.
-            by_key(&CallKey(call.metadata.fingerprint.to_string()))
+            by_key(&IdempotencyKey(call.metadata.fingerprint.to_string()))
         } else {
             let baseline = self.statistics.baseline(&call.plan.route.name);
             self.select(&untried, call, &baseline, Instant::now())
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -21,7 +21,7 @@
 use crate::membership::roster::Upstream;
 use crate::peer::Failure;
 use crate::quarantine::fingerprint::{Content, Fingerprint};
-use crate::units::{CallKey, Millis, Service};
+use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
@@ -109,7 +109,7 @@
         let soft_deadline = began + plan.route.latency_ms.unwrap_or(timeout).duration();
         let group = Arc::clone(plan.group(draw));
         // Keys are scoped by service: callers of two services may choose the same one.
-        let scoped = |key| CallKey(format!("{}/{key}", group.service));
+        let scoped = |key| IdempotencyKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
         let metadata = Metadata {
             id: id.to_owned(),
--- a/src/calls/metadata.rs
+++ b/src/calls/metadata.rs
@@ -12,7 +12,7 @@
 use crate::configuration::document::Guard;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
-use crate::units::{CallKey, Millis, Priority, Service};
+use crate::units::{IdempotencyKey, Millis, Priority, Service};
 use crate::wire;
 
 /// Header that carries the [`Metadata`].
@@ -52,7 +52,7 @@
     /// Whether the request may safely run twice.
     pub repeatable: bool,
     /// The caller's idempotency key.
-    pub key: Option<CallKey>,
+    pub key: Option<IdempotencyKey>,
     /// How requests with the same key are kept from running twice.
     pub guard: Guard,
     /// Sidecars that have told the ingress that they accept no more calls.
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -18,7 +18,7 @@
 use crate::calls::metadata::Metadata;
 use crate::calls::nesting::Detector;
 use crate::calls::outcome::{self, Reason};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::units::{Millis, Service};
 
 /// Header with a sidecar's [`Load`].
@@ -29,7 +29,7 @@
 pub struct Sidecar {
     board: Arc<Board>,
     executor: Arc<Executor>,
-    keys: Arc<Keys>,
+    keys: Arc<Deduplicator>,
     /// Locked only briefly, and never across an await.
     origins: Mutex<Detector>,
 }
@@ -77,7 +77,7 @@
 impl Sidecar {
     /// A sidecar for the target that the board currently names.
     #[must_use]
-    pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
+    pub fn new(board: Arc<Board>, keys: Arc<Deduplicator>) -> Self {
         let executor = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
@@ -99,7 +99,7 @@
         let nested = self.record_origin(&metadata);
         let received = Received::new(metadata, request, self.board.begin());
         let result = match key {
-            Some(key) => self.keys.guard(key, received, &self.executor).await,
+            Some(key) => self.keys.run_once(key, received, &self.executor).await,
             None => self.executor.run(received).await,
         };
         let mut response = match result {
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,23 +1,24 @@
-//! Configuration: what is in force, how it is accepted, and how it travels.
+//! Configuration: the active version, how edits are accepted, and how versions are distributed.
 //!
-//! Operators publish a [`document`], which [`check`] looks through. Without a platform that accepts
-//! versions the [`fold`] of the [`log`] does; with one, an [`origin`] is read. What was accepted
-//! travels between daemons as [`delta`]s, and a [`floor`] keeps a restarted daemon from serving less.
+//! Operators publish a [`document`], which [`check`] validates. Edits are either decided by every
+//! daemon's [`replica`] of the [`log`], or by an external [`control_plane`], whose versions are
+//! [normalized](normalize). Daemons send each other accepted versions as [`delta`]s. [`readiness`] keeps
+//! a restarted daemon from serving an older version than before.
 
 pub mod check;
+pub mod control_plane;
 pub mod delta;
 pub mod document;
 pub mod exchange;
 pub mod fault;
 pub mod fetches;
-pub mod fit;
-pub mod floor;
-pub mod fold;
 pub mod freshness;
 pub mod log;
-pub mod origin;
+pub mod normalize;
+pub mod readiness;
+pub mod replica;
 
-pub(crate) mod config;
 pub(crate) mod publish;
 pub(crate) mod reader;
 pub(crate) mod relay;
+pub(crate) mod store;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -16,16 +16,16 @@
 use crate::calls::http_server::{self, Phase};
 use crate::calls::ingress::Ingress;
 use crate::calls::sidecar::Sidecar;
-use crate::configuration::config::Store;
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::document::Bounds;
 use crate::configuration::log::Log;
-use crate::configuration::origin::Origin;
 use crate::configuration::publish::Publisher;
 use crate::configuration::reader::{Reader, Source};
 use crate::configuration::relay::Relay;
+use crate::configuration::store::Store;
 use crate::error::{ListenSnafu, Result};
 use crate::extension::{Extension, Face, Handles};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::announce::Endpoint;
 use crate::membership::contacts::Contacts;
 use crate::membership::controller::Membership;
@@ -43,7 +43,7 @@
 use crate::stop::Stopping;
 pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
 use crate::telemetry;
-use crate::units::{Era, Millis};
+use crate::units::{Generation, Millis};
 
 /// Exit status when the daemon failed.
 pub const EXIT_FAILED: u8 = 1;
@@ -151,7 +151,7 @@
     let membership = Membership::open(Arc::clone(&board), Arc::clone(&relay)).await?;
     let membership = Arc::new(membership);
     let reader = Arc::new(Reader::new(Arc::clone(&board), Arc::clone(&store), source));
-    let keys = Arc::new(Keys::new(
+    let keys = Arc::new(Deduplicator::new(
         Arc::clone(&board),
         Arc::clone(&links),
         log.clone(),
@@ -227,18 +227,18 @@
 fn spawn_keepers(
     board: &Arc<Board>,
     membership: &Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
+    origin: Option<Arc<dyn ControlPlane>>,
     archive: Archive,
 ) {
     if let Some(origin) = &origin {
-        tokio::spawn(follow_eras(Arc::clone(board), origin.eras()));
+        tokio::spawn(follow_eras(Arc::clone(board), origin.generations()));
     }
     tokio::spawn(Controller::new(board, membership, origin).run());
     tokio::spawn(Replicator::new(board, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
-async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Era>) {
+async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Generation>) {
     while eras.changed().await.is_ok() {
         let era = *eras.borrow_and_update();
         info!(board.logger, "platform in another era"; "era" => era.0);
@@ -251,7 +251,7 @@
     board: &Arc<Board>,
     publisher: Publisher,
     gate: &Arc<Sidecar>,
-    keys: &Arc<Keys>,
+    keys: &Arc<Deduplicator>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
         board: Arc::clone(board),
@@ -263,7 +263,7 @@
 }
 
 /// The log, which stays closed where a platform keeps the configuration, and what readers read.
-fn sources(board: &Board, origin: Option<&Arc<dyn Origin>>) -> (Log, Source) {
+fn sources(board: &Board, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
     let (address, meter) = (board.settings.log_addr, Arc::clone(&board.meter));
     match origin {
         None => {
@@ -271,8 +271,8 @@
             (log.clone(), Source::Log(log))
         }
         Some(origin) => (
-            Log::closed(address, meter),
-            Source::Origin(Arc::clone(origin)),
+            Log::disabled(address, meter),
+            Source::ControlPlane(Arc::clone(origin)),
         ),
     }
 }
--- a/src/idempotency/ledger.rs
+++ b/src/idempotency/ledger.rs
@@ -1,13 +1,13 @@
-//! The fold of a service's claims on the log: the first claim of a key in log order holds.
+//! Replica of a service's claims on the log: the first claim of a key in log order holds it.
 //!
 //! ```
 //! use jackdawpulley::idempotency::keys::Holder;
 //! use jackdawpulley::idempotency::ledger::{Claim, Entry, Ledger};
 //! use jackdawpulley::units::Offset;
 //!
-//! let claim = |life| Claim {
+//! let claim = |run_id| Claim {
 //!     key: "till/k1".into(),
-//!     holder: Holder { gate: "127.0.0.1:7001".parse().unwrap(), life },
+//!     holder: Holder { sidecar: "127.0.0.1:7001".parse().unwrap(), run_id },
 //!     number: 1,
 //! };
 //! let mut ledger = Ledger::new(Offset(0));
@@ -20,54 +20,54 @@
 use serde::{Deserialize, Serialize};
 
 use crate::idempotency::keys::Holder;
-use crate::units::{CallKey, Offset};
+use crate::units::{IdempotencyKey, Offset};
 
-/// One wish to run a key.
+/// A claim to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The key, with its service.
-    pub key: CallKey,
-    /// Gate that wants to run it.
+    pub key: IdempotencyKey,
+    /// Sidecar that is about to run it.
     pub holder: Holder,
-    /// Number of the claim at its gate.
+    /// Sequence number of the claim at its sidecar.
     pub number: u64,
 }
 
-/// What a record of the `claims` stream is made of.
+/// An entry of a record of the `claims` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
     /// Claims a key.
     Claim(Claim),
-    /// Gives a claim back: its key has provably not run.
+    /// Releases a claim: its key has provably not run.
     Release(Claim),
 }
 
 /// A record of the `claims` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// When it was written, in milliseconds since 1970 by its writer's clock.
+    /// When it was written, in milliseconds since 1970 by the writer's clock.
     pub at_ms: u64,
     /// Claims and releases, in order.
     pub entries: Vec<Entry>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldClaim {
     claim: Claim,
     at_ms: u64,
 }
 
-/// Claims that hold, as far as the records have been folded.
+/// The claims that hold after the records applied so far.
 #[derive(Debug)]
 pub struct Ledger {
     next: Offset,
     /// Sorted by key.
-    held: Vec<Held>,
+    held: Vec<HeldClaim>,
 }
 
 impl Ledger {
-    /// A ledger that starts at `next` and knows nothing of earlier records.
+    /// An empty ledger that starts at offset `next`.
     #[must_use]
     pub const fn new(next: Offset) -> Self {
         Self {
@@ -76,13 +76,13 @@
         }
     }
 
-    /// First offset not folded yet.
+    /// Offset of the next record to apply.
     #[must_use]
     pub const fn next(&self) -> Offset {
         self.next
     }
 
-    /// Keys that are held.
+    /// Number of held keys.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.held.len()
@@ -96,12 +96,12 @@
 
     /// The claim that holds a key.
     #[must_use]
-    pub fn holder(&self, key: &CallKey) -> Option<&Claim> {
+    pub fn holder(&self, key: &IdempotencyKey) -> Option<&Claim> {
         let index = self.find(key).ok()?;
         Some(&self.held[index].claim)
     }
 
-    /// Folds the record at `offset`, unless it is folded already.
+    /// Applies the record at `offset`, unless it was applied already.
     pub fn apply(&mut self, offset: Offset, at_ms: u64, entries: &[Entry]) {
         if offset < self.next {
             return;
@@ -113,7 +113,7 @@
                     if let Err(index) = self.find(&claim.key) {
                         self.held.insert(
                             index,
-                            Held {
+                            HeldClaim {
                                 claim: claim.clone(),
                                 at_ms,
                             },
@@ -121,8 +121,8 @@
                     }
                 }
                 Entry::Release(claim) => {
-                    // Only the claim that holds can be given back: a late release of a claim
-                    // that lost must not free the key of the one that won.
+                    // Only the claim that holds can be released: a late release of a claim that
+                    // lost must not free the key of the claim that won.
                     if let Ok(index) = self.find(&claim.key)
                         && self.held[index].claim == *claim
                     {
@@ -133,12 +133,12 @@
         }
     }
 
-    /// Forgets claims that were written before `at_ms`.
-    pub fn forget(&mut self, at_ms: u64) {
+    /// Removes claims that were written before `at_ms`, in milliseconds since 1970.
+    pub fn forget_before(&mut self, at_ms: u64) {
         self.held.retain(|held| held.at_ms >= at_ms);
     }
 
-    fn find(&self, key: &CallKey) -> Result<usize, usize> {
+    fn find(&self, key: &IdempotencyKey) -> Result<usize, usize> {
         self.held.binary_search_by(|held| held.claim.key.cmp(key))
     }
 }
--- a/src/idempotency/mod.rs
+++ b/src/idempotency/mod.rs
@@ -1,12 +1,12 @@
-//! Idempotency: what keeps a repeated key from running twice.
+//! Idempotency: keeps requests with a repeated idempotency key from running twice.
 //!
-//! The [`keys`] of a gate are remembered and noted elsewhere, or claimed on the log, whose fold is the
-//! [`ledger`].
+//! The sidecar that owns a key either keeps it in memory and records its intent at another sidecar
+//! ([`keys`]), or claims it on the log, whose claims every sidecar evaluates in a [`ledger`].
 
 pub mod keys;
 pub mod ledger;
 
 pub(crate) mod claim;
-pub(crate) mod gates;
-pub(crate) mod guard;
+pub(crate) mod deduplicator;
 pub(crate) mod replay;
+pub(crate) mod sidecars;
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -8,10 +8,10 @@
 use tokio::sync::mpsc;
 
 use crate::board::Board;
-use crate::configuration::floor::Floor;
+use crate::configuration::readiness::Requirement;
 use crate::configuration::relay::Relay;
 use crate::error::Result;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::controller::Membership;
 use crate::membership::datagram::{Join, Welcome};
 use crate::membership::member::{Health, Member};
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Welcomes {
     /// Requirement on the configuration with which it may serve.
-    pub requirement: Floor,
+    pub requirement: Requirement,
     /// Number of responses.
     pub count: usize,
     /// Last entry of an earlier daemon at this address.
@@ -53,7 +53,7 @@
     /// Fetches configurations from peers.
     pub relay: Arc<Relay>,
     /// Remembers idempotency keys.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
 }
 
 impl JoinClient {
@@ -110,7 +110,7 @@
         let responder = responder.map(|m| m.data_centre.clone()).unwrap_or_default();
         welcomes
             .requirement
-            .heard(&responder, welcome.digest.version, welcome.highest_version);
+            .add_peer(&responder, welcome.digest.version, welcome.highest_version);
         welcomes.slots = welcome.slots.or(welcomes.slots);
         self.board.note_era(welcome.generation);
         self.board.quarantine.merge(&welcome.crashes);
@@ -140,7 +140,7 @@
         }
         let predecessor = welcomes.predecessor.as_ref();
         let lost = predecessor.is_some_and(|known| known.health != Health::Left);
-        self.keys.set_lived(lost);
+        self.keys.set_predecessor_lost(lost);
     }
 }
 
--- a/src/membership/versions.rs
+++ b/src/membership/versions.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::configuration::reader::duty;
+use crate::configuration::reader::reader_rank;
 use crate::configuration::relay::jitter;
 use crate::membership::controller::{Membership, State};
 use crate::membership::datagram::Datagram;
@@ -21,7 +21,9 @@
         while versions.changed().await.is_ok() {
             tokio::time::sleep(jitter(PROPAGATION_TIME)).await;
             versions.borrow_and_update();
-            if self.board().settings.delivery == Delivery::Poll || duty(self.board()).is_none() {
+            if self.board().settings.delivery == Delivery::Poll
+                || reader_rank(self.board()).is_none()
+            {
                 continue;
             }
             let sends = {
@@ -81,7 +83,7 @@
         if let Some(report) = &datagram.watermark {
             let complete = datagram.gossip_hash == self.gossip_hash();
             let now = Instant::now();
-            self.board().freshness.note_report(report, complete, now);
+            self.board().freshness.merge_report(report, complete, now);
         }
     }
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -19,10 +19,10 @@
 use crate::calls::stream::{self, Continue, Incoming, REQUEST_WINDOW_BYTES};
 use crate::calls::transit_delay::Estimator;
 use crate::configuration::exchange::{Pull, Reply};
-use crate::configuration::relay::{PULL, PUSH, Relay};
+use crate::configuration::relay::{PULL_PATH, PUSH_PATH, Relay};
 use crate::error::{Error, FrameSnafu, ListenSnafu, Result};
-use crate::idempotency::guard::{Keys, LEGACY, NOTE};
-use crate::idempotency::keys::{Legacy, Note};
+use crate::idempotency::deduplicator::{Deduplicator, HANDOFF_PATH, INTENT_PATH};
+use crate::idempotency::keys::{Handoff, Intent};
 use crate::membership::controller::Membership;
 use crate::membership::datagram::Join;
 use crate::peer::counted::Counted;
@@ -45,7 +45,7 @@
     /// Takes calls.
     pub gate: Arc<Sidecar>,
     /// Takes notes of keys.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Takes and serves content.
     pub relay: Arc<Relay>,
     /// Lets joiners in.
@@ -134,15 +134,19 @@
 
     async fn answer(&self, path: &str, body: &[u8]) -> Result<Bytes> {
         match path {
-            PUSH => Ok(wire::encode(&self.relay.take(wire::decode::<Reply>(body)?))),
-            PULL => Ok(self.relay.serve(&wire::decode::<Pull>(body)?).await),
+            PUSH_PATH => Ok(wire::encode(
+                &self.relay.accept_push(wire::decode::<Reply>(body)?),
+            )),
+            PULL_PATH => Ok(self.relay.answer_pull(&wire::decode::<Pull>(body)?).await),
             JOIN => Ok(wire::encode(
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
-            NOTE => self.note(&wire::decode::<Note>(body)?),
-            LEGACY => Ok(wire::encode(
-                &self.keys.inherit(&wire::decode::<Legacy>(body)?),
-            )),
+            INTENT_PATH => self.note(&wire::decode::<Intent>(body)?),
+            HANDOFF_PATH => Ok(wire::encode(&self.keys.accept_handoff(&wire::decode::<
+                Handoff,
+            >(
+                body
+            )?))),
             _ => FrameSnafu {
                 reason: format!("nothing is served at {path}"),
             }
@@ -150,9 +154,9 @@
         }
     }
 
-    fn note(&self, note: &Note) -> Result<Bytes> {
+    fn note(&self, note: &Intent) -> Result<Bytes> {
         let reason = "this gate has handed its keys over".to_owned();
-        let noted = self.keys.note(note);
+        let noted = self.keys.record_intent(note);
         noted
             .map(|noted| wire::encode(&noted))
             .ok_or(Error::Frame { reason })
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::log::{Log, Stream};
-use crate::configuration::origin::Origin;
 use crate::error::Result;
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::quarantine::record::Record;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub enum Archive {
     /// The platform, which returns the records with its list of daemons.
-    Platform(Arc<dyn Origin>),
+    Platform(Arc<dyn ControlPlane>),
     /// A stream of the log, for as long as the log retains the records.
     Log(Log),
 }
@@ -41,7 +41,7 @@
     /// As [`Origin::note`] and [`Log::append`].
     pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.note(cause, record).await,
+            Self::Platform(origin) => origin.set_quarantine_record(cause, record).await,
             Self::Log(log) => {
                 let record = record.cloned();
                 let entry = Entry { cause, record };
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -15,7 +15,7 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
 use crate::quarantine::detector;
@@ -54,7 +54,7 @@
 pub struct Controller {
     board: Arc<Board>,
     membership: Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
+    origin: Option<Arc<dyn ControlPlane>>,
     limits: ExposureLimits,
     /// Sorted by service.
     trackers: Vec<Tracker>,
@@ -67,7 +67,7 @@
     pub fn new(
         board: &Arc<Board>,
         membership: &Arc<Membership>,
-        origin: Option<Arc<dyn Origin>>,
+        origin: Option<Arc<dyn ControlPlane>>,
     ) -> Self {
         Self {
             limits: board.settings.exposure(),
@@ -368,11 +368,11 @@
 /// Writes the status of a rollout to the platform and applies the stored verdict, if there is one.
 async fn sync_with_platform(
     board: &Board,
-    origin: &dyn Origin,
+    origin: &dyn ControlPlane,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
-    let stored = origin.tell(order, status).await?;
+    let stored = origin.report_rollout_status(order, status).await?;
     if let Some(verdict) = stored.verdict() {
         if board.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
@@ -391,7 +391,7 @@
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
     let ordered_at_ms = origin
-        .note_begin(order, now_ms.saturating_sub(age_ms))
+        .record_rollout_start(order, now_ms.saturating_sub(age_ms))
         .await?;
     let age = Duration::from_millis(now_ms.saturating_sub(ordered_at_ms));
     if let Some(ordered_at) = Instant::now().checked_sub(age) {
--- a/src/rollout/progress.rs
+++ b/src/rollout/progress.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::configuration::origin::Position;
+use crate::configuration::control_plane::Position;
 use crate::rollout::order::{Change, Order, Verdict};
 use crate::rollout::plan::{Plan, Step};
 use crate::units::{Millis, Offset, Revision};
@@ -170,7 +170,7 @@
         // A platform that is restored from a backup has a replaced order again until the operator repeats the
         // newer one. Following it would start its rollout anew. In a backup the order has the same offset as
         // before.
-        let is_copy = self.progress.position.era < change.position.era
+        let is_copy = self.progress.position.generation < change.position.generation
             && self
                 .progress
                 .past
@@ -225,7 +225,7 @@
         hasher.update(order.service.as_str().as_bytes());
         hasher.update(order.revision.as_str().as_bytes());
         hasher.update(&order.duration.0.to_le_bytes());
-        hasher.update(&position.era.0.to_le_bytes());
+        hasher.update(&position.generation.0.to_le_bytes());
         hasher.update(&position.offset.0.to_le_bytes());
         let verdict = progress.verdict.map_or(0, |verdict| verdict as u8 + 1);
         hasher.update(&[progress.plan.step as u8, verdict]);
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -12,10 +12,10 @@
 
 use crate::board::Board;
 use crate::calls::http_server::Phase;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::extension::Reread;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
 use crate::membership::registration::Registration;
@@ -51,11 +51,11 @@
     /// Tells the others.
     pub membership: Arc<Membership>,
     /// Hands its keys over.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Ends the callers' connections.
     pub phases: watch::Sender<Phase>,
     /// The platform, where daemons are listed.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// Reads changed settings.
     pub reread: Option<Reread>,
 }
@@ -124,7 +124,7 @@
         self.phases.send_replace(Phase::Ending);
         self.answer_all(began).await;
         // A planned stop must not look like a loss to the guard of keys.
-        let handed = self.keys.hand_over().await;
+        let handed = self.keys.hand_off().await;
         let health = if handed { Health::Left } else { Health::Gone };
         self.membership.leave(health).await;
         // What came meanwhile is answered as well.
--- a/tests/membership_view.rs
+++ b/tests/membership_view.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use common::fixed;
+use jackdawpulley::configuration::control_plane::Position;
 use jackdawpulley::configuration::exchange::Digest;
 use jackdawpulley::configuration::freshness::Report;
-use jackdawpulley::configuration::origin::Position;
 use jackdawpulley::membership::member::{Health, Member, Stage};
 use jackdawpulley::membership::timing::Timing;
 use jackdawpulley::membership::view::{Effects, Send, View};
-use jackdawpulley::units::{DataCentre, Era, Incarnation, Millis, Offset, Version};
+use jackdawpulley::units::{DataCentre, Generation, Incarnation, Millis, Offset, Version};
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -390,7 +390,7 @@
     let watermark = Report {
         age: Millis(5),
         next: Position {
-            era: Era(0),
+            generation: Generation(0),
             offset: Offset(9),
         },
     };
