--- a/src/board.rs
+++ b/src/board.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 use crate::calls::dialect::Dialect;
-use crate::calls::lines::Throttle;
+use crate::calls::log_rate::Limiter;
 use crate::calls::route::Table;
 use crate::clock;
 use crate::configuration::document::Document;
@@ -28,7 +28,7 @@
 use crate::rollout::shared::Rollouts;
 use crate::settings::Settings;
 use crate::telemetry::Meter;
-use crate::units::{Birth, Era, Instance, Millis, Revision, Slots, Version};
+use crate::units::{Generation, Instance, Millis, Revision, Slots, StartTime, Version};
 
 /// Lines a second that requests may cause, so that an overload is not made worse by being logged.
 const LINES: u32 = 40;
@@ -70,7 +70,8 @@
     /// The life that announced itself, where targets tell theirs.
     pub instance: Option<Instance>,
     /// When that life began, where targets tell it.
-    pub born: Option<Birth>,
+    #[serde(rename = "born")]
+    pub start_time: Option<StartTime>,
     /// Where it takes calls.
     pub address: SocketAddr,
     /// What it offers.
@@ -94,7 +95,7 @@
         Offer {
             service: self.service.clone(),
             slots: self.slots,
-            born: self.born,
+            start_time: self.start_time,
             revision: self.revision.clone(),
             open: true,
         }
@@ -109,7 +110,7 @@
     /// Where events are written.
     pub logger: Logger,
     /// Bounds the lines that requests cause.
-    pub lines: Throttle,
+    pub lines: Limiter,
     /// How callers and targets spell their headers.
     pub dialect: Dialect,
     /// Control bytes.
@@ -132,7 +133,7 @@
     in_flight: AtomicU64,
     versions: watch::Sender<Version>,
     /// Highest era of the platform that is known.
-    eras: watch::Sender<Era>,
+    eras: watch::Sender<Generation>,
     rosters: watch::Sender<u64>,
     stages: watch::Sender<Stage>,
     /// Whether a planned stop waits no longer.
@@ -149,7 +150,7 @@
             rollouts: Rollouts::default(),
             settings,
             logger,
-            lines: Throttle::new(LINES),
+            lines: Limiter::new(LINES),
             dialect,
             meter: Meter::shared(),
             freshness: Freshness::default(),
@@ -161,7 +162,7 @@
             listed: AtomicBool::new(false),
             in_flight: AtomicU64::new(0),
             versions: watch::Sender::new(Version(0)),
-            eras: watch::Sender::new(Era(0)),
+            eras: watch::Sender::new(Generation(0)),
             rosters: watch::Sender::new(0),
             stages: watch::Sender::new(Stage::Starting),
             cut: watch::Sender::new(false),
@@ -208,12 +209,12 @@
 
     /// Highest era of the platform that is known.
     #[must_use]
-    pub fn era(&self) -> Era {
+    pub fn era(&self) -> Generation {
         *self.eras.borrow()
     }
 
     /// Notes an era that the platform or another daemon has told.
-    pub fn note_era(&self, era: Era) {
+    pub fn note_era(&self, era: Generation) {
         self.eras.send_if_modified(|known| {
             let later = era > *known;
             *known = era.max(*known);
@@ -223,7 +224,7 @@
 
     /// Follows the eras of the platform: in each, what was written to it before may be gone.
     #[must_use]
-    pub fn eras(&self) -> watch::Receiver<Era> {
+    pub fn eras(&self) -> watch::Receiver<Generation> {
         self.eras.subscribe()
     }
 
@@ -271,7 +272,7 @@
         match self.rollouts.rules().get(&target.service) {
             Some(rule) => rule.side(revision, me, now).is_some(),
             None => {
-                self.settings.exposure_share.is_none() || self.roster.load().is_usual(target, now)
+                self.settings.exposure_share.is_none() || self.roster.load().is_stable(target, now)
             }
         }
     }
--- a/src/calls/gate.rs
+++ b/src/calls/sidecar.rs
@@ -1,8 +1,8 @@
-//! The gate: the only way into the co-located target.
+//! The sidecar: the daemon beside a target, through which all requests to that target pass.
 //!
-//! All work enters a target through the daemon beside it, so one process sees everything that is
-//! in flight there, bounds it, and can prove a refusal. A request with an idempotency key is guarded
-//! by [`Keys`], which hand it on to the [`Work`]; any other goes there at once.
+//! One process thus sees all requests in flight at the target, bounds them, and can prove that a
+//! refused request did not run. A request with an idempotency key is guarded by [`Keys`], which
+//! pass it on to the [`Executor`]; any other goes there directly.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,41 +14,41 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::handover::Handover;
-use crate::calls::origins::Origins;
+use crate::calls::executor::{Executor, QueueTime, Received};
+use crate::calls::metadata::Metadata;
+use crate::calls::nesting::Detector;
 use crate::calls::outcome::{self, Reason};
-use crate::calls::work::{Received, Waited, Work};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::units::{Millis, Service};
 
-/// Header with a gate's [`Load`].
+/// Header with a sidecar's [`Load`].
 pub const LOAD: &str = "x-jackdaw-load";
 
-/// Bounds and dispatches the work of the co-located target.
+/// Runs requests at the co-located target.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Sidecar {
     board: Arc<Board>,
-    work: Arc<Work>,
-    keys: Arc<Keys>,
-    /// Held for a few instructions.
-    origins: Mutex<Origins>,
+    executor: Arc<Executor>,
+    keys: Arc<Deduplicator>,
+    /// Locked only briefly, and never across an await.
+    origins: Mutex<Detector>,
 }
 
-/// What a gate tells an entry with each answer, written as numbers with commas.
+/// Load that a sidecar reports with each response, written as numbers separated by commas.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that run at the target or wait for a slot.
     pub in_flight: u32,
-    /// Time for which the answered request waited for its slot.
+    /// Time for which this request waited for its slot.
     pub waited: Millis,
-    /// Whether only targets call the route of the answered request.
+    /// Whether only targets call this request's route.
     pub nested: bool,
 }
 
 impl Load {
-    /// What a gate told with an answer or a refusal, if it did.
+    /// Reads the load from a response's headers; `None` if it is missing or invalid.
     #[must_use]
-    pub fn of(headers: &HeaderMap) -> Option<Self> {
+    pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         headers.get(LOAD)?.to_str().ok()?.parse().ok()
     }
 }
@@ -74,33 +74,33 @@
     }
 }
 
-impl Gate {
-    /// A gate to whatever target the board names.
+impl Sidecar {
+    /// A sidecar for the target that the board currently names.
     #[must_use]
-    pub fn new(board: Arc<Board>, keys: Arc<Keys>) -> Self {
-        let work = Arc::new(Work::new(Arc::clone(&board)));
+    pub fn new(board: Arc<Board>, keys: Arc<Deduplicator>) -> Self {
+        let executor = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
-            work,
+            executor,
             keys,
             origins: Mutex::default(),
         }
     }
 
-    /// Requests that run and that wait.
+    /// Number of requests that run, and of those that wait.
     #[must_use]
     pub fn load(&self) -> (u32, usize) {
-        self.work.load()
+        self.executor.load()
     }
 
-    /// Runs a request, or says why not.
-    pub async fn run(&self, handover: Handover, request: Request<Body>) -> Response<Body> {
-        let (id, key) = (handover.id.clone(), handover.key.clone());
-        let nested = self.is_nested(&handover);
-        let received = Received::new(handover, request, self.board.begin());
+    /// Runs a request; the response carries the reason if it could not be run.
+    pub async fn run(&self, metadata: Metadata, request: Request<Body>) -> Response<Body> {
+        let (id, key) = (metadata.id.clone(), metadata.key.clone());
+        let nested = self.record_origin(&metadata);
+        let received = Received::new(metadata, request, self.board.begin());
         let result = match key {
-            Some(key) => self.keys.guard(key, received, &self.work).await,
-            None => self.work.run(received).await,
+            Some(key) => self.keys.run_once(key, received, &self.executor).await,
+            None => self.executor.run(received).await,
         };
         let mut response = match result {
             Ok(response) => response,
@@ -110,32 +110,36 @@
                         .board
                         .target()
                         .and_then(|target| target.instance.clone());
-                    info!(self.board.logger, "gate gave no answer"; "call" => &id,
+                    info!(self.board.logger, "request failed at sidecar"; "call" => &id,
                         "reason" => %reason, "running" => self.load().0,
                         "instance" => instance.map(|instance| instance.0));
                 }
-                outcome::notice(reason)
+                outcome::sidecar_refusal(reason)
             }
         };
-        let waited = response.extensions().get::<Waited>().copied();
-        let load = self.report(waited.unwrap_or_default(), nested);
+        let waited = response.extensions().get::<QueueTime>().copied();
+        let load = self.load_report(waited.unwrap_or_default(), nested);
         if let Ok(load) = HeaderValue::from_str(&load.to_string()) {
             response.headers_mut().insert(LOAD, load);
         }
         response
     }
 
-    /// Whether only targets call the route of a request, which is noted.
-    fn is_nested(&self, handover: &Handover) -> bool {
-        if handover.from == Service::default() {
+    /// Records where a request began; returns whether only targets call its route.
+    fn record_origin(&self, metadata: &Metadata) -> bool {
+        if metadata.caller_service == Service::default() {
             return false;
         }
         let roster = self.board.roster();
         let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.note(&handover.route, &handover.from, &roster.fleet)
+        origins.record(
+            &metadata.route,
+            &metadata.caller_service,
+            &roster.host_counts,
+        )
     }
 
-    fn report(&self, waited: Waited, nested: bool) -> Load {
+    fn load_report(&self, waited: QueueTime, nested: bool) -> Load {
         let (running, waiting) = self.load();
         Load {
             in_flight: running + u32::try_from(waiting).unwrap_or(u32::MAX),
--- a/src/calls/stream.rs
+++ b/src/calls/stream.rs
@@ -1,6 +1,6 @@
-//! Bodies that cross between h2 streams and HTTP/1.
+//! Transfer of bodies between h2 streams and HTTP/1 connections.
 //!
-//! Both directions keep back-pressure: a frame is read only when the other side has room. A body
+//! Both directions apply back-pressure: a frame is read only when the other side has room. A body
 //! that breaks off on one side is aborted on the other, never ended cleanly.
 
 use std::pin::Pin;
@@ -18,41 +18,42 @@
 /// Error of a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Flow-control window of a stream towards a peer that serves, in bytes: so much of each body may be
-/// on its way at once.
+/// Flow-control window of a request stream, in bytes.
 ///
-/// Small calls that go to the same host wait behind what is on its way.
-pub const REQUEST_WINDOW: u32 = 8 << 10;
-/// Bodies up to this many bytes go along with their heads, for all the difference that they make to a
-/// link.
-const SMALL_BODY: u64 = REQUEST_WINDOW as u64;
+/// It bounds how much of each body is in transit, since small calls to the same host wait behind
+/// that.
+pub const REQUEST_WINDOW_BYTES: u32 = 8 << 10;
+/// Bodies up to this many bytes are sent along with their heads, as they hardly load a link.
+const SMALL_BODY_BYTES: u64 = REQUEST_WINDOW_BYTES as u64;
 
-/// Whether a body takes a link its time, and is better asked for than sent along.
+/// Whether a body is large enough to be sent only once the receiver asks for it.
 #[must_use]
 pub fn is_large(headers: &HeaderMap, body: &Body) -> bool {
     let length = headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    let small = length.is_some_and(|length| length <= SMALL_BODY);
+    let small = length.is_some_and(|length| length <= SMALL_BODY_BYTES);
     !small && !http_body::Body::is_end_stream(body)
 }
 
-/// A body that a peer holds back until it is asked for; kept with its request inside the daemon.
+/// Signal that lets a peer send a body it has deferred (`Expect: 100-continue`).
+///
+/// Travels inside the daemon as an extension of the request.
 #[derive(Debug, Clone, Default)]
-pub struct HeldBack(Arc<Notify>);
+pub struct Continue(Arc<Notify>);
 
-impl HeldBack {
-    /// Asks for it.
-    pub fn ask(&self) {
+impl Continue {
+    /// Asks the peer for the body.
+    pub fn send(&self) {
         self.0.notify_one();
     }
 
-    /// Waits until it is asked for.
-    pub async fn asked(&self) {
+    /// Waits until the body is asked for.
+    pub async fn wait(&self) {
         self.0.notified().await;
     }
 }
 
-/// Headers that belong to one connection and are not passed on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -64,7 +65,7 @@
     header::UPGRADE,
 ];
 
-/// Removes what belongs to one connection only.
+/// Removes headers that apply to one connection only.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -132,15 +133,15 @@
     }
 }
 
-/// A body that keeps a value, such as a slot, until it ends or is dropped.
+/// A body that owns a value, such as a slot, until it is dropped.
 #[derive(Debug)]
-pub struct Held<T> {
+pub struct Guarded<T> {
     body: Body,
     _value: T,
 }
 
-impl<T: Send + Sync + Unpin + 'static> Held<T> {
-    /// A body that keeps `value`.
+impl<T: Send + Sync + Unpin + 'static> Guarded<T> {
+    /// Wraps a body so that it owns `value`.
     #[must_use]
     pub fn wrap(body: Body, value: T) -> Body {
         Body::from_body(Self {
@@ -150,7 +151,7 @@
     }
 }
 
-impl<T: Unpin> http_body::Body for Held<T> {
+impl<T: Unpin> http_body::Body for Guarded<T> {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -170,48 +171,48 @@
     }
 }
 
-/// A body that was taken in.
+/// A body read into memory up to a bound.
 #[derive(Debug)]
-pub enum Gathered {
-    /// All of it.
+pub enum Buffered {
+    /// The whole body.
     Whole(Bytes),
-    /// More than was allowed: what came, and the rest when it comes.
-    Partly(Body),
+    /// A body beyond the bound: the part read so far, then the rest as it arrives.
+    Partial(Body),
 }
 
-/// Takes a body in, up to `limit` bytes.
+/// Reads a body into memory, up to about `limit` bytes.
 ///
 /// # Errors
 ///
-/// What broke before the end.
-pub async fn gather(mut body: Body, limit: usize) -> Result<Gathered, BoxError> {
-    let mut taken = BytesMut::new();
-    while taken.len() <= limit {
+/// The error that ended the body early.
+pub async fn buffer(mut body: Body, limit: usize) -> Result<Buffered, BoxError> {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= limit {
         let Some(frame) = body.frame().await else {
-            return Ok(Gathered::Whole(taken.freeze()));
+            return Ok(Buffered::Whole(buffered.freeze()));
         };
         if let Ok(data) = frame?.into_data() {
-            if taken.is_empty() && http_body::Body::is_end_stream(&body) {
-                return Ok(Gathered::Whole(data));
+            if buffered.is_empty() && http_body::Body::is_end_stream(&body) {
+                return Ok(Buffered::Whole(data));
             }
-            taken.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
     }
-    let begun = Begun {
-        taken: Some(taken.freeze()),
+    let partial = Prefixed {
+        prefix: Some(buffered.freeze()),
         rest: body,
     };
-    Ok(Gathered::Partly(Body::from_body(begun)))
+    Ok(Buffered::Partial(Body::from_body(partial)))
 }
 
-/// A body whose first part has been taken in.
+/// A body whose first part has been read into memory.
 #[derive(Debug)]
-struct Begun {
-    taken: Option<Bytes>,
+struct Prefixed {
+    prefix: Option<Bytes>,
     rest: Body,
 }
 
-impl http_body::Body for Begun {
+impl http_body::Body for Prefixed {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -219,25 +220,25 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        if let Some(taken) = self.taken.take() {
-            return Poll::Ready(Some(Ok(Frame::data(taken))));
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         Pin::new(&mut self.rest).poll_frame(cx)
     }
 }
 
-/// Sends a whole body over an h2 stream, at the receiver's pace.
+/// Sends a whole body over an h2 stream as the receiver makes room for it.
 ///
 /// # Errors
 ///
-/// What broke; the stream is reset, so that the receiver sees a body cut short.
-pub async fn pump(mut body: Body, mut stream: SendStream<Bytes>) -> Result<(), BoxError> {
+/// The body's or the stream's error. If the body breaks off, the stream is reset, so that the
+/// receiver does not take it for complete.
+pub async fn send_body(mut body: Body, mut stream: SendStream<Bytes>) -> Result<(), BoxError> {
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
             Err(error) => {
-                // Guards against a half answer that looks whole: ending the stream here would be
-                // a clean end for the receiver.
+                // Ending the stream here would make a truncated body look complete.
                 stream.send_reset(Reason::INTERNAL_ERROR);
                 return Err(error);
             }
@@ -245,7 +246,7 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        // A known end travels with the last data, which saves the receiver one wake-up.
+        // The end goes with the last data if it is known, which saves the receiver one wake-up.
         let last = http_body::Body::is_end_stream(&body);
         send(&mut stream, data, last).await?;
         if last {
@@ -259,8 +260,8 @@
 ///
 /// # Errors
 ///
-/// What broke.
-pub async fn send_whole(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), BoxError> {
+/// The stream's error.
+pub async fn send_message(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), BoxError> {
     send(stream, data, true).await
 }
 
@@ -279,7 +280,7 @@
                 stream.send_data(chunk, last && data.is_empty())?;
             }
             Some(Err(error)) => return Err(error.into()),
-            None => return Err("the receiver closed the stream".into()),
+            None => return Err("receiver closed the stream before the end of the body".into()),
         }
     }
     Ok(())
--- /dev/null
+++ b/src/calls/validator.rs
@@ -0,0 +1,95 @@
+//! Validation of the target's response.
+//!
+//! A target may respond late, twice, to another request, or break off. A response is passed on only
+//! if it belongs to its request. Its connection is reused only if the whole response was buffered.
+
+use http::{HeaderValue, Response, StatusCode};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use volo_http::body::Body;
+
+use crate::calls::dialect::Dialect;
+use crate::calls::dispatch::{Connection, Dispatcher};
+use crate::calls::outcome::Reason;
+use crate::calls::stream::{self, Buffered, Guarded};
+
+/// Largest response that is buffered whole before its head is passed on, in bytes.
+///
+/// If a response breaks off before its head is passed on, the ingress can try another target or
+/// report an error, where it would otherwise have to cut the caller's connection.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+
+/// Validates the target's response to one call.
+#[derive(Debug)]
+pub struct Validator<'a> {
+    response: Response<Incoming>,
+    connection: Connection,
+    dialect: &'a Dialect,
+    id: &'a str,
+}
+
+impl<'a> Validator<'a> {
+    /// Wraps the response to the call `id` that came over `connection`.
+    pub const fn new(
+        response: Response<Incoming>,
+        connection: Connection,
+        dialect: &'a Dialect,
+        id: &'a str,
+    ) -> Self {
+        Self {
+            response,
+            connection,
+            dialect,
+            id,
+        }
+    }
+
+    /// Returns the response if it belongs to the request; buffers it where it is small.
+    ///
+    /// # Errors
+    ///
+    /// Why the response can't be passed on.
+    pub async fn validate(self, dispatcher: &Dispatcher) -> Result<Response<Body>, Reason> {
+        if !self.belongs_to_request() {
+            dispatcher.mark_suspect();
+            return Err(Reason::Broken);
+        }
+        let misdirected = self.dialect.expected_instance.is_some()
+            && self.response.status() == StatusCode::MISDIRECTED_REQUEST;
+        let refused = self.response.headers().contains_key(&self.dialect.refused);
+        let (parts, body) = self.response.into_parts();
+        let buffered = stream::buffer(Body::from_incoming(body), MAX_BUFFERED_BYTES).await;
+        let body = match buffered.map_err(|_| Reason::Broken)? {
+            Buffered::Whole(bytes) => {
+                self.connection.release(&parts.headers);
+                Body::from_body(Full::new(bytes))
+            }
+            Buffered::Partial(body) => Guarded::wrap(body, self.connection),
+        };
+        if misdirected {
+            return Err(Reason::Misdirected);
+        }
+        if refused {
+            return Err(Reason::Shed);
+        }
+        Ok(Response::from_parts(parts, body))
+    }
+
+    /// Whether the response belongs to the request.
+    ///
+    /// A target may send more bytes than one response. The rest would be read as the response to
+    /// the next request on the connection and reach the wrong caller; the call identifier in it,
+    /// which is that of another call, shows this.
+    fn belongs_to_request(&self) -> bool {
+        let headers = self.response.headers();
+        let header = |name| {
+            headers
+                .get(name)
+                .and_then(|v: &HeaderValue| v.to_str().ok())
+        };
+        let named = !self.dialect.echoes_call_id || header(&self.dialect.call_id) == Some(self.id);
+        let signature = self.dialect.signature.as_ref();
+        let signed = signature.is_none_or(|name| headers.contains_key(name));
+        named && (signed || !self.response.status().is_success())
+    }
+}
--- a/src/configuration/fetches.rs
+++ b/src/configuration/fetches.rs
@@ -1,59 +1,64 @@
-//! Fetches of a version that are under way.
+//! Requests in flight that fetch a version from a peer.
 //!
-//! Mostly one is enough. Another peer is asked as well when the last one that was asked has not answered
-//! for a while, since it may be frozen or gone.
+//! One request is usually enough. If it has not been answered after a delay, another peer is asked as
+//! well (a hedged request), since the first one may hang or be gone.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time after which another peer is asked as well: many times what a fetch takes.
-const HEDGE: Duration = Duration::from_millis(250);
-/// Fetches under way at the same time.
-const MOST: usize = 8;
+/// Time after which another peer is asked as well: many times the usual duration of a fetch.
+const HEDGE_DELAY: Duration = Duration::from_millis(250);
+/// Most fetches in flight at the same time.
+const MAX_IN_FLIGHT: usize = 8;
 
-/// The fetches of one daemon.
+/// Fetches in flight of one daemon.
 #[derive(Debug, Default)]
 pub struct Fetches(Mutex<Vec<Fetch>>);
 
 #[derive(Debug, Clone, Copy)]
 struct Fetch {
     peer: SocketAddr,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Fetches {
-    /// Begins a fetch from `peer` at `now`, which ends when the returned value is dropped; `None` where those
-    /// under way are enough.
-    pub fn begin(&self, peer: SocketAddr, now: Instant) -> Option<Ticket<'_>> {
-        let mut under_way = self.under_way();
-        let asked = under_way.iter().any(|fetch| fetch.peer == peer);
-        let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.began) < HEDGE;
-        if asked || under_way.len() >= MOST || under_way.iter().any(recent) {
+    /// Starts a fetch from `peer` at `now`, which ends when the returned value is dropped.
+    ///
+    /// Returns `None` if the peer is being asked already, if a fetch started recently, or if too many are in
+    /// flight.
+    pub fn try_begin(&self, peer: SocketAddr, now: Instant) -> Option<InFlight<'_>> {
+        let mut in_flight = self.in_flight();
+        let asked = in_flight.iter().any(|fetch| fetch.peer == peer);
+        let recent = |fetch: &Fetch| now.saturating_duration_since(fetch.started_at) < HEDGE_DELAY;
+        if asked || in_flight.len() >= MAX_IN_FLIGHT || in_flight.iter().any(recent) {
             return None;
         }
-        under_way.push(Fetch { peer, began: now });
-        Some(Ticket {
+        in_flight.push(Fetch {
+            peer,
+            started_at: now,
+        });
+        Some(InFlight {
             fetches: self,
             peer,
         })
     }
 
-    fn under_way(&self) -> MutexGuard<'_, Vec<Fetch>> {
+    fn in_flight(&self) -> MutexGuard<'_, Vec<Fetch>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A fetch that is under way.
+/// A fetch in flight; removed from its [`Fetches`] when dropped.
 #[derive(Debug)]
-pub struct Ticket<'a> {
+pub struct InFlight<'a> {
     fetches: &'a Fetches,
     peer: SocketAddr,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        let mut under_way = self.fetches.under_way();
-        under_way.retain(|fetch| fetch.peer != self.peer);
+        let mut in_flight = self.fetches.in_flight();
+        in_flight.retain(|fetch| fetch.peer != self.peer);
     }
 }
--- /dev/null
+++ b/src/configuration/normalize.rs
@@ -0,0 +1,190 @@
+//! Normalization of documents that an external control plane has accepted.
+//!
+//! A control plane validates documents by limits of its own. If daemons rejected a version because a value
+//! exceeds the limits of [`check`](super::check), the whole fleet would stay at the previous version. Such a
+//! value is therefore replaced by the nearest supported one, and the rest of the version becomes active.
+//! Contradictions, such as a route to a missing group, stay for [`check`](super::check) to reject.
+//!
+//! Normalization is deterministic: every daemon gets the same document from the same version.
+//!
+//! ```
+//! use jackdawpulley::configuration::document::Document;
+//! use jackdawpulley::configuration::normalize::normalize;
+//!
+//! let mut document = Document::default();
+//! document.bounds.max_head = 4_096;
+//! let (document, faults) = normalize(document);
+//! assert_eq!(document.bounds.max_head, 8_192);
+//! assert_eq!(faults.len(), 1);
+//! ```
+
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::authority;
+use crate::configuration::check::{
+    MAX_ATTEMPTS, MAX_NAME_BYTES, MAX_TIMEOUT_MS, MIN_HEAD_BYTES, duplicate_routes,
+};
+use crate::configuration::document::{Bounds, Document, Retry, Route, Share};
+use crate::configuration::fault::Fault;
+use crate::units::Millis;
+
+/// Bytes that are kept of a name that is too long; a hash of the whole name is appended.
+const KEPT_NAME_BYTES: usize = 96;
+
+/// Replaces unsupported values and sorts the resources; returns a fault for each change.
+#[must_use]
+pub fn normalize(document: Document) -> (Document, Vec<Fault>) {
+    let mut document = document.sorted();
+    let mut faults = Vec::new();
+    drop_duplicate_groups(&mut document, &mut faults);
+    for route in &mut document.routes {
+        route.host = route.host.take().map(|host| authority::normalized(&host));
+        normalize_split(route, &mut faults);
+    }
+    drop_duplicate_routes(&mut document.routes, &mut faults);
+    normalize_names(&mut document.routes, &mut faults);
+    for retry in &mut document.retries {
+        normalize_attempts(retry, &mut faults);
+    }
+    normalize_bounds(&mut document.bounds, &mut faults);
+    (document.sorted(), faults)
+}
+
+fn fault(path: String, problem: String, remedy: &str) -> Fault {
+    Fault {
+        path,
+        problem,
+        remedy: remedy.to_owned(),
+    }
+}
+
+fn drop_duplicate_groups(document: &mut Document, faults: &mut Vec<Fault>) {
+    document.groups.dedup_by(|later, first| {
+        let repeated = later.name == first.name;
+        if repeated {
+            let path = format!("groups[{:?}]", later.name);
+            faults.push(fault(
+                path,
+                "duplicate name".into(),
+                "the first one is used",
+            ));
+        }
+        repeated
+    });
+}
+
+/// Adjusts the weights of a split so that their sum is above 0 and fits `u32`.
+fn normalize_split(route: &mut Route, faults: &mut Vec<Fault>) {
+    let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
+    if route.split.is_empty() || (1..=u64::from(u32::MAX)).contains(&total) {
+        return;
+    }
+    let path = format!("routes[{:?}].split", route.name);
+    let problem = format!("the weights add up to {total}");
+    if total == 0 {
+        faults.push(fault(path, problem, "equal weights are used"));
+        route.split.iter_mut().for_each(|part| part.weight = 1);
+    } else {
+        faults.push(fault(path, problem, "the weights are scaled down"));
+        scale_weights(&mut route.split, total);
+    }
+}
+
+/// Scales weights with the sum `total` down so that their sum fits `u32`.
+fn scale_weights(split: &mut [Share], total: u64) {
+    // Leaves room for weights that are rounded up to 1.
+    let largest = u64::from(u32::MAX / 2);
+    for part in split.iter_mut().filter(|part| part.weight > 0) {
+        let weight = (u128::from(part.weight) * u128::from(largest) / u128::from(total)).max(1);
+        part.weight = u32::try_from(weight).unwrap_or(u32::MAX);
+    }
+}
+
+/// Removes routes that match the same requests as an earlier one.
+fn drop_duplicate_routes(routes: &mut Vec<Route>, faults: &mut Vec<Fault>) {
+    let duplicates = duplicate_routes(routes);
+    for (later, first) in &duplicates {
+        let path = format!("routes[{:?}]", routes[*later].name);
+        let problem = format!("it matches the same requests as {:?}", routes[*first].name);
+        faults.push(fault(path, problem, "the first one by name is used"));
+    }
+    let mut index = 0;
+    routes.retain(|_| {
+        index += 1;
+        duplicates
+            .binary_search_by_key(&(index - 1), |duplicate| duplicate.0)
+            .is_err()
+    });
+}
+
+/// Gives each route a unique valid name. The routes must be sorted by name.
+fn normalize_names(routes: &mut [Route], faults: &mut Vec<Fault>) {
+    let mut used: Vec<String> = Vec::with_capacity(routes.len());
+    for route in routes {
+        let mut name = normalize_name(&route.name);
+        let mut count = 1;
+        let index = loop {
+            let Err(index) = used.binary_search(&name) else {
+                count += 1;
+                name = format!("{}#{count}", normalize_name(&route.name));
+                continue;
+            };
+            break index;
+        };
+        used.insert(index, name.clone());
+        if name != route.name {
+            let path = format!("routes[{name:?}].name");
+            let problem = format!(
+                "a name of {} bytes is empty, too long or used before",
+                route.name.len()
+            );
+            faults.push(fault(path, problem, "a generated name is used"));
+            route.name = name;
+        }
+    }
+}
+
+/// A valid name of at most [`MAX_NAME_BYTES`]; not necessarily unique.
+fn normalize_name(name: &str) -> String {
+    if name.is_empty() {
+        return "unnamed".to_owned();
+    }
+    if name.len() <= MAX_NAME_BYTES {
+        return name.to_owned();
+    }
+    let kept = name.floor_char_boundary(KEPT_NAME_BYTES);
+    format!("{}#{:016x}", &name[..kept], xxh3_64(name.as_bytes()))
+}
+
+fn normalize_attempts(retry: &mut Retry, faults: &mut Vec<Fault>) {
+    if retry.attempts > MAX_ATTEMPTS {
+        let path = format!("retries[{:?}].attempts", retry.name);
+        let problem = format!("{} attempts", retry.attempts);
+        faults.push(fault(path, problem, "at most 10 are made"));
+        retry.attempts = MAX_ATTEMPTS;
+    }
+}
+
+fn normalize_bounds(bounds: &mut Bounds, faults: &mut Vec<Fault>) {
+    if bounds.max_head < MIN_HEAD_BYTES {
+        let problem = format!("{} bytes", bounds.max_head);
+        faults.push(fault("bounds.max_head".into(), problem, "8192 is used"));
+        bounds.max_head = MIN_HEAD_BYTES;
+    }
+    let times = [
+        ("bounds.head_ms", &mut bounds.head_ms),
+        ("bounds.idle_ms", &mut bounds.idle_ms),
+    ];
+    for (path, time) in times {
+        let fitting = Millis(time.0.clamp(1, MAX_TIMEOUT_MS));
+        if *time != fitting {
+            let problem = format!("{time} ms");
+            faults.push(fault(
+                path.into(),
+                problem,
+                "the nearest of 1 to 86400000 ms is used",
+            ));
+            *time = fitting;
+        }
+    }
+}
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -13,38 +13,37 @@
 
 use crate::board::Board;
 use crate::calls::callers::Callers;
-use crate::calls::entry::Entry;
-use crate::calls::gate::Gate;
 use crate::calls::http_server::{self, Phase};
-use crate::configuration::config::Store;
+use crate::calls::ingress::Ingress;
+use crate::calls::sidecar::Sidecar;
+use crate::configuration::control_plane::ControlPlane;
 use crate::configuration::document::Bounds;
 use crate::configuration::log::Log;
-use crate::configuration::origin::Origin;
 use crate::configuration::publish::Publisher;
 use crate::configuration::reader::{Reader, Source};
 use crate::configuration::relay::Relay;
+use crate::configuration::store::Store;
 use crate::error::{ListenSnafu, Result};
 use crate::extension::{Extension, Face, Handles};
-use crate::idempotency::guard::Keys;
-use crate::membership::announce::Desk;
+use crate::idempotency::deduplicator::Deduplicator;
+use crate::membership::announce::Endpoint;
 use crate::membership::contacts::Contacts;
-use crate::membership::greeting::Greeting;
+use crate::membership::controller::Membership;
 use crate::membership::join::Joiner;
+use crate::membership::join_client::JoinClient;
 use crate::membership::member::Stage;
-use crate::membership::probe::Membership;
 use crate::membership::refresh::Refresher;
 use crate::operation::operator::Operator;
 use crate::peer::Links;
 use crate::peer::server::Server;
 use crate::quarantine::archive::Archive;
-use crate::quarantine::keeper::Keeper;
+use crate::quarantine::replicator::Replicator;
 use crate::rollout::controller::Controller;
 use crate::settings::Settings;
 use crate::stop::Stopping;
-use crate::telemetry;
-use crate::units::{Era, Millis};
-
 pub use crate::stop::{EXIT_CUT_SHORT, EXIT_STOPPED};
+use crate::telemetry;
+use crate::units::{Generation, Millis};
 
 /// Exit status when the daemon failed.
 pub const EXIT_FAILED: u8 = 1;
@@ -152,12 +151,12 @@
     let membership = Membership::open(Arc::clone(&board), Arc::clone(&relay)).await?;
     let membership = Arc::new(membership);
     let reader = Arc::new(Reader::new(Arc::clone(&board), Arc::clone(&store), source));
-    let keys = Arc::new(Keys::new(
+    let keys = Arc::new(Deduplicator::new(
         Arc::clone(&board),
         Arc::clone(&links),
         log.clone(),
     ));
-    let gate = Arc::new(Gate::new(Arc::clone(&board), Arc::clone(&keys)));
+    let gate = Arc::new(Sidecar::new(Arc::clone(&board), Arc::clone(&keys)));
     let server = Arc::new(Server {
         board: Arc::clone(&board),
         gate: Arc::clone(&gate),
@@ -172,14 +171,14 @@
         log.clone(),
     );
     let operator = operator(&board, publisher, &gate, &keys);
-    let desk = Arc::new(Desk::new(Arc::clone(&board), Arc::clone(&membership)));
+    let desk = Arc::new(Endpoint::new(Arc::clone(&board), Arc::clone(&membership)));
     let contacts = Contacts {
         board: Arc::clone(&board),
         log,
         links: Arc::clone(&links),
         membership: Arc::clone(&membership),
     };
-    let greeting = Arc::new(Greeting {
+    let greeting = Arc::new(JoinClient {
         board: Arc::clone(&board),
         links,
         membership: Arc::clone(&membership),
@@ -190,14 +189,14 @@
         board: Arc::clone(&board),
         store,
         membership: Arc::clone(&membership),
-        greeting,
+        join_client: greeting,
         reader: Arc::clone(&reader),
         contacts,
-        origin: origin.clone(),
+        control_plane: origin.clone(),
         archive: archive.clone(),
-        desk: Arc::clone(&desk),
+        endpoint: Arc::clone(&desk),
     };
-    let entry = Arc::new(Entry::new(Arc::clone(&board), gate));
+    let entry = Arc::new(Ingress::new(Arc::clone(&board), gate));
     let refresher = Refresher::new(&board, &membership, &reader);
 
     let listener = server.listen().await?;
@@ -228,18 +227,18 @@
 fn spawn_keepers(
     board: &Arc<Board>,
     membership: &Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
+    origin: Option<Arc<dyn ControlPlane>>,
     archive: Archive,
 ) {
     if let Some(origin) = &origin {
-        tokio::spawn(follow_eras(Arc::clone(board), origin.eras()));
+        tokio::spawn(follow_eras(Arc::clone(board), origin.generations()));
     }
     tokio::spawn(Controller::new(board, membership, origin).run());
-    tokio::spawn(Keeper::new(board, membership, archive).run());
+    tokio::spawn(Replicator::new(board, membership, archive).run());
 }
 
 /// Notes each era that the platform tells this daemon.
-async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Era>) {
+async fn follow_eras(board: Arc<Board>, mut eras: watch::Receiver<Generation>) {
     while eras.changed().await.is_ok() {
         let era = *eras.borrow_and_update();
         info!(board.logger, "platform in another era"; "era" => era.0);
@@ -251,8 +250,8 @@
 fn operator(
     board: &Arc<Board>,
     publisher: Publisher,
-    gate: &Arc<Gate>,
-    keys: &Arc<Keys>,
+    gate: &Arc<Sidecar>,
+    keys: &Arc<Deduplicator>,
 ) -> Arc<Operator> {
     Arc::new(Operator {
         board: Arc::clone(board),
@@ -264,7 +263,7 @@
 }
 
 /// The log, which stays closed where a platform keeps the configuration, and what readers read.
-fn sources(board: &Board, origin: Option<&Arc<dyn Origin>>) -> (Log, Source) {
+fn sources(board: &Board, origin: Option<&Arc<dyn ControlPlane>>) -> (Log, Source) {
     let (address, meter) = (board.settings.log_addr, Arc::clone(&board.meter));
     match origin {
         None => {
@@ -272,8 +271,8 @@
             (log.clone(), Source::Log(log))
         }
         Some(origin) => (
-            Log::closed(address, meter),
-            Source::Origin(Arc::clone(origin)),
+            Log::disabled(address, meter),
+            Source::ControlPlane(Arc::clone(origin)),
         ),
     }
 }
@@ -297,13 +296,13 @@
 /// Serves operators, the target, and whatever the adapter adds; its faces replace our own.
 async fn serve_faces(
     board: &Arc<Board>,
-    desk: &Arc<Desk>,
+    desk: &Arc<Endpoint>,
     operator: Arc<Operator>,
     faces: Vec<Face>,
 ) -> Result<()> {
     let handles = Handles {
         board: Arc::clone(board),
-        desk: Arc::clone(desk),
+        endpoint: Arc::clone(desk),
     };
     let mut routers = vec![
         (board.settings.operator_addr, operator.router()),
@@ -317,12 +316,12 @@
         let listener = bind(address).await?;
         // Without a sender, these answer until the process is gone.
         let phases = watch::Sender::new(Phase::Open).subscribe();
-        let routed = http_server::routed(router, address);
+        let routed = http_server::router_handler(router, address);
         tokio::spawn(http_server::serve(
             listener,
             Callers::new(OTHERS),
             phases,
-            http_server::Limits::Fixed(Bounds::default()),
+            http_server::BoundsSource::Fixed(Bounds::default()),
             routed,
         ));
     }
@@ -337,7 +336,7 @@
 
 /// Serves callers. A host that another daemon can stand in for refuses them until this one is
 /// ready; where callers know no other daemon, each is told to come back.
-async fn serve_calls(board: Arc<Board>, entry: Arc<Entry>, phases: watch::Receiver<Phase>) {
+async fn serve_calls(board: Arc<Board>, entry: Arc<Ingress>, phases: watch::Receiver<Phase>) {
     if board.settings.accept_ms == Millis(0) {
         let mut stages = board.stages();
         let ready = stages.wait_for(|stage| *stage != Stage::Starting).await;
@@ -354,7 +353,7 @@
         }
     };
     let callers = Callers::new(board.settings.callers);
-    let limits = http_server::Limits::InForce(board);
+    let limits = http_server::BoundsSource::InForce(board);
     let handler = move |request| {
         let entry = Arc::clone(&entry);
         async move { entry.serve(request).await }
--- a/src/idempotency/gates.rs
+++ b/src/idempotency/sidecars.rs
@@ -1,16 +1,16 @@
-//! The gates of a service, as the rules of key ownership see them.
+//! The sidecars of a service, as the rules of key ownership need them.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use crate::idempotency::keys::{Peer, Standing};
+use crate::idempotency::keys::{Liveness, Peer};
 use crate::membership::member::{Health, Member};
 use crate::membership::roster::Roster;
 use crate::units::Service;
 
-/// The gates of a service other than `me`, those that were lost not long ago included. Those of
-/// `leaving` have said so themselves, whatever the view still has.
+/// The sidecars of a service other than `me`, including those that are gone and not forgotten yet.
+/// Those in `leaving` have announced it themselves, whatever the membership view says.
 #[must_use]
 pub fn others(
     roster: &Roster,
@@ -30,14 +30,14 @@
         .map(|member| {
             let open = member.offer.as_ref().is_some_and(|offer| offer.open);
             let serving = open && member.stage.takes_calls() && !leaving.contains(&member.peer);
-            let standing = if serving {
-                Standing::Serving
+            let liveness = if serving {
+                Liveness::Serving
             } else {
-                Standing::Leaving
+                Liveness::Leaving
             };
             Peer {
                 address: member.peer,
-                standing,
+                liveness,
             }
         });
     let lost = roster
@@ -48,38 +48,38 @@
         let ago = now.saturating_duration_since(departed.since);
         Peer {
             address: departed.member.peer,
-            standing: Standing::Lost(ago),
+            liveness: Liveness::Lost(ago),
         }
     });
     live.chain(lost).collect()
 }
 
-/// Gates that have handed everything over to this one and have not been seen serving since.
+/// Sidecars that have handed off all their keys to this one and have not been seen serving since.
 #[derive(Debug, Default)]
-pub struct Heritage {
-    gates: Mutex<Vec<SocketAddr>>,
+pub struct ReceivedHandoffs {
+    sidecars: Mutex<Vec<SocketAddr>>,
 }
 
-impl Heritage {
-    /// Notes that a gate has handed everything over.
-    pub fn took_over(&self, gate: SocketAddr) {
-        let mut gates = self.gates();
-        gates.retain(|known| *known != gate);
-        gates.push(gate);
+impl ReceivedHandoffs {
+    /// Records that a sidecar has handed off all its keys.
+    pub fn add(&self, sidecar: SocketAddr) {
+        let mut sidecars = self.sidecars();
+        sidecars.retain(|known| *known != sidecar);
+        sidecars.push(sidecar);
     }
 
-    /// Notes that a gate serves again, in another life.
-    pub fn serves_again(&self, gate: SocketAddr) {
-        self.gates().retain(|known| *known != gate);
+    /// Records that a sidecar serves again, in a new daemon process.
+    pub fn remove(&self, sidecar: SocketAddr) {
+        self.sidecars().retain(|known| *known != sidecar);
     }
 
-    /// Whether this gate remembers what another one knew.
+    /// Whether a sidecar has handed off all its keys to this one.
     #[must_use]
-    pub fn covers(&self, gate: SocketAddr) -> bool {
-        self.gates().contains(&gate)
+    pub fn contains(&self, sidecar: SocketAddr) -> bool {
+        self.sidecars().contains(&sidecar)
     }
 
-    fn gates(&self) -> MutexGuard<'_, Vec<SocketAddr>> {
-        self.gates.lock().unwrap_or_else(PoisonError::into_inner)
+    fn sidecars(&self) -> MutexGuard<'_, Vec<SocketAddr>> {
+        self.sidecars.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -1,6 +1,6 @@
-//! The log's list of daemons to join through, where no platform keeps one.
+//! List of contacts on the log, through which daemons join if no control plane keeps such a list.
 //!
-//! A few daemons of each data centre keep themselves listed, whatever the log expires.
+//! A few daemons of each data centre list themselves again whenever the log has expired their records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 
 use crate::board::Board;
 use crate::configuration::log::{Log, Stream};
-use crate::configuration::relay::{jitter, order};
+use crate::configuration::relay::{jitter, rendezvous_order};
+use crate::membership::controller::Membership;
 use crate::membership::datagram::{Join, Welcome};
-use crate::membership::probe::Membership;
 use crate::peer::Links;
 use crate::peer::server::JOIN;
 use crate::units::{DataCentre, Millis, Offset};
 
-/// Records of the contacts stream that a joiner looks at.
-const CONTACTS_READ: u64 = 32;
-/// Daemons of a data centre that keep a contact.
-const CONTACTS_KEPT: usize = 2;
-/// Time between two renewals of a contact, on average.
-pub const RENEWAL: Duration = Duration::from_mins(2);
+/// Latest records of the contacts stream that a daemon reads.
+const RECENT_RECORDS: u64 = 32;
+/// Daemons of a data centre that keep themselves listed.
+const LISTED_PER_DATA_CENTRE: usize = 2;
+/// Time between two checks of a daemon's listing, on average.
+pub const RENEWAL_INTERVAL: Duration = Duration::from_mins(2);
 
 /// One record of the `contacts` stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,29 +33,29 @@
     pub data_centre: DataCentre,
 }
 
-/// The list, as one daemon reads it and keeps itself on it.
+/// Access of one daemon to the list.
 #[derive(Debug)]
 pub struct Contacts {
-    /// The blackboard.
+    /// State shared by the daemon's controllers.
     pub board: Arc<Board>,
-    /// The platform log.
+    /// Log with the list.
     pub log: Log,
     /// Connections to peers.
     pub links: Arc<Links>,
-    /// The membership view.
+    /// Membership controller.
     pub membership: Arc<Membership>,
 }
 
 impl Contacts {
-    /// The latest contacts of the log.
-    pub async fn listed(&self) -> Vec<Contact> {
+    /// Reads the latest contacts; there are none while the log is unavailable.
+    pub async fn read_recent(&self) -> Vec<Contact> {
         let Ok(bounds) = self.log.bounds(Stream::Contacts).await else {
             return Vec::new();
         };
         let from = bounds
             .first
             .0
-            .max(bounds.head.0.saturating_sub(CONTACTS_READ));
+            .max(bounds.head.0.saturating_sub(RECENT_RECORDS));
         let page = self
             .log
             .read(Stream::Contacts, Offset(from), Millis(0))
@@ -67,34 +67,34 @@
             .collect()
     }
 
-    /// Keeps a bounded number of contacts of each data centre fresh on the log.
-    pub async fn keep(&self) {
+    /// Keeps a bounded number of contacts of each data centre on the log, and joins unknown ones.
+    pub async fn maintain(&self) {
         let settings = &self.board.settings;
         loop {
-            let order = order(&self.board.roster().members, &settings.data_centre);
-            let mine = order
+            let order = rendezvous_order(&self.board.roster().members, &settings.data_centre);
+            let is_publisher = order
                 .iter()
-                .take(CONTACTS_KEPT)
+                .take(LISTED_PER_DATA_CENTRE)
                 .any(|peer| *peer == settings.identity());
             let contact = Contact {
                 peer: settings.identity(),
                 data_centre: settings.data_centre.clone(),
             };
-            if mine && !self.listed().await.contains(&contact) {
+            if is_publisher && !self.read_recent().await.contains(&contact) {
                 let _ = self.log.append(Stream::Contacts, &contact).await;
             }
-            self.meet_strangers().await;
-            tokio::time::sleep(RENEWAL / 2 + jitter(RENEWAL)).await;
+            self.join_unknown().await;
+            tokio::time::sleep(RENEWAL_INTERVAL / 2 + jitter(RENEWAL_INTERVAL)).await;
         }
     }
 
-    /// Heals a split that outlived the memory of gone members: joins contacts it does not know.
-    async fn meet_strangers(&self) {
+    /// Joins contacts that are not members, which heals a partition that outlasts the retention of gone members.
+    async fn join_unknown(&self) {
         let roster = self.board.roster();
         let join = Join {
             member: self.membership.me(),
         };
-        for contact in self.listed().await {
+        for contact in self.read_recent().await {
             if roster.member(contact.peer).is_some() || contact.peer == join.member.peer {
                 continue;
             }
@@ -103,7 +103,8 @@
                 .send::<_, Welcome>(contact.peer, JOIN, &join)
                 .await
             {
-                self.membership.learn(&welcome.members, &welcome.usual);
+                self.membership
+                    .merge_members(&welcome.members, &welcome.stable_revisions);
             }
         }
     }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,109 +1,112 @@
-//! Telling the other daemons which targets ended under which requests, and how roll-outs stand.
+//! Propagation of target crashes and rollout states to the other daemons.
 //!
-//! What is new goes on at once to a few members drawn at random, who do the same: a fleet of 4,000 has heard
-//! of it after six steps. Each probe carries a hash of everything that its sender knows, so that who missed
-//! it, was cut off or frozen is told by whomever it speaks to next.
+//! An update is sent at once to a few members chosen at random, which do the same: it reaches a fleet of 4,000
+//! in six steps. Each datagram carries a hash of everything that its sender knows. A daemon that missed an
+//! update, was partitioned off or was paused gets it from the next daemon that it exchanges datagrams with.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 
-use crate::membership::datagram::Probe;
-use crate::membership::probe::{Membership, State};
+use crate::membership::controller::{Membership, State};
+use crate::membership::datagram::Message;
 use crate::membership::view::Send;
 use crate::quarantine::crash::Crash;
+use crate::rollout::counters::Report;
 use crate::rollout::progress::Progress;
-use crate::rollout::tally::Report;
 use crate::wire;
 
-/// Members that hear of an end from each daemon. By reckoning all but two in a hundred hear of it this way, at
-/// four small datagrams a daemon, and those two by a probe.
+/// Members that each daemon sends an update to. By calculation all but two in a hundred daemons receive it this
+/// way, at four small datagrams per daemon, and those two by a probe.
 const FANOUT: usize = 4;
-/// Bytes of ends in one datagram; the rest is for its sender's own entry.
-const PAGE: usize = 1_100;
-/// Time between two times that a daemon tells everything it knows: at most 256 ends, and mostly a few.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Bytes of crashes or rollouts in one datagram; the rest is for the sender's own entry.
+const MAX_PAGE_BYTES: usize = 1_100;
+/// Shortest time between two full synchronizations by a daemon, of at most 256 crashes each and mostly a few.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Membership {
-    /// Passes ends of targets on to a few members.
-    pub async fn pass_on(&self, crashes: Vec<Crash>) {
+    /// Sends crashes of targets to a few members.
+    pub async fn gossip_crashes(&self, crashes: Vec<Crash>) {
         let pages = pages(crashes);
-        self.spread(pages.into_iter().map(Probe::Crashes).collect())
+        self.send_to_random(pages.into_iter().map(Message::Crashes).collect())
             .await;
     }
 
-    /// Passes roll-outs on to a few members.
-    pub async fn pass_on_rollouts(&self, news: Vec<Progress>) {
-        let pages = pages(news);
-        self.spread(pages.into_iter().map(Probe::Rollouts).collect())
+    /// Sends rollout states to a few members.
+    pub async fn gossip_rollouts(&self, updates: Vec<Progress>) {
+        let pages = pages(updates);
+        self.send_to_random(pages.into_iter().map(Message::Rollouts).collect())
             .await;
     }
 
-    /// Tells one that decides on a roll-out how the co-located target answers.
+    /// Sends a report on the co-located target's responses to the coordinator of a rollout.
     pub async fn report(&self, peer: SocketAddr, report: Report) {
         let send = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
-            guard.view.bare(peer, Probe::Report(report))
+            self.refresh_view(&mut guard);
+            guard.view.bare_datagram(peer, Message::Report(report))
         };
         self.send(vec![send]).await;
     }
 
-    /// Sends something to a few members drawn at random.
-    async fn spread(&self, probes: Vec<Probe>) {
+    /// Sends messages to a few members chosen at random.
+    async fn send_to_random(&self, messages: Vec<Message>) {
         let sends = {
             let mut guard = self.state();
-            self.refresh(&mut guard);
+            self.refresh_view(&mut guard);
             let State { view, rng, .. } = &mut *guard;
-            let receivers = view.draw_live(FANOUT, rng);
+            let receivers = view.sample_live(FANOUT, rng);
             let sends = receivers.into_iter().flat_map(|peer| {
-                let probes = probes.iter().cloned();
-                probes.map(move |probe| (peer, probe))
+                let messages = messages.iter().cloned();
+                messages.map(move |message| (peer, message))
             });
-            let sends: Vec<(SocketAddr, Probe)> = sends.collect();
+            let sends: Vec<(SocketAddr, Message)> = sends.collect();
             let sends = sends.into_iter();
-            sends.map(|(to, probe)| view.datagram(to, probe)).collect()
+            sends
+                .map(|(to, message)| view.datagram(to, message))
+                .collect()
         };
         self.send(sends).await;
     }
 
-    /// Tells a peer that knows something else everything that this daemon knows, unless it has told
-    /// somebody a moment ago. The peer does the same, so both know the same then.
-    pub(super) fn reconcile(&self, peer: SocketAddr) -> Vec<Send> {
+    /// Builds datagrams with all crashes and rollouts that this daemon knows, for a peer that knows others;
+    /// none within [`SYNC_INTERVAL`] of the last ones to any peer. The peer does the same, after which both know
+    /// the same.
+    pub(super) fn full_sync(&self, peer: SocketAddr) -> Vec<Send> {
         let now = Instant::now();
-        let crashes = self.board().quarantine.told();
-        let rollouts = self.board().rollouts.told();
+        let crashes = self.board().quarantine.snapshot();
+        let rollouts = self.board().rollouts.snapshot();
         let mut guard = self.state();
-        let told = guard.reconciled;
-        let soon = told.is_some_and(|told| now.saturating_duration_since(told) < PAUSE);
-        if soon || crashes.is_empty() && rollouts.is_empty() {
+        let last = guard.last_full_sync;
+        let too_soon = last.is_some_and(|last| now.saturating_duration_since(last) < SYNC_INTERVAL);
+        if too_soon || crashes.is_empty() && rollouts.is_empty() {
             return Vec::new();
         }
-        guard.reconciled = Some(now);
-        let crashes = pages(crashes).into_iter().map(Probe::Crashes);
-        let rollouts = pages(rollouts).into_iter().map(Probe::Rollouts);
+        guard.last_full_sync = Some(now);
+        let crashes = pages(crashes).into_iter().map(Message::Crashes);
+        let rollouts = pages(rollouts).into_iter().map(Message::Rollouts);
         crashes
             .chain(rollouts)
-            .map(|probe| guard.view.datagram(peer, probe))
+            .map(|message| guard.view.datagram(peer, message))
             .collect()
     }
 }
 
-/// What is told in parts that fit into a datagram each.
-fn pages<T: Serialize>(all: Vec<T>) -> Vec<Vec<T>> {
+/// Splits items into pages that fit into one datagram each.
+fn pages<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut pages: Vec<Vec<T>> = Vec::new();
-    let mut room = 0;
-    for one in all {
-        let size = wire::encode(&one).len();
+    let mut space_left = 0;
+    for item in items {
+        let size = wire::encode(&item).len();
         match pages.last_mut() {
-            Some(page) if size <= room => page.push(one),
+            Some(page) if size <= space_left => page.push(item),
             _ => {
-                pages.push(vec![one]);
-                room = PAGE;
+                pages.push(vec![item]);
+                space_left = MAX_PAGE_BYTES;
             }
         }
-        room = room.saturating_sub(size);
+        space_left = space_left.saturating_sub(size);
     }
     pages
 }
--- a/src/operation/operator.rs
+++ b/src/operation/operator.rs
@@ -13,13 +13,13 @@
 use volo_http::server::route::{get, post};
 
 use crate::board::Board;
-use crate::calls::gate::Gate;
+use crate::calls::sidecar::Sidecar;
 use crate::configuration::document::Document;
 use crate::configuration::fault::Fault;
-use crate::configuration::fold::Proposal;
 use crate::configuration::publish::Publisher;
+use crate::configuration::replica::Proposal;
 use crate::error::{Error, Result};
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::member::Member;
 use crate::operation::state::{Brief, Dump};
 use crate::rollout::progress::Progress;
@@ -81,9 +81,9 @@
     /// Publishes edits.
     pub publisher: Publisher,
     /// Read for the state dump.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<Sidecar>,
     /// Read for the state dump.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Renders metrics.
     pub metrics: Option<PrometheusHandle>,
 }
@@ -154,7 +154,7 @@
     }
 
     fn rollouts(&self) -> Answer {
-        let told: Vec<Progress> = self.board.rollouts.told();
+        let told: Vec<Progress> = self.board.rollouts.snapshot();
         json(StatusCode::OK, &told)
     }
 
@@ -188,7 +188,7 @@
     fn gauge(&self) {
         let control = self.board.meter.read();
         metrics::gauge!("jackdaw_config_version").set(self.board.digest().version.0 as f64);
-        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.offered().0 as f64);
+        metrics::gauge!("jackdaw_version_offered").set(self.board.freshness.received().0 as f64);
         metrics::gauge!("jackdaw_members").set(self.board.roster().members.len() as f64);
         metrics::gauge!("jackdaw_in_flight").set(self.board.in_flight() as f64);
         metrics::counter!("jackdaw_control_bytes_total", "to" => "peers")
@@ -217,7 +217,7 @@
 
     fn look_up(&self, id: &str) -> Answer {
         let id = EditId::from(id);
-        match self.publisher.known(&id) {
+        match self.publisher.verdict(&id) {
             Ok(Some(version)) => answer(&id, Ok(version)),
             Ok(None) => answer(&id, Err(Error::Undecided { id: id.clone() })),
             Err(error) => answer(&id, Err(error)),
--- a/src/operation/state.rs
+++ b/src/operation/state.rs
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 
 use crate::board::{Board, Target};
-use crate::calls::gate::Gate;
+use crate::calls::sidecar::Sidecar;
 use crate::configuration::reader;
-use crate::idempotency::guard::Keys;
+use crate::idempotency::deduplicator::Deduplicator;
 use crate::membership::member::{Health, Member, Stage};
 use crate::membership::roster::{Roster, Upstream};
-use crate::quarantine::evidence::Verdicts;
+use crate::quarantine::crash_set::Assessments;
 use crate::rollout::progress::Progress;
 use crate::settings::Settings;
 use crate::telemetry::Reading;
-use crate::units::{DataCentre, Era, Millis, Revision, Service, Version};
+use crate::units::{DataCentre, Generation, Millis, Revision, Service, Version};
 
 /// Most members and upstreams that a dump names.
 const MOST: usize = 500;
@@ -56,7 +56,7 @@
     /// Revisions that are rolled out, or were.
     pub rollouts: Vec<Progress>,
     /// Highest era of the platform that is known.
-    pub era: Era,
+    pub era: Generation,
     /// Control bytes.
     pub control: Reading,
     /// Members that are not gone.
@@ -143,7 +143,7 @@
 impl Dump {
     /// Reads a daemon.
     #[must_use]
-    pub fn of(board: &Board, gate: &Gate, keys: &Keys) -> Self {
+    pub fn of(board: &Board, gate: &Sidecar, keys: &Deduplicator) -> Self {
         let now = Instant::now();
         let config = board.config();
         let roster = board.roster();
@@ -155,10 +155,10 @@
             stage: board.stage(),
             version: config.digest.version,
             hash: format!("{:016x}", config.digest.hash),
-            offered: board.freshness.offered(),
+            offered: board.freshness.received(),
             watermark_ms: board.freshness.age(now),
             routes: config.table.len(),
-            reads_log: reader::duty(board).is_some(),
+            reads_log: reader::reader_rank(board).is_some(),
             lease_left_ms: target
                 .as_ref()
                 .map(|target| left(target.lease_until).into()),
@@ -167,9 +167,9 @@
             running,
             waiting,
             keys: keys.len(),
-            rollouts: board.rollouts.told(),
+            rollouts: board.rollouts.snapshot(),
             era: board.era(),
-            quarantined: quarantined(&board.quarantine.verdicts(), now),
+            quarantined: quarantined(&board.quarantine.assessments(), now),
             control: board.meter.read(),
             live: roster
                 .members
@@ -179,7 +179,7 @@
             gone: roster.gone.len(),
             members: roster.members.iter().take(MOST).cloned().collect(),
             upstreams: roster
-                .all()
+                .all_upstreams()
                 .take(MOST)
                 .map(|(s, u)| UpstreamDump::of(s, u, revision(&roster, u), now))
                 .collect(),
@@ -193,12 +193,12 @@
     offer.revision.clone()
 }
 
-fn quarantined(verdicts: &Verdicts, now: Instant) -> Vec<QuarantineDump> {
-    let quarantined = verdicts.quarantined().take(MOST);
+fn quarantined(assessments: &Assessments, now: Instant) -> Vec<QuarantineDump> {
+    let quarantined = assessments.quarantined().take(MOST);
     quarantined
         .map(|(cause, until)| QuarantineDump {
             fingerprint: cause.to_string(),
-            ends: verdicts.of(cause).ends,
+            ends: assessments.of(cause).crashes,
             left_ms: until.saturating_duration_since(now).into(),
         })
         .collect()
@@ -220,7 +220,7 @@
             local: upstream.local,
             own,
             reported,
-            failures: upstream.evidence().failures,
+            failures: upstream.detector().failures,
             ejected: upstream.ejected(now),
             age_ms: age.into(),
         }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,7 +1,7 @@
 //! One daemon's connection to another: h2 over TCP.
 //!
 //! A [`Link`] is one daemon's connection to another. Control messages are single POSTs with
-//! bincode bodies; calls are ordinary requests with a [`Handover`](crate::calls::handover::Handover) in a
+//! bincode bodies; calls are ordinary requests with a [`Metadata`](crate::calls::metadata::Metadata) in a
 //! header. Links for calls and links for control are separate connections, so that control bytes
 //! can be counted where they are sent.
 
@@ -144,7 +144,7 @@
             let request = request.map_err(|e| self.unreachable(&e.to_string()))?;
             let sent = sender.send_request(request, false);
             let (response, mut stream) = sent.map_err(|e| self.unreachable(&e.to_string()))?;
-            stream::send_whole(&mut stream, body)
+            stream::send_message(&mut stream, body)
                 .await
                 .map_err(|e| self.failed(&e.to_string()))?;
             let response = response.await.map_err(|e| self.failed(&e.to_string()))?;
@@ -270,7 +270,7 @@
             return response.await;
         }
     }
-    let mut pumping = Box::pin(stream::pump(body, stream));
+    let mut pumping = Box::pin(stream::send_body(body, stream));
     tokio::select! {
         biased;
         answer = &mut response => {
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -14,22 +14,21 @@
 use volo_http::body::Body;
 
 use crate::board::Board;
-use crate::calls::gate::Gate;
-use crate::calls::handover::{HANDOVER, read_handover};
-use crate::calls::stream::{self, HeldBack, Incoming, REQUEST_WINDOW};
-use crate::calls::transit::Transit;
-use crate::clock;
+use crate::calls::metadata::{METADATA, read_metadata};
+use crate::calls::sidecar::Sidecar;
+use crate::calls::stream::{self, Continue, Incoming, REQUEST_WINDOW_BYTES};
+use crate::calls::transit_delay::Estimator;
 use crate::configuration::exchange::{Pull, Reply};
-use crate::configuration::relay::{PULL, PUSH, Relay};
+use crate::configuration::relay::{PULL_PATH, PUSH_PATH, Relay};
 use crate::error::{Error, FrameSnafu, ListenSnafu, Result};
-use crate::idempotency::guard::{Keys, LEGACY, NOTE};
-use crate::idempotency::keys::{Legacy, Note};
+use crate::idempotency::deduplicator::{Deduplicator, HANDOFF_PATH, INTENT_PATH};
+use crate::idempotency::keys::{Handoff, Intent};
+use crate::membership::controller::Membership;
 use crate::membership::datagram::Join;
-use crate::membership::probe::Membership;
 use crate::peer::counted::Counted;
 use crate::peer::link::{CONNECTION_WINDOW, collect};
 use crate::units::Millis;
-use crate::wire;
+use crate::{clock, wire};
 
 /// Path of a [`Join`].
 pub const JOIN: &str = "/control/join";
@@ -44,9 +43,9 @@
     /// The blackboard.
     pub board: Arc<Board>,
     /// Takes calls.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<Sidecar>,
     /// Takes notes of keys.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Takes and serves content.
     pub relay: Arc<Relay>,
     /// Lets joiners in.
@@ -87,9 +86,9 @@
         let _ = stream.set_nodelay(true);
         let counted = Counted::new(stream, Some(Arc::clone(&self.board.meter)));
         let calls = counted.calls();
-        let transit = Arc::new(Transit::default());
+        let transit = Arc::new(Estimator::default());
         let mut connection = h2::server::Builder::new()
-            .initial_window_size(REQUEST_WINDOW)
+            .initial_window_size(REQUEST_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW)
             .max_concurrent_streams(MAX_STREAMS)
             .max_header_list_size(MAX_HEAD)
@@ -98,7 +97,7 @@
         while let Some(accepted) = connection.accept().await {
             let (request, respond) = accepted?;
             let server = Arc::clone(self);
-            if request.headers().contains_key(HANDOVER) {
+            if request.headers().contains_key(METADATA) {
                 calls.store(true, Ordering::Relaxed);
                 let transit = Arc::clone(&transit);
                 tokio::spawn(async move { server.call(request, respond, &transit).await });
@@ -122,7 +121,7 @@
         match answer {
             Ok(answer) => {
                 if let Ok(mut stream) = respond.send_response(Response::new(()), false) {
-                    let _ = stream::send_whole(&mut stream, answer).await;
+                    let _ = stream::send_message(&mut stream, answer).await;
                 }
             }
             Err(error) => {
@@ -135,15 +134,19 @@
 
     async fn answer(&self, path: &str, body: &[u8]) -> Result<Bytes> {
         match path {
-            PUSH => Ok(wire::encode(&self.relay.take(wire::decode::<Reply>(body)?))),
-            PULL => Ok(self.relay.serve(&wire::decode::<Pull>(body)?).await),
+            PUSH_PATH => Ok(wire::encode(
+                &self.relay.accept_push(wire::decode::<Reply>(body)?),
+            )),
+            PULL_PATH => Ok(self.relay.answer_pull(&wire::decode::<Pull>(body)?).await),
             JOIN => Ok(wire::encode(
                 &self.membership.welcome(&wire::decode::<Join>(body)?),
             )),
-            NOTE => self.note(&wire::decode::<Note>(body)?),
-            LEGACY => Ok(wire::encode(
-                &self.keys.inherit(&wire::decode::<Legacy>(body)?),
-            )),
+            INTENT_PATH => self.note(&wire::decode::<Intent>(body)?),
+            HANDOFF_PATH => Ok(wire::encode(&self.keys.accept_handoff(&wire::decode::<
+                Handoff,
+            >(
+                body
+            )?))),
             _ => FrameSnafu {
                 reason: format!("nothing is served at {path}"),
             }
@@ -151,9 +154,9 @@
         }
     }
 
-    fn note(&self, note: &Note) -> Result<Bytes> {
+    fn note(&self, note: &Intent) -> Result<Bytes> {
         let reason = "this gate has handed its keys over".to_owned();
-        let noted = self.keys.note(note);
+        let noted = self.keys.record_intent(note);
         noted
             .map(|noted| wire::encode(&noted))
             .ok_or(Error::Frame { reason })
@@ -164,10 +167,10 @@
         &self,
         request: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
-        transit: &Transit,
+        transit: &Estimator,
     ) {
         let (mut parts, stream) = request.into_parts();
-        let Ok(mut handover) = read_handover(&mut parts.headers) else {
+        let Ok(mut handover) = read_metadata(&mut parts.headers) else {
             metrics::counter!("jackdaw_bad_frames_total").increment(1);
             respond.send_reset(H2Reason::REFUSED_STREAM);
             return;
@@ -175,10 +178,10 @@
         // Guards against work for callers that have left: on a full link a call is on its way for most of a
         // second, and its caller's time runs out meanwhile. By what its entry wrote it would run all the
         // same, and the target would get more time than there is. The gate refuses what came too late.
-        let late = Millis::from(transit.late(handover.sent_ms, clock::boot_ms()));
+        let late = Millis::from(transit.excess(handover.sent_ms, clock::boot_ms()));
         handover.remaining.0 = handover.remaining.0.saturating_sub(late.0);
-        handover.tolerance.0 = handover.tolerance.0.saturating_sub(late.0);
-        let held_back = HeldBack::default();
+        handover.max_wait.0 = handover.max_wait.0.saturating_sub(late.0);
+        let held_back = Continue::default();
         if parts.headers.contains_key(header::EXPECT) {
             parts.extensions.insert(held_back.clone());
         }
@@ -191,7 +194,7 @@
                 // The entry has given up: dropping the run closes its connection to the target.
                 _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return,
                 response = &mut run => break response,
-                () = held_back.asked() => {
+                () = held_back.wait() => {
                     let mut go_on = Response::new(());
                     *go_on.status_mut() = StatusCode::CONTINUE;
                     // An error means that the entry has gone, which the reset tells as well.
@@ -210,6 +213,6 @@
     if let Ok(stream) = respond.send_response(Response::from_parts(parts, ()), empty)
         && !empty
     {
-        let _ = stream::pump(body, stream).await;
+        let _ = stream::send_body(body, stream).await;
     }
 }
--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -1,4 +1,4 @@
-//! One end of a target without a word, and what ran there.
+//! Reports of target crashes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 use crate::quarantine::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// Requests that one end names at most, so that it fits into a datagram.
-pub const MOST_RUNNING: usize = 128;
+/// Most requests that a report lists, so that it fits into a datagram.
+pub const MAX_RUNNING: usize = 128;
 
-/// Name of one end of a target, drawn at random.
+/// Random identifier of a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashId(pub u64);
@@ -30,24 +30,24 @@
     }
 }
 
-/// A target's end without a word, as daemons tell each other of it.
+/// The unannounced end of a target process, as daemons report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Which one.
+    /// Identifies the crash.
     pub id: CrashId,
-    /// Time since then, when it was told.
+    /// Time since the crash, at the time of sending.
     pub age: Millis,
-    /// Requests that ran there and may have caused it, sorted.
+    /// Requests that were running and may have caused the crash, sorted.
     pub running: Vec<Fingerprint>,
-    /// Others that ran there, which a target has answered since, sorted.
+    /// Requests that were running but that a target has answered since, sorted.
     pub cleared: Vec<Fingerprint>,
 }
 
 impl Crash {
-    /// An end that has just happened.
+    /// A crash that has just happened.
     #[must_use]
     pub fn new(id: CrashId, mut running: Vec<Fingerprint>) -> Self {
-        running.truncate(MOST_RUNNING);
+        running.truncate(MAX_RUNNING);
         running.sort_unstable();
         running.dedup();
         Self {
@@ -58,50 +58,55 @@
         }
     }
 
-    /// The same end as one told `age` ago, as far as it accuses one request.
+    /// A crash of the given age that implicates only `cause`.
     #[must_use]
-    pub fn by(id: CrashId, cause: Fingerprint, age: Millis) -> Self {
+    pub fn with_cause(id: CrashId, cause: Fingerprint, age: Millis) -> Self {
         Self {
             age,
             ..Self::new(id, vec![cause])
         }
     }
 
-    /// Whether a request may have caused it.
+    /// Whether the request may have caused the crash.
     #[must_use]
-    pub fn accuses(&self, fingerprint: Fingerprint) -> bool {
+    pub fn implicates(&self, fingerprint: Fingerprint) -> bool {
         contains(&self.running, fingerprint)
     }
 
-    /// Adds what another told of the same end; whether any of it was news.
-    pub fn unite(&mut self, other: &Self) -> bool {
-        let cleared = other.cleared.iter().map(|one| self.clear(*one));
-        let cleared = cleared.filter(|news| *news).count() > 0;
+    /// Merges another report of the same crash; returns whether this one changed.
+    pub fn merge(&mut self, other: &Self) -> bool {
+        let cleared = other
+            .cleared
+            .iter()
+            .map(|fingerprint| self.clear(*fingerprint));
+        let cleared = cleared.filter(|is_new| *is_new).count() > 0;
         let running = other
             .running
             .iter()
-            .filter(|one| !contains(&self.cleared, **one));
+            .filter(|fingerprint| !contains(&self.cleared, **fingerprint));
         let running: Vec<Fingerprint> = running.copied().collect();
-        let added = running.iter().map(|one| insert(&mut self.running, *one));
-        added.filter(|news| *news).count() > 0 || cleared
+        let added = running
+            .iter()
+            .map(|fingerprint| insert(&mut self.running, *fingerprint));
+        added.filter(|is_new| *is_new).count() > 0 || cleared
     }
 
-    /// Notes that a request is not the cause; whether that was news.
+    /// Marks a request as not the cause; returns whether it was not marked before.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
-        self.running.retain(|one| *one != fingerprint);
+        self.running.retain(|other| *other != fingerprint);
         insert(&mut self.cleared, fingerprint)
     }
 }
 
-fn contains(list: &[Fingerprint], one: Fingerprint) -> bool {
-    list.binary_search(&one).is_ok()
+fn contains(list: &[Fingerprint], fingerprint: Fingerprint) -> bool {
+    list.binary_search(&fingerprint).is_ok()
 }
 
-/// Adds one to a sorted list within its bound; whether it was not there.
-fn insert(list: &mut Vec<Fingerprint>, one: Fingerprint) -> bool {
-    match list.binary_search(&one) {
-        Err(index) if list.len() < MOST_RUNNING => {
-            list.insert(index, one);
+/// Inserts into a sorted list of at most [`MAX_RUNNING`]; returns whether the list changed.
+fn insert(list: &mut Vec<Fingerprint>, fingerprint: Fingerprint) -> bool {
+    match list.binary_search(&fingerprint) {
+        Err(index) if list.len() < MAX_RUNNING => {
+            list.insert(index, fingerprint);
             true
         }
         _ => false,
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -1,8 +1,9 @@
-//! Carrying roll-outs out: counts to those who decide, plans to everybody, the verdict to the platform.
+//! Rollout controller: reports counts to the coordinators, sends plans to all daemons and writes the verdict
+//! to the platform.
 //!
-//! Who decides is advisory, as reading is: two daemons that decide at once merge their plans, and the platform
-//! takes one verdict. The one that comes first in rendezvous order for the service decides, the next one steps
-//! in when no plan comes from it.
+//! Coordination is advisory, as reading is: if two daemons coordinate at once, their plans merge, and the
+//! platform accepts one verdict. The first daemon in rendezvous order for the service coordinates; the next
+//! one takes over when no plan arrives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,73 +15,76 @@
 use crate::backoff::Backoff;
 use crate::board::Board;
 use crate::clock;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
+use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::probe::Membership;
-use crate::quarantine::inspect;
+use crate::quarantine::detector;
+use crate::rollout::counters::{Counters, Outcome, Report, RouteCounters, RouteId};
 use crate::rollout::decision::{Decision, decide};
-use crate::rollout::duty::{Duty, Gates, MOVE_TICK, SAMPLED, TICK, ranked};
-use crate::rollout::observed::Limits;
+use crate::rollout::observed::ExposureLimits;
 use crate::rollout::order::{Order, Status};
-use crate::rollout::plan::{ALL, MOST_CHOSEN, Plan, RENEWAL, Step};
-use crate::rollout::progress::Known;
-use crate::rollout::tally::{Counts, Outcome, Report, RouteId, Tally};
-use crate::rollout::test::Test;
+use crate::rollout::plan::{FULL_PERMILLE, MAX_CHOSEN, Plan, RENEWAL_INTERVAL, Step};
+use crate::rollout::progress::LocalProgress;
+use crate::rollout::significance::Test;
+use crate::rollout::tracker::{
+    MAX_OLD_REPORTERS, PROMOTION_TICK_INTERVAL, Sidecars, TICK_INTERVAL, Tracker, rendezvous_order,
+};
 use crate::units::Service;
 
-/// Time between two looks where all have a verdict.
-const REST: Duration = Duration::from_secs(2);
-/// Daemons that get the counts of a service: the one that decides, and the next one.
-const DECIDERS: usize = 2;
-/// Time without a plan after which the next one decides: before plans lapse.
-const TAKE_OVER: Duration = Duration::from_secs(1);
-/// Gates of new targets that report: twice as many as a plan names, since some may not be warm.
-const TRIED: usize = 2 * MOST_CHOSEN;
-/// Gates that report in one tick that nothing runs at their old targets; where there are more, each does so
-/// less often.
-const DRAINS: usize = 48;
-/// Time between two looks at what the platform says of a roll-out: it may have forgotten.
-const RECHECK: Duration = Duration::from_secs(10);
-/// Time for which it is looked at after the end of an order.
-const AFTERMATH: Duration = Duration::from_mins(1);
-/// Pauses after calls to the platform that failed.
-const PAUSES: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
+/// Tick interval while every rollout has a verdict.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+/// Daemons that receive a service's reports: the coordinator and its successor.
+const COORDINATORS: usize = 2;
+/// Time without a renewed plan after which the successor takes over: before the plan expires.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Sidecars of the new revision that report: twice as many as a plan names, since some targets may not be
+/// warm.
+const MAX_NEW_REPORTERS: usize = 2 * MAX_CHOSEN;
+/// Sidecars of the old revision that report per tick that their targets are drained; if there are more, each
+/// reports less often.
+const DRAIN_REPORTS_PER_TICK: usize = 48;
+/// Interval at which the platform's status of a rollout is checked: it may have been lost.
+const STATUS_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Time after the end of an order during which the status is still checked.
+const CHECK_TIME_AFTER_ORDER: Duration = Duration::from_mins(1);
+/// Delays after failed calls to the platform.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(1));
 
-/// Carries out what is ordered, as far as it is this daemon's part.
+/// Runs this daemon's part of all rollouts.
 pub struct Controller {
     board: Arc<Board>,
     membership: Arc<Membership>,
-    origin: Option<Arc<dyn Origin>>,
-    limits: Limits,
+    origin: Option<Arc<dyn ControlPlane>>,
+    limits: ExposureLimits,
     /// Sorted by service.
-    duties: Vec<Duty>,
+    trackers: Vec<Tracker>,
     ticks: u64,
 }
 
 impl Controller {
-    /// A controller of what `board` knows.
+    /// A controller of the rollouts on `board`.
     #[must_use]
     pub fn new(
         board: &Arc<Board>,
         membership: &Arc<Membership>,
-        origin: Option<Arc<dyn Origin>>,
+        origin: Option<Arc<dyn ControlPlane>>,
     ) -> Self {
         Self {
             limits: board.settings.exposure(),
             board: Arc::clone(board),
             membership: Arc::clone(membership),
             origin,
-            duties: Vec::new(),
+            trackers: Vec::new(),
             ticks: 0,
         }
     }
 
-    /// Follows roll-outs for as long as the daemon runs.
+    /// Runs for as long as the daemon does.
     pub async fn run(mut self) {
         let mut changes = self.board.rollouts.changes();
         let mut next = Instant::now();
         loop {
-            let known = self.board.rollouts.known();
+            let known = self.board.rollouts.list();
             if known.is_empty() {
                 let _ = changes.changed().await;
                 next = Instant::now();
@@ -89,39 +93,39 @@
                 _ = changes.changed() => {}
                 () = tokio::time::sleep_until(next.into()) => {}
             }
-            self.pass_on().await;
+            self.propagate_updates().await;
             if Instant::now() < next {
                 continue;
             }
-            let known = self.board.rollouts.known();
-            next = Instant::now() + pause(&known);
+            let known = self.board.rollouts.list();
+            next = Instant::now() + tick_interval(&known);
             self.ticks += 1;
-            self.report().await;
-            self.take_reports();
+            self.send_report().await;
+            self.record_reports();
             for known in &known {
-                self.attend(known);
+                self.coordinate(known);
             }
-            self.pass_on().await;
+            self.propagate_updates().await;
         }
     }
 
-    async fn pass_on(&self) {
-        let news = self.board.rollouts.take_news();
-        if !news.is_empty() {
-            self.membership.pass_on_rollouts(news).await;
+    async fn propagate_updates(&self) {
+        let updates = self.board.rollouts.take_updates();
+        if !updates.is_empty() {
+            self.membership.gossip_rollouts(updates).await;
         }
     }
 
-    /// Tells those who decide how the co-located target answers.
-    async fn report(&self) {
+    /// Reports the counts of the co-located target to the coordinators.
+    async fn send_report(&self) {
         let board = &self.board;
         let target = board.target();
         let rules = board.rollouts.rules();
         let rule = target
             .as_ref()
             .and_then(|target| rules.get(&target.service));
-        let rule = rule.filter(|rule| rule.is_open());
-        board.rollouts.count(rule.is_some());
+        let rule = rule.filter(|rule| rule.is_undecided());
+        board.rollouts.set_counting(rule.is_some());
         let (Some(rule), Some(target)) = (rule, target) else {
             return;
         };
@@ -130,11 +134,12 @@
         };
         let now = Instant::now();
         let step = rule.step(now).unwrap_or_default();
-        let gates = Gates::of(&board.roster(), &target.service, &rule.revision);
+        let sidecars = Sidecars::of(&board.roster(), &target.service, &rule.revision);
         let me = board.settings.identity();
         let is_among = |peers: &[SocketAddr], first| peers.iter().take(first).any(|p| *p == me);
-        let counts = is_among(&gates.new, TRIED) || is_among(&gates.old, SAMPLED);
-        let every = gates.old.len().div_ceil(DRAINS).max(1) as u64;
+        let counts = is_among(&sidecars.new, MAX_NEW_REPORTERS)
+            || is_among(&sidecars.old, MAX_OLD_REPORTERS);
+        let every = sidecars.old.len().div_ceil(DRAIN_REPORTS_PER_TICK).max(1) as u64;
         let drains = step == Step::All && revision != rule.revision;
         let drains = drains && self.ticks.is_multiple_of(every);
         if !counts && !drains {
@@ -144,221 +149,235 @@
             service: target.service.clone(),
             revision,
             step,
-            busy: self.busy(),
+            in_flight: self.in_flight(),
             warm: now >= target.cold_until,
-            under_way: if counts {
-                self.under_way(now)
+            in_flight_ages: if counts {
+                self.in_flight_ages(now)
             } else {
                 Vec::new()
             },
-            tally: if counts {
-                board.rollouts.counted()
+            counters: if counts {
+                board.rollouts.counters()
             } else {
-                Tally::default()
+                Counters::default()
             },
         };
-        for peer in self.deciders(&target.service).into_iter().take(DECIDERS) {
+        for peer in self
+            .coordinators(&target.service)
+            .into_iter()
+            .take(COORDINATORS)
+        {
             if peer == me {
-                board.rollouts.hear(me, report.clone());
+                board.rollouts.add_report(me, report.clone());
             } else {
                 self.membership.report(peer, report.clone()).await;
             }
         }
     }
 
-    /// Requests that the target works on, by route and the time since it got them.
-    fn under_way(&self, now: Instant) -> Vec<(RouteId, Counts)> {
-        let mut ages = Tally::default();
-        let running = inspect::lock(&self.board.running);
-        for run in running.under_way() {
+    /// Requests in flight at the target, by route and age.
+    fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
+        let mut ages = Counters::default();
+        let running = detector::lock_running(&self.board.running);
+        for run in running.in_flight() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
         }
         ages.routes
     }
 
-    fn busy(&self) -> u32 {
-        let running = inspect::lock(&self.board.running);
-        u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
+    fn in_flight(&self) -> u32 {
+        let running = detector::lock_running(&self.board.running);
+        u32::try_from(running.in_flight().count()).unwrap_or(u32::MAX)
     }
 
-    /// Serving daemons in the order in which they decide on a service.
-    fn deciders(&self, service: &Service) -> Vec<SocketAddr> {
+    /// Serving daemons in the order in which they coordinate rollouts of a service.
+    fn coordinators(&self, service: &Service) -> Vec<SocketAddr> {
         let roster = self.board.roster();
         let serving = roster
             .members
             .iter()
             .filter(|member| member.stage == Stage::Serving && member.health == Health::Alive);
-        ranked(service, serving)
+        rendezvous_order(service, serving)
     }
 
-    fn gates(&self, order: &Order) -> Gates {
-        Gates::of(&self.board.roster(), &order.service, &order.revision)
+    fn sidecars(&self, order: &Order) -> Sidecars {
+        Sidecars::of(&self.board.roster(), &order.service, &order.revision)
     }
 
-    fn take_reports(&mut self) {
+    fn record_reports(&mut self) {
         let now = Instant::now();
         for (peer, report) in self.board.rollouts.take_reports() {
-            let found = self.find(&report.service);
+            let found = self.find_tracker(&report.service);
             if let Ok(index) = found {
-                self.duties[index].evidence.hear(now, peer, report);
+                self.trackers[index].analysis.record(now, peer, report);
             }
         }
-        for duty in &mut self.duties {
-            duty.evidence.tick();
+        for tracker in &mut self.trackers {
+            tracker.analysis.start_tick();
         }
     }
 
-    fn find(&self, service: &Service) -> Result<usize, usize> {
-        let duties = &self.duties;
-        duties.binary_search_by(|duty| duty.order.service.cmp(service))
+    fn find_tracker(&self, service: &Service) -> Result<usize, usize> {
+        let trackers = &self.trackers;
+        trackers.binary_search_by(|tracker| tracker.order.service.cmp(service))
     }
 
-    /// Looks after one roll-out, where that is this daemon's part.
-    fn attend(&mut self, known: &Known) {
+    /// Coordinates a rollout if this daemon is one of its coordinators.
+    fn coordinate(&mut self, known: &LocalProgress) {
         let order = known.progress().order.clone();
         let me = self.board.settings.identity();
-        let deciders = self.deciders(&order.service);
-        let rank = deciders.iter().position(|peer| *peer == me);
-        let Some(rank) = rank.filter(|rank| *rank < DECIDERS) else {
-            if let Ok(index) = self.find(&order.service) {
-                self.duties.remove(index);
+        let coordinators = self.coordinators(&order.service);
+        let rank = coordinators.iter().position(|peer| *peer == me);
+        let Some(rank) = rank.filter(|rank| *rank < COORDINATORS) else {
+            if let Ok(index) = self.find_tracker(&order.service) {
+                self.trackers.remove(index);
             }
             return;
         };
-        let index = match self.find(&order.service) {
-            Ok(index) if self.duties[index].order == order => index,
+        let index = match self.find_tracker(&order.service) {
+            Ok(index) if self.trackers[index].order == order => index,
             Ok(index) => {
-                self.duties[index] = Duty::new(order, known);
+                self.trackers[index] = Tracker::new(order, known);
                 index
             }
             Err(index) => {
-                self.duties.insert(index, Duty::new(order, known));
+                self.trackers.insert(index, Tracker::new(order, known));
                 index
             }
         };
         let now = Instant::now();
-        let quiet = now.saturating_duration_since(known.renewed());
-        // Plans are renewed until there is a verdict; then one daemon looks after it.
+        let since_renewal = now.saturating_duration_since(known.plan_renewed_at());
+        // Until there is a verdict, the successor takes over when renewals stop; after it, only the first
+        // daemon checks the status.
         let is_open = known.progress().verdict.is_none();
-        let is_turn = rank == 0 || is_open && quiet >= TAKE_OVER;
-        let gates = self.gates(&self.duties[index].order);
-        self.duties[index].measure(&gates);
-        if is_turn {
-            self.steer(index, known, &gates);
+        let is_active = rank == 0 || is_open && since_renewal >= TAKEOVER_TIMEOUT;
+        let sidecars = self.sidecars(&self.trackers[index].order);
+        self.trackers[index].update_request_rate(&sidecars);
+        if is_active {
+            self.advance(index, known, &sidecars);
         }
     }
 
-    /// Decides what comes next.
-    fn steer(&mut self, index: usize, known: &Known, gates: &Gates) {
+    /// Decides on the next plan and writes a verdict.
+    fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
         let era = self.board.era();
         let progress = known.progress();
         if progress.verdict.is_some() {
-            self.check(index, known, Status::from(progress.verdict));
+            self.check_status(index, known, Status::from(progress.verdict));
             return;
         }
-        let duty = &mut self.duties[index];
-        duty.follow(now, progress.plan.step);
-        let finding = duty.evidence.judge(Test::default(), gates.new.len());
-        let observed = duty.observe(now, known, gates, finding.is_some());
+        let tracker = &mut self.trackers[index];
+        tracker.set_step(now, progress.plan.step);
+        let finding = tracker
+            .analysis
+            .find_regression(Test::default(), sidecars.new.len());
+        let observed = tracker.observe(now, known, sidecars, finding.is_some());
         let decision = decide(&self.limits, &observed);
-        let warm = duty.warm(now, gates);
-        let chosen = chosen(&warm, decision.targets);
+        let warm = tracker.warm(now, sidecars);
+        let chosen = choose_targets(&warm, decision.targets);
         let plan = &progress.plan;
         let same =
             (plan.step, plan.permille, &plan.chosen) == (decision.step, decision.permille, &chosen);
-        let quiet = now.saturating_duration_since(known.renewed());
-        let order = duty.order.clone();
-        if !same || quiet >= RENEWAL.duration() {
+        let since_renewal = now.saturating_duration_since(known.plan_renewed_at());
+        let order = tracker.order.clone();
+        if !same || since_renewal >= RENEWAL_INTERVAL.duration() {
             let next = Plan {
                 number: plan.number + 1,
                 step: decision.step,
                 permille: decision.permille,
                 chosen,
             };
-            self.board.rollouts.follow(&order, &next);
+            self.board.rollouts.apply_plan(&order, &next);
             let service = order.service.to_string();
             metrics::gauge!("jackdaw_rollout_share", "service" => service)
-                .set(f64::from(decision.permille) / f64::from(ALL));
+                .set(f64::from(decision.permille) / f64::from(FULL_PERMILLE));
         }
         if plan.step != decision.step || decision.complete {
-            info!(self.board.logger, "roll-out decided"; "service" => %order.service,
+            info!(self.board.logger, "rollout step decided"; "service" => %order.service,
                 "revision" => %order.revision, "step" => %decision.step, "from" => %plan.step,
                 "complete" => decision.complete, "cause" => %decision.cause,
                 "permille" => decision.permille, "targets" => decision.targets,
                 "observed" => ?observed, "finding" => ?finding,
-                "compared" => ?duty.evidence.compared(), "era" => era.0);
+                "compared" => ?tracker.analysis.compared(), "era" => era.0);
         }
-        match wanted(&decision) {
-            Some(status) => self.ask(index, status),
-            None => self.check(index, known, Status::Running),
+        match final_status(&decision) {
+            Some(status) => self.sync_status(index, status),
+            None => self.check_status(index, known, Status::Running),
         }
     }
 
-    /// Looks now and then whether the platform still says how a roll-out stands, and whether it knows better.
-    fn check(&mut self, index: usize, known: &Known, status: Status) {
+    /// Synchronizes the status with the platform if it is due or has not been confirmed.
+    fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
-        let duty = &self.duties[index];
+        let tracker = &self.trackers[index];
         let era = self.board.era();
-        let due = duty.checked.is_none_or(|(checked, then)| {
-            let late = known.age(now) > duty.order.duration.duration() + AFTERMATH;
-            let waited = now.saturating_duration_since(checked) >= RECHECK;
+        let due = tracker.last_checked.is_none_or(|(checked, then)| {
+            let late = known.age(now) > tracker.order.duration.duration() + CHECK_TIME_AFTER_ORDER;
+            let waited = now.saturating_duration_since(checked) >= STATUS_CHECK_INTERVAL;
             then != era || waited && !late
         });
-        if due || !duty.asked.confirmed.load(Ordering::Acquire) {
-            self.ask(index, status);
+        if due || !tracker.sync.confirmed.load(Ordering::Acquire) {
+            self.sync_status(index, status);
         }
     }
 
-    /// Tells the platform how a roll-out stands and takes what stands there, unless that is under way.
-    fn ask(&mut self, index: usize, status: Status) {
+    /// Synchronizes the status with the platform in the background, unless that is in progress.
+    fn sync_status(&mut self, index: usize, status: Status) {
         let Some(origin) = self.origin.clone() else {
             return;
         };
         let era = self.board.era();
-        let duty = &mut self.duties[index];
-        if duty.asked.under_way.swap(true, Ordering::AcqRel) {
+        let tracker = &mut self.trackers[index];
+        if tracker.sync.in_progress.swap(true, Ordering::AcqRel) {
             return;
         }
-        duty.checked = Some((Instant::now(), era));
-        let (order, asked) = (duty.order.clone(), Arc::clone(&duty.asked));
+        tracker.last_checked = Some((Instant::now(), era));
+        let (order, sync) = (tracker.order.clone(), Arc::clone(&tracker.sync));
         let board = Arc::clone(&self.board);
         tokio::spawn(async move {
-            let outcome = tell(&board, origin.as_ref(), &order, status).await;
+            let outcome = sync_with_platform(&board, origin.as_ref(), &order, status).await;
             if outcome.is_err() {
-                let mut pauses = PAUSES;
-                tokio::time::sleep(pauses.random_pause()).await;
+                let mut backoff = RETRY_BACKOFF;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
-            asked.confirmed.fetch_or(outcome.is_ok(), Ordering::AcqRel);
-            asked.under_way.store(false, Ordering::Release);
+            sync.confirmed.fetch_or(outcome.is_ok(), Ordering::AcqRel);
+            sync.in_progress.store(false, Ordering::Release);
         });
     }
 }
 
-/// Time until the next look at what is known.
-fn pause(known: &[Known]) -> Duration {
+/// Time until the next tick.
+fn tick_interval(known: &[LocalProgress]) -> Duration {
     let open = known
         .iter()
         .filter(|known| known.progress().verdict.is_none());
-    let moves = |known: &Known| matches!(known.progress().plan.step, Step::Ramp | Step::All);
-    let each = open.map(|known| if moves(known) { MOVE_TICK } else { TICK });
-    each.min().unwrap_or(REST)
+    let is_promotion =
+        |known: &LocalProgress| matches!(known.progress().plan.step, Step::Ramp | Step::All);
+    let each = open.map(|known| {
+        if is_promotion(known) {
+            PROMOTION_TICK_INTERVAL
+        } else {
+            TICK_INTERVAL
+        }
+    });
+    each.min().unwrap_or(IDLE_INTERVAL)
 }
 
-/// Tells the platform how a roll-out stands, and takes what stands there.
-async fn tell(
+/// Writes the status of a rollout to the platform and applies the stored verdict, if there is one.
+async fn sync_with_platform(
     board: &Board,
-    origin: &dyn Origin,
+    origin: &dyn ControlPlane,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
-    let stands = origin.tell(order, status).await?;
-    if let Some(verdict) = stands.verdict() {
-        if board.rollouts.conclude(order, verdict) {
+    let stored = origin.report_rollout_status(order, status).await?;
+    if let Some(verdict) = stored.verdict() {
+        if board.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
                 .increment(1);
-            warn!(board.logger, "roll-out ended"; "service" => %order.service,
+            warn!(board.logger, "rollout ended"; "service" => %order.service,
                 "revision" => %order.revision, "verdict" => %verdict, "wanted" => %status);
         }
         return Ok(());
@@ -366,31 +385,31 @@
     let Some(known) = board.rollouts.get(&order.service) else {
         return Ok(());
     };
-    // Guards against the loss of all daemons at once: those that start would give the order its whole time
-    // once more.
+    // The start time of the order is stored as well: after the loss of all daemons, those that start would
+    // otherwise grant the whole duration again.
     let age = known.age(Instant::now());
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
-    let begin = origin
-        .note_begin(order, now_ms.saturating_sub(age_ms))
+    let ordered_at_ms = origin
+        .record_rollout_start(order, now_ms.saturating_sub(age_ms))
         .await?;
-    let before = Duration::from_millis(now_ms.saturating_sub(begin));
-    if let Some(given) = Instant::now().checked_sub(before) {
-        board.rollouts.date_back(order, given);
+    let age = Duration::from_millis(now_ms.saturating_sub(ordered_at_ms));
+    if let Some(ordered_at) = Instant::now().checked_sub(age) {
+        board.rollouts.backdate(order, ordered_at);
     }
     Ok(())
 }
 
-/// What the operator is to be told after a decision, if there is a verdict in it.
-fn wanted(decision: &Decision) -> Option<Status> {
+/// The final status that follows from a decision, if it ends the rollout.
+fn final_status(decision: &Decision) -> Option<Status> {
     if decision.step == Step::Back {
         return Some(Status::RolledBack);
     }
     decision.complete.then_some(Status::Completed)
 }
 
-/// The first few of the daemons, sorted; none for all.
-fn chosen(ranked: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
+/// The first `count` daemons, sorted.
+fn choose_targets(ranked: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut chosen: Vec<SocketAddr> = ranked.iter().take(count).copied().collect();
     chosen.sort_unstable();
     chosen
@@ -400,7 +419,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Controller")
             .field("limits", &self.limits)
-            .field("duties", &self.duties.len())
+            .field("duties", &self.trackers.len())
             .finish_non_exhaustive()
     }
 }
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -1,21 +1,21 @@
-//! Which step of a roll-out comes next.
+//! Decisions on the next step of a rollout.
 //!
-//! [`decide`] is pure: it gets what was [observed](Observed) of the roll-out and says what comes next. Most of the
-//! time is spent at a small share, on a few targets that then carry as much each as an old one does, so that a
-//! fault that shows under load or late is found while few requests meet it. The rest of the time is for the move
-//! itself: a part of the requests, then all, until nothing runs at the old targets. What the move takes of what a
-//! bad revision may get is set aside for it, so that one whose fault shows only then stays within the bound.
-//! While more speaks against a revision than for it, the move waits for more answers as far as that bound allows,
-//! and goes back beyond it.
+//! [`decide`] is a pure function of what was [observed](Observed). Most of the order's time is spent in the
+//! canary step: a small share of the requests goes to a few targets, each of which then carries as much as a
+//! target of the old revision, so that faults that show under load or late are found while few requests are
+//! exposed. The rest of the time is for the promotion: a part of the requests, then all of them, until the
+//! old targets are drained. The exposure that the promotion needs is reserved for it, so that a revision
+//! whose fault shows only then stays within the limits. While the evidence is in doubt, the promotion waits
+//! for more answers as far as the limits allow, and is rolled back beyond them.
 //!
 //! ```
 //! use std::time::Duration;
 //! use jackdawpulley::rollout::decision::decide;
-//! use jackdawpulley::rollout::observed::{Limits, Observed};
+//! use jackdawpulley::rollout::observed::{ExposureLimits, Observed};
 //! use jackdawpulley::rollout::plan::Step;
 //!
-//! let limits = Limits { share: 0.1, slack: 50 };
-//! let seen = Observed {
+//! let limits = ExposureLimits { share: 0.1, slack: 50 };
+//! let observed = Observed {
 //!     duration: Duration::from_secs(12),
 //!     age: Duration::from_secs(2),
 //!     confirmed: true,
@@ -24,9 +24,9 @@
 //!     per_second: Some(100.0),
 //!     ..Observed::default()
 //! };
-//! let decision = decide(&limits, &seen);
+//! let decision = decide(&limits, &observed);
 //! assert_eq!(decision.step, Step::Canary);
-//! assert!(decision.permille < 100, "well inside what a bad revision may get");
+//! assert!(decision.permille < 100, "well within the exposure limits");
 //! ```
 
 use std::time::Duration;
@@ -34,75 +34,77 @@
 use serde::Serialize;
 use strum::{Display, EnumString, VariantNames};
 
-use crate::rollout::observed::{Limits, Observed};
-use crate::rollout::plan::{ALL, Step};
-use crate::rollout::share::{ALL_TIME, LAG, RAMP_TIME, canary, count, may_get, move_time, ramp};
+use crate::rollout::exposure::{
+    ALL_TIME, RAMP_TIME, REPORT_LAG, canary, is_within_exposure, promotion_time, ramp, to_f64,
+};
+use crate::rollout::observed::{ExposureLimits, Observed};
+use crate::rollout::plan::{FULL_PERMILLE, Step};
 
-/// Time in which gates have reported what they saw of a step.
-const REPORTED: Duration = Duration::from_millis(300);
-/// Time before the end of an order at which it completes although requests still run at old targets.
-const LAST_CALL: Duration = Duration::from_millis(400);
-/// Answers of the new revision that the move asks for, where the requests are frequent enough.
+/// Time within which the sidecars have reported on a step.
+const REPORT_DELAY: Duration = Duration::from_millis(300);
+/// Time before the end of an order at which the rollout completes even if old targets are not drained.
+const COMPLETION_MARGIN: Duration = Duration::from_millis(400);
+/// Answers of the new revision that the promotion waits for; half of the expected ones if these are fewer.
 const ENOUGH_ANSWERS: f64 = 40.0;
-/// Part of the time for the move that is left when it begins with fewer answers.
-const LATE_PART: f64 = 0.65;
-/// Answers without which nothing is known of a revision.
-const FEWEST_ANSWERS: u64 = 4;
+/// Remaining part of the promotion time at which it begins with fewer answers.
+const LATE_PROMOTION_PART: f64 = 0.65;
+/// Fewest answers by which a revision is judged.
+const MIN_ANSWERS: u64 = 4;
 
-/// What comes next.
+/// A decision on the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
-    /// Step to be in.
+    /// Next step.
     pub step: Step,
-    /// Share of the new revision in it.
+    /// Share of the requests for the new revision, in permille.
     pub permille: u16,
-    /// Targets that get it; 0 for all.
+    /// Number of targets that receive them; 0 for all.
     pub targets: usize,
-    /// Whether the roll-out is completed.
+    /// Whether the rollout is complete.
     pub complete: bool,
-    /// Why.
+    /// Reason for the decision.
     pub cause: Cause,
 }
 
-/// Why a decision was made.
+/// Reason for a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Display, EnumString, VariantNames)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Cause {
-    /// No target of the revision is ready, or the service's requests are not counted yet.
+    /// No target of the new revision is warm, or the request rate is not known yet.
     NoTarget,
-    /// The share is being tried.
+    /// The current step has not lasted long enough.
     Trying,
-    /// It is time to move, and nothing speaks against it.
+    /// The canary step is over without a finding.
     TimeToMove,
-    /// Nothing spoke against the last step.
+    /// The ramp step is over without a finding.
     WentWell,
-    /// Old targets still have work.
+    /// Old targets still have requests in flight.
     StillRunning,
-    /// Nothing runs at the old targets.
+    /// All old targets are drained.
     Drained,
-    /// Time is up, and all requests go to the new revision.
+    /// The order is about to end, and the new revision receives all requests.
     LastCall,
-    /// Too few gates are heard to go on.
+    /// Too few sidecars report to advance.
     OutOfTouch,
     /// The platform has not confirmed the order.
     NotConfirmed,
-    /// The revision is worse than the old one.
+    /// The new revision is significantly worse than the old one.
     Worse,
-    /// More speaks against the revision than for it, and more answers may tell.
+    /// The new revision is doubtful, and more answers may decide.
     InDoubt,
-    /// More speaks against the revision than for it, and it may not get more requests, or there is no time.
+    /// The new revision is doubtful, and neither the exposure limits nor the time allow more requests.
     Doubtful,
-    /// Time is up, and too little is known or moved.
+    /// The order has ended, or too little was observed or done to complete in time.
     TimeIsUp,
-    /// It went back before.
+    /// The rollout was rolled back before.
     WentBack,
 }
 
-/// What comes next in a roll-out.
+/// Decides on the next step of a rollout.
 #[must_use]
-pub fn decide(limits: &Limits, seen: &Observed) -> Decision {
-    let left = seen.duration.saturating_sub(seen.age);
+pub fn decide(limits: &ExposureLimits, observed: &Observed) -> Decision {
+    let remaining = observed.duration.saturating_sub(observed.age);
     let back = |cause| Decision {
         step: Step::Back,
         permille: 0,
@@ -110,42 +112,42 @@
         complete: false,
         cause,
     };
-    if seen.step == Step::Back {
+    if observed.step == Step::Back {
         return back(Cause::WentBack);
     }
-    if seen.bad {
+    if observed.bad {
         return back(Cause::Worse);
     }
-    if left.is_zero() {
+    if remaining.is_zero() {
         return back(Cause::TimeIsUp);
     }
-    let next = match seen.step {
-        Step::Waiting | Step::Canary => first(limits, seen, left),
-        Step::Ramp => after_ramp(limits, seen, left),
-        Step::All => after_all(limits, seen, left),
+    let next = match observed.step {
+        Step::Waiting | Step::Canary => decide_canary(limits, observed, remaining),
+        Step::Ramp => decide_ramp(limits, observed, remaining),
+        Step::All => decide_all(limits, observed, remaining),
         Step::Back => back(Cause::WentBack),
     };
-    let goes_on = next.step > seen.step || next.complete;
-    // A daemon that was cut off, or does not know yet whether there is a verdict, does not go on. It may
-    // stay where the roll-out is, or go back.
-    if goes_on && next.step != Step::Back && !seen.confirmed {
-        return stay(limits, seen, Cause::NotConfirmed);
+    let advances = next.step > observed.step || next.complete;
+    // A daemon that is cut off, or does not know whether there is a verdict, must not advance the rollout. It
+    // may keep the step or roll back.
+    if advances && next.step != Step::Back && !observed.confirmed {
+        return keep_step(limits, observed, Cause::NotConfirmed);
     }
-    if goes_on && next.step != Step::Back && seen.step != Step::Waiting && !seen.in_touch {
-        return stay(limits, seen, Cause::OutOfTouch);
+    if advances && next.step != Step::Back && observed.step != Step::Waiting && !observed.in_touch {
+        return keep_step(limits, observed, Cause::OutOfTouch);
     }
     next
 }
 
-fn stay(limits: &Limits, seen: &Observed, cause: Cause) -> Decision {
-    let (permille, targets) = match seen.step {
+fn keep_step(limits: &ExposureLimits, observed: &Observed, cause: Cause) -> Decision {
+    let (permille, targets) = match observed.step {
         Step::Waiting | Step::Back => (0, 0),
-        Step::Canary => canary(limits, seen),
-        Step::Ramp => ramp(seen),
-        Step::All => (ALL, 0),
+        Step::Canary => canary(limits, observed),
+        Step::Ramp => ramp(observed),
+        Step::All => (FULL_PERMILLE, 0),
     };
     Decision {
-        step: seen.step,
+        step: observed.step,
         permille,
         targets,
         complete: false,
@@ -153,18 +155,18 @@
     }
 }
 
-/// The small share, and the time at which it has been tried for long enough.
-fn first(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
-    if seen.warm == 0 || seen.per_second.is_none() && seen.step == Step::Waiting {
+/// Keeps the canary step until it is time for the promotion.
+fn decide_canary(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    if observed.warm == 0 || observed.per_second.is_none() && observed.step == Step::Waiting {
         return Decision {
-            step: seen.step,
+            step: observed.step,
             permille: 0,
             targets: 0,
             complete: false,
             cause: Cause::NoTarget,
         };
     }
-    let (permille, targets) = canary(limits, seen);
+    let (permille, targets) = canary(limits, observed);
     let trying = Decision {
         step: Step::Canary,
         permille,
@@ -172,17 +174,17 @@
         complete: false,
         cause: Cause::Trying,
     };
-    let moves = move_time(seen.duration);
-    if seen.step == Step::Waiting || left > moves {
+    let promotion = promotion_time(observed.duration);
+    if observed.step == Step::Waiting || remaining > promotion {
         return trying;
     }
-    let expected = expected_answers(permille, seen);
+    let expected = expected_answers(permille, observed);
     let enough = ENOUGH_ANSWERS.min(expected / 2.0);
-    // Guards against a good revision that goes back for want of answers, since nobody decided for a while: the move
-    // looks at it as well.
-    let is_late = left < moves.mul_f64(LATE_PART);
-    if seen.answers >= FEWEST_ANSWERS && (is_late || count(seen.answers) >= enough) {
-        let (permille, targets) = ramp(seen);
+    // Guards against rolling back a good revision that has few answers because nobody coordinated for a
+    // while: the promotion compares the revisions as well.
+    let is_late = remaining < promotion.mul_f64(LATE_PROMOTION_PART);
+    if observed.answers >= MIN_ANSWERS && (is_late || to_f64(observed.answers) >= enough) {
+        let (permille, targets) = ramp(observed);
         return Decision {
             step: Step::Ramp,
             permille,
@@ -191,8 +193,8 @@
             ..trying
         };
     }
-    // With half of the time for the move gone there is none left to complete in.
-    if left < moves / 2 {
+    // With less than half of the promotion time left, the rollout can't complete in time.
+    if remaining < promotion / 2 {
         return Decision {
             step: Step::Back,
             permille: 0,
@@ -204,15 +206,17 @@
     trying
 }
 
-/// Answers to expect from the small share by the time to move.
-fn expected_answers(permille: u16, seen: &Observed) -> f64 {
-    let time = seen.duration.saturating_sub(move_time(seen.duration));
-    let per_second = seen.per_second.unwrap_or_default();
-    per_second * time.as_secs_f64() * f64::from(permille) / f64::from(ALL)
+/// Answers to expect from the canary step before the promotion starts.
+fn expected_answers(permille: u16, observed: &Observed) -> f64 {
+    let time = observed
+        .duration
+        .saturating_sub(promotion_time(observed.duration));
+    let per_second = observed.per_second.unwrap_or_default();
+    per_second * time.as_secs_f64() * f64::from(permille) / f64::from(FULL_PERMILLE)
 }
 
-fn after_ramp(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
-    let (permille, targets) = ramp(seen);
+fn decide_ramp(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    let (permille, targets) = ramp(observed);
     let trying = Decision {
         step: Step::Ramp,
         permille,
@@ -220,11 +224,11 @@
         complete: false,
         cause: Cause::Trying,
     };
-    if seen.in_step < RAMP_TIME {
+    if observed.in_step < RAMP_TIME {
         return trying;
     }
-    let rest = ALL_TIME + LAG;
-    if seen.doubtful && left > 2 * rest && may_get(limits, seen, rest) {
+    let rest = ALL_TIME + REPORT_LAG;
+    if observed.doubtful && remaining > 2 * rest && is_within_exposure(limits, observed, rest) {
         return Decision {
             cause: Cause::InDoubt,
             ..trying
@@ -232,30 +236,30 @@
     }
     Decision {
         step: Step::All,
-        permille: ALL,
+        permille: FULL_PERMILLE,
         targets: 0,
         cause: Cause::WentWell,
         ..trying
     }
 }
 
-fn after_all(limits: &Limits, seen: &Observed, left: Duration) -> Decision {
-    let is_last_call = left < LAST_CALL;
-    // Guards against a move that began late, since the daemon that decided was lost: a good revision that has
-    // all requests would be taken back for the rest of the step's time.
-    let least = if is_last_call { REPORTED } else { ALL_TIME };
+fn decide_all(limits: &ExposureLimits, observed: &Observed, remaining: Duration) -> Decision {
+    let is_final = remaining < COMPLETION_MARGIN;
+    // If the coordinator was lost, the promotion may begin late. Waiting for the whole step would roll back a
+    // good revision that already receives all requests.
+    let least = if is_final { REPORT_DELAY } else { ALL_TIME };
     let hold = |cause| Decision {
         step: Step::All,
-        permille: ALL,
+        permille: FULL_PERMILLE,
         targets: 0,
         complete: false,
         cause,
     };
-    if seen.in_step < least {
+    if observed.in_step < least {
         return hold(Cause::Trying);
     }
-    if seen.doubtful {
-        if !is_last_call && may_get(limits, seen, LAG) {
+    if observed.doubtful {
+        if !is_final && is_within_exposure(limits, observed, REPORT_LAG) {
             return hold(Cause::InDoubt);
         }
         return Decision {
@@ -264,9 +268,9 @@
             ..hold(Cause::Doubtful)
         };
     }
-    let (complete, cause) = if seen.drained {
+    let (complete, cause) = if observed.drained {
         (true, Cause::Drained)
-    } else if is_last_call {
+    } else if is_final {
         (true, Cause::LastCall)
     } else {
         (false, Cause::StillRunning)
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -12,13 +12,13 @@
 
 use crate::board::Board;
 use crate::calls::http_server::Phase;
-use crate::configuration::origin::Origin;
+use crate::configuration::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::extension::Reread;
-use crate::idempotency::guard::Keys;
-use crate::membership::listing::Listing;
+use crate::idempotency::deduplicator::Deduplicator;
+use crate::membership::controller::Membership;
 use crate::membership::member::{Health, Stage};
-use crate::membership::probe::Membership;
+use crate::membership::registration::Registration;
 
 /// Exit status after a planned stop.
 pub const EXIT_STOPPED: u8 = 0;
@@ -51,11 +51,11 @@
     /// Tells the others.
     pub membership: Arc<Membership>,
     /// Hands its keys over.
-    pub keys: Arc<Keys>,
+    pub keys: Arc<Deduplicator>,
     /// Ends the callers' connections.
     pub phases: watch::Sender<Phase>,
     /// The platform, where daemons are listed.
-    pub origin: Option<Arc<dyn Origin>>,
+    pub origin: Option<Arc<dyn ControlPlane>>,
     /// Reads changed settings.
     pub reread: Option<Reread>,
 }
@@ -105,16 +105,16 @@
 
     async fn drain(&self) {
         let (board, began) = (&self.board, Instant::now());
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         if let Some(origin) = self.origin.clone() {
-            let listing = Listing::new(Arc::clone(board), origin);
+            let listing = Registration::new(Arc::clone(board), origin);
             // An entry that stays costs a joiner one vain try, so nothing waits for this.
-            tokio::spawn(async move { listing.leave().await });
+            tokio::spawn(async move { listing.deregister().await });
         }
         let accept = board.settings.accept_ms.duration();
         tokio::time::sleep_until((began + accept.saturating_sub(LAST_CALLS)).into()).await;
         board.advance(Stage::Draining);
-        self.membership.reflect().await;
+        self.membership.publish_own_entry().await;
         tokio::time::sleep_until((began + accept).into()).await;
         self.phases.send_replace(Phase::Closed);
         // Guards against a connection that was taken at the last moment: its request has not come
@@ -124,7 +124,7 @@
         self.phases.send_replace(Phase::Ending);
         self.answer_all(began).await;
         // A planned stop must not look like a loss to the guard of keys.
-        let handed = self.keys.hand_over().await;
+        let handed = self.keys.hand_off().await;
         let health = if handed { Health::Left } else { Health::Gone };
         self.membership.leave(health).await;
         // What came meanwhile is answered as well.
