--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -192,7 +192,7 @@
         join_client,
         reader: Arc::clone(&reader),
         contacts,
-        origin: control_plane.clone(),
+        control_plane: control_plane.clone(),
         archive: archive.clone(),
         endpoint: Arc::clone(&endpoint),
     };
--- a/src/membership/controller.rs
+++ b/src/membership/controller.rs
@@ -177,7 +177,7 @@
             slots,
             crashes: self.shared.quarantine.snapshot(),
             rollouts: self.shared.rollouts.snapshot(),
-            era: self.shared.generation(),
+            generation: self.shared.generation(),
             stable_revisions: guard.stable_revisions.snapshot(),
         }
     }
@@ -234,11 +234,11 @@
     }
 
     async fn handle(&self, datagram: &Datagram) {
-        self.shared.record_generation(datagram.era);
+        self.shared.record_generation(datagram.generation);
         self.note_watermark(datagram);
         match &datagram.message {
             Message::Crashes(crashes) => self.shared.quarantine.merge(crashes),
-            Message::Rollouts(told) => self.shared.rollouts.merge(told),
+            Message::Rollouts(rollouts) => self.shared.rollouts.merge(rollouts),
             Message::Report(report) => {
                 self.shared
                     .rollouts
@@ -342,7 +342,7 @@
         let latest = self.shared.freshness.latest();
         state.view.set_watermark(latest.report(Instant::now()));
         state.view.set_digest(self.shared.digest());
-        state.view.set_era(self.shared.generation());
+        state.view.set_generation(self.shared.generation());
         state.view.set_gossip_hash(self.gossip_hash());
     }
 
--- a/src/membership/join_client.rs
+++ b/src/membership/join_client.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Welcomes {
     /// Requirement on the configuration with which it may serve.
-    pub floor: Requirement,
+    pub requirement: Requirement,
     /// Number of responses.
     pub count: usize,
     /// Last entry of an earlier daemon at this address.
@@ -109,10 +109,10 @@
         let responder = welcome.members.first();
         let responder = responder.map(|m| m.data_centre.clone()).unwrap_or_default();
         welcomes
-            .floor
+            .requirement
             .add_peer(&responder, welcome.digest.version, welcome.highest_version);
         welcomes.slots = welcome.slots.or(welcomes.slots);
-        self.shared.record_generation(welcome.era);
+        self.shared.record_generation(welcome.generation);
         self.shared.quarantine.merge(&welcome.crashes);
         self.shared.rollouts.merge(&welcome.rollouts);
         self.track_predecessor(&welcome.members, welcomes);
@@ -149,8 +149,8 @@
 
 /// Concurrent join requests of a starting daemon.
 ///
-/// Each response is applied when it arrives. After a power failure a few of the peers are mostly still down, and
-/// a daemon that waits for them before it applies the other responses refuses its callers for as long.
+/// Each response is applied when it arrives. After a power failure a few peers are usually still down, and a
+/// daemon that waits for them before it applies the other responses refuses its callers for as long.
 #[derive(Debug)]
 pub struct Requests {
     join_client: Arc<JoinClient>,
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -25,14 +25,17 @@
 #[derive(Debug, Clone)]
 pub struct Registration {
     shared: Arc<SharedState>,
-    origin: Arc<dyn ControlPlane>,
+    control_plane: Arc<dyn ControlPlane>,
 }
 
 impl Registration {
     /// Creates the registration of the daemon of `shared` in the list of `origin`.
     #[must_use]
-    pub const fn new(shared: Arc<SharedState>, origin: Arc<dyn ControlPlane>) -> Self {
-        Self { shared, origin }
+    pub const fn new(shared: Arc<SharedState>, control_plane: Arc<dyn ControlPlane>) -> Self {
+        Self {
+            shared,
+            control_plane,
+        }
     }
 
     /// Reads the list, and lists this daemon if too few are listed.
@@ -54,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Listing::consult`].
+    /// As [`Registration::discover`].
     pub async fn register_and_read(&self) -> Result<Peers> {
         self.register().await?;
         Ok(peers(self.read(usize::MAX).await?))
@@ -68,14 +71,14 @@
     pub async fn register(&self) -> Result<()> {
         // The request may succeed although no response arrives.
         self.shared.set_registered();
-        self.origin.register(&self.contact()).await
+        self.control_plane.register(&self.contact()).await
     }
 
     /// Reads the whole list, and lists this daemon if too few of those listed are members.
     ///
     /// # Errors
     ///
-    /// As [`Listing::consult`].
+    /// As [`Registration::discover`].
     pub async fn maintain(&self) -> Result<Peers> {
         let contacts = self.read(usize::MAX).await?;
         let roster = self.shared.roster();
@@ -94,7 +97,7 @@
     /// As [`Origin::unlist`].
     pub async fn deregister(&self) -> Result<()> {
         if self.shared.is_registered() {
-            self.origin.deregister(&self.contact()).await?;
+            self.control_plane.deregister(&self.contact()).await?;
         }
         Ok(())
     }
@@ -104,13 +107,13 @@
         let Directory {
             contacts,
             quarantine_records,
-        } = self.origin.directory(enough).await?;
+        } = self.control_plane.directory(enough).await?;
         let (now, span) = (clock::unix_ms(), self.shared.settings.quarantine_ms);
         self.shared.quarantine.restore(&quarantine_records, now);
         for (cause, note) in quarantine_records {
             if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
                 // A note that cannot be deleted is read again and has no effect.
-                let _ = self.origin.set_quarantine_record(cause, None).await;
+                let _ = self.control_plane.set_quarantine_record(cause, None).await;
             }
         }
         Ok(contacts)
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -77,7 +77,7 @@
     me: Member,
     digest: Digest,
     watermark: Option<Report>,
-    era: Generation,
+    generation: Generation,
     gossip_hash: u64,
     entries: Entries,
     pending: Vec<Pending>,
@@ -96,7 +96,7 @@
             me,
             digest: Digest::default(),
             watermark: None,
-            era: Generation(0),
+            generation: Generation(0),
             gossip_hash: 0,
             entries: Entries::default(),
             pending: Vec::new(),
@@ -143,13 +143,13 @@
     }
 
     /// Sets the highest generation of the control plane's store that the own daemon knows.
-    pub const fn set_era(&mut self, era: Generation) {
-        self.era = era;
+    pub const fn set_generation(&mut self, generation: Generation) {
+        self.generation = generation;
     }
 
     /// Sets the hash of the target crashes and rollouts that the own daemon knows.
-    pub const fn set_gossip_hash(&mut self, evidence: u64) {
-        self.gossip_hash = evidence;
+    pub const fn set_gossip_hash(&mut self, gossip_hash: u64) {
+        self.gossip_hash = gossip_hash;
     }
 
     /// Returns up to `count` members at random that are not gone.
@@ -414,7 +414,7 @@
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
-            era: self.era,
+            generation: self.generation,
             gossip_hash: self.gossip_hash,
             message,
             updates: Vec::new(),
@@ -429,7 +429,7 @@
             from: self.me.clone(),
             digest: self.digest,
             watermark: self.watermark,
-            era: self.era,
+            generation: self.generation,
             gossip_hash: self.gossip_hash,
             message,
             updates: self.entries.updates(to),
--- a/src/operation/command.rs
+++ b/src/operation/command.rs
@@ -3,8 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use futures_util::StreamExt;
-use futures_util::stream;
+use futures_util::{StreamExt, stream};
 use http::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -179,7 +179,7 @@
     fn in_flight_ages(&self, now: Instant) -> Vec<(RouteId, RouteCounters)> {
         let mut ages = Counters::default();
         let running = detector::lock_running(&self.shared.running);
-        for run in running.under_way() {
+        for run in running.in_flight() {
             let age = now.saturating_duration_since(run.began);
             ages.add(RouteId::of(&run.route), Outcome::Answered(age));
         }
@@ -188,7 +188,7 @@
 
     fn in_flight(&self) -> u32 {
         let running = detector::lock_running(&self.shared.running);
-        u32::try_from(running.under_way().count()).unwrap_or(u32::MAX)
+        u32::try_from(running.in_flight().count()).unwrap_or(u32::MAX)
     }
 
     /// Serving daemons in the order in which they coordinate rollouts of a service.
@@ -353,10 +353,10 @@
     let open = known
         .iter()
         .filter(|known| known.progress().verdict.is_none());
-    let moves =
+    let is_promotion =
         |known: &LocalProgress| matches!(known.progress().plan.step, Step::Ramp | Step::All);
     let each = open.map(|known| {
-        if moves(known) {
+        if is_promotion(known) {
             PROMOTION_TICK_INTERVAL
         } else {
             TICK_INTERVAL
@@ -390,10 +390,10 @@
     let age = known.age(Instant::now());
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
-    let begin = origin
+    let ordered_at_ms = origin
         .record_rollout_start(order, now_ms.saturating_sub(age_ms))
         .await?;
-    let age = Duration::from_millis(now_ms.saturating_sub(begin));
+    let age = Duration::from_millis(now_ms.saturating_sub(ordered_at_ms));
     if let Some(ordered_at) = Instant::now().checked_sub(age) {
         shared.rollouts.backdate(order, ordered_at);
     }
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -12,7 +12,7 @@
 use crate::rollout::progress::LocalProgress;
 use crate::units::{Revision, Service};
 
-/// Upstreams that a request tries before it goes to the new revision without having been selected for it.
+/// Retries of a request that go to the old side; a further one goes to the new side.
 const MAX_OLD_ATTEMPTS: usize = 1;
 
 /// Role of a target in a rollout.
--- a/tests/idempotency_keys.rs
+++ b/tests/idempotency_keys.rs
@@ -6,10 +6,9 @@
 use std::time::{Duration, Instant};
 
 use common::deterministic_config;
-use jackdawpulley::idempotency::keys::IntentAck;
 use jackdawpulley::idempotency::keys::{
-    HandoffKey, Holder, Liveness, LocalSidecar, Memory, Ownership, Peer, State, ownership,
-    proves_first_run, rank,
+    HandoffKey, Holder, IntentAck, Liveness, LocalSidecar, Memory, Ownership, Peer, State,
+    ownership, proves_first_run, rank,
 };
 use jackdawpulley::units::{IdempotencyKey, Millis};
 use proptest::prelude::*;
