--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,8 @@
 //!
 //! Every message is encoded with bincode: probes are sent as single UDP datagrams, other messages as
 //! bodies of h2 requests. [`decode`] bounds the memory that a malicious length prefix can allocate.
-//! The messages themselves are defined beside their senders: [`exchange`](crate::configuration::exchange), [`datagram`](crate::membership::datagram) and
+//! The messages themselves are defined beside their senders:
+//! [`exchange`](crate::configuration::exchange), [`datagram`](crate::membership::datagram) and
 //! [`keys`](crate::idempotency::keys).
 
 use base64::Engine as _;
