--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What callers get while targets and daemons misbehave, with real daemons.
+//! Responses to callers while targets and daemons fail, with real daemons.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(8);
 
-/// A fleet of hosts without targets of their own, but for the hosts named in `with_target`.
+/// Starts hosts of which only those in `with_target` run a target.
 async fn hosts(count: usize, with_target: &[usize], document: Document) -> Fleet {
     let mut fleet = fleet(&[]).await;
     let bare = |index: usize| Place {
@@ -39,7 +39,7 @@
     fleet
 }
 
-/// Waits until a daemon sees `count` upstreams.
+/// Waits until a daemon knows `count` upstreams.
 async fn sees(fleet: &Fleet, index: usize, count: usize) {
     let operator = fleet.hosts[index].operator();
     let seen = until(PATIENCE, || async move {
@@ -50,7 +50,7 @@
                 .is_some_and(|all| all.len() == count)
         })
     });
-    assert!(seen.await, "host {index} sees {count} upstreams");
+    assert!(seen.await, "host {index} knows {count} upstreams");
 }
 
 async fn call(door: SocketAddr, method: Method, path: &str, name: &str) -> Result<Answer, Failure> {
@@ -62,8 +62,8 @@
     (answer.header(OUTCOME), answer.header(REASON))
 }
 
-/// A target reads a rental and its connection breaks before the answer. The rental may have been
-/// charged: the caller is told so, and no other target gets it.
+/// Guards against retrying a non-repeatable request that may have run: the target reads it and
+/// closes the connection before it responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_rental_is_unknown_and_not_repeated() {
     let fleet = hosts(2, &[], document(1)).await;
@@ -84,12 +84,13 @@
     assert_eq!(
         told(&answer),
         ("unknown", "broken"),
-        "a read is tried elsewhere, in vain here"
+        "a read is retried at the other target, which fails as well"
     );
     assert_eq!(fakes[0].count() + fakes[1].count(), 3);
 }
 
-/// A target refuses before it runs anything and says so: the rental goes to another one.
+/// Guards against failing a request that a target refused before running it: even a non-repeatable
+/// request is retried at another target.
 #[tokio::test(flavor = "multi_thread")]
 async fn proved_refusal_is_tried_elsewhere() {
     let fleet = hosts(2, &[1], document(1)).await;
@@ -100,11 +101,11 @@
         assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
         fake.count() > 0
     });
-    assert!(all.await, "the refusing target was tried as well");
+    assert!(all.await, "the refusing target received a request");
 }
 
-/// Nothing listens where the target announced itself: nothing can have run, and the caller is told
-/// at once, with the time to come back.
+/// Guards against an unknown outcome, or a wait until the deadline, when nothing listens at the
+/// announced address: the request can't have run, and the caller gets a `retry-after` at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn unreachable_target_is_not_run() {
     let fleet = hosts(1, &[], document(1)).await;
@@ -117,14 +118,13 @@
     assert_eq!(told(&answer), ("not-run", "unreachable"));
     assert!(
         began.elapsed() < Duration::from_millis(500),
-        "at once, not at the deadline"
+        "the refusal comes before the deadline"
     );
     assert!(!answer.header("retry-after").is_empty());
 }
 
-/// An answer breaks off in the middle. A caller that got it as a whole answer would show half a
-/// roster. A short answer is not passed on before it is whole, so the caller is told plainly that
-/// its request may have run.
+/// Guards against passing on a truncated response as a complete one. A short response is buffered
+/// before it is passed on, so that the caller gets an error with an unknown outcome instead.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_cut_short_is_told() {
     for door in [0, 1] {
@@ -132,14 +132,14 @@
         Fake::start(&fleet.hosts[0], Manner::CutShort).await;
         sees(&fleet, door, 1).await;
         let answer = call(fleet.hosts[door].calls(), Method::GET, "/titles", "t").await;
-        let answer = answer.expect("a whole answer of the daemon's own");
+        let answer = answer.expect("a complete response from the daemon");
         assert_eq!(told(&answer), ("unknown", "broken"), "through host {door}");
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     }
 }
 
-/// An answer that is too long to be taken in whole breaks off in the middle: the caller's part of
-/// it must end in a break as well, never in a clean end.
+/// Guards against a clean end of a truncated response that is too long to be buffered: the
+/// caller's connection must break as well.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_answer_cut_short_is_a_cut() {
     for door in [0, 1] {
@@ -154,9 +154,9 @@
     }
 }
 
-/// The daemon beside one of three targets is frozen: its host still takes connections, and nothing
-/// is ever answered on them. Reads that are sent there wait for half of their time each, again and
-/// again until the membership has dropped it. The silence has to be noticed on the link itself.
+/// Guards against forwarding reads to a frozen sidecar until the membership drops it. Its host
+/// still accepts connections, so each read would wait there for half of its time-out; the ingress
+/// has to detect the silence on the link itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_gate_is_noticed_by_silence() {
     let slow_to_suspect = ["--probe-period-ms", "3000", "--suspicion-ms", "60000"];
@@ -164,7 +164,7 @@
     fleet.add(&places(3, 1)).await;
     let version = fleet.put(0, document(1)).await;
     assert!(fleet.converges(version, PATIENCE).await);
-    // News of the targets travel with the slow probes.
+    // Gossip about the targets is piggybacked on the probes, which are slow here.
     assert!(fleet.offers(3, Duration::from_secs(30)).await);
     for _ in 0..12 {
         let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t").await;
@@ -187,11 +187,14 @@
         .as_ref()
         .expect("it runs")
         .signal(Signal::CONT);
-    assert!(slow <= 2, "{slow} of 40 reads waited for a frozen gate");
+    assert!(
+        slow <= 2,
+        "{slow} of 40 reads waited for the frozen sidecar"
+    );
 }
 
-/// A target answers after the time-out of its request, while the next request is on its way. The
-/// late answer must not be taken for the next one's.
+/// Guards against matching a late response to the wrong request: the target responds after the
+/// time-out of one request, while the next one is on its way.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answer_meets_nobody() {
     let mut short = document(1);
@@ -217,8 +220,8 @@
     }
 }
 
-/// A gate is frozen with a rental waiting for a slot, and continued after the rental's deadline.
-/// Its caller has been told long ago; the rental must not run now.
+/// Guards against running a request after its deadline: the sidecar is frozen while the request
+/// waits for a slot, and continues when the caller has already been told of the time-out.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_gate_does_not_run_late() {
     let mut narrow = document(1);
@@ -240,7 +243,7 @@
     };
     let first = request("first", "700", "1900");
     let running = until(PATIENCE, || std::future::ready(fleet.runs().len() == 1)).await;
-    assert!(running, "the first request holds the slot");
+    assert!(running, "the first request occupies the slot");
     let second = request("second", "0", "1500");
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.signal_daemon(0, Signal::STOP);
@@ -251,12 +254,16 @@
     let answer = call(door, Method::POST, "/grants", "third")
         .await
         .expect("whole");
-    assert_eq!(answer.header(OUTCOME), "answered", "the gate works again");
+    assert_eq!(
+        answer.header(OUTCOME),
+        "answered",
+        "the sidecar works again"
+    );
     let runs = fleet.runs();
     assert!(runs.iter().all(|run| run.request != "second"), "{runs:?}");
 }
 
-/// A daemon is told to stop while a long request is in flight through it.
+/// Guards against a graceful shutdown that aborts requests in flight.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_waits_for_what_is_in_flight() {
     let mut fleet = hosts(2, &[0, 1], document(1)).await;
@@ -282,13 +289,13 @@
     assert!(ended);
 }
 
-/// A target says good-bye: from that moment its gate lets nothing through.
+/// Guards against forwarding requests to a target after it has sent `/leave` to its sidecar.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaver_gets_nothing_more() {
     let fleet = hosts(2, &[0, 1], document(1)).await;
     sees(&fleet, 1, 2).await;
     let leaving = SocketAddr::new(fleet.hosts[0].ip, 7_003);
-    // Its renewals would announce it again.
+    // Stops the lease renewals, which would announce the target again.
     fleet.hosts[0]
         .target
         .as_ref()
@@ -319,7 +326,7 @@
     assert_eq!(before, after);
 }
 
-/// A large body goes up and a large one comes down, through two daemons, unharmed.
+/// Guards against damage to large request and response bodies, directly and through two daemons.
 #[tokio::test(flavor = "multi_thread")]
 async fn large_bodies_pass_whole() {
     let fleet = hosts(2, &[0], document(1)).await;
@@ -330,7 +337,7 @@
         let request = Session::request(Method::POST, "/grants", &headers, &body);
         let mut session = Session::new(fleet.hosts[door].calls());
         let answer = session.send(request, PATIENCE).await.expect("whole");
-        let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's answer");
+        let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's response");
         assert_eq!((echo.received, echo.padding.len()), (3 << 20, 3_000_000));
     }
 }
@@ -347,7 +354,8 @@
     assert_eq!(report["outcome"], "not-run");
 }
 
-/// Guards against an entry that goes on asking a gate which has just refused for lack of room.
+/// Guards against an ingress that ignores the load which a sidecar reports with a refusal, and
+/// keeps forwarding requests to it.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_tells_load() {
     let mut document = document(1);
@@ -371,7 +379,7 @@
     assert!(long.await.expect("it ends").is_ok());
 }
 
-/// Guards against callers that are refused nearby while another data centre has room.
+/// Guards against refusing callers for lack of local slots while another data centre has some free.
 #[tokio::test(flavor = "multi_thread")]
 async fn room_far_away() {
     let mut document = document(1);
--- a/trial/tests/common/fake.rs
+++ b/trial/tests/common/fake.rs
@@ -1,4 +1,4 @@
-//! A target that misbehaves on purpose, byte by byte.
+//! A target that violates HTTP or its time-outs on purpose, written on raw sockets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the target does with a request that it has read.
+/// What the target does with a request after reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Manner {
     /// Closes the connection.
     CloseAfterReading,
-    /// Promises a thousand bytes and closes after a hundred.
+    /// Announces a body of 1,000 bytes and closes the connection after 100.
     CutShort,
-    /// Promises more than a gate takes in at once and closes in the middle.
+    /// Announces a body larger than the sidecar buffers and closes the connection in the middle.
     CutLong,
-    /// Proves that it refuses.
+    /// Refuses with a header that proves that the request did not run.
     Refuse,
-    /// Answers with the name of the request, late enough for its time-out to have passed.
+    /// Responds with the request's name; to the request named `slow`, only after its time-out.
     Late,
 }
 
 /// A misbehaving target.
 #[derive(Debug, Clone)]
 pub struct Fake {
-    /// Requests that it has read.
+    /// Number of requests read.
     pub read: Arc<AtomicUsize>,
 }
 
 impl Fake {
-    /// Listens in the place of a host's target and announces itself.
+    /// Listens on the host's address and announces itself to the host's daemon.
     pub async fn start(host: &Host, manner: Manner) -> Self {
         let address = SocketAddr::new(host.ip, 7_105);
         let listener = TcpListener::bind(address).await.expect("the port is free");
@@ -54,13 +54,13 @@
         fake
     }
 
-    /// Requests that it has read so far.
+    /// Number of requests read so far.
     pub fn count(&self) -> usize {
         self.read.load(Ordering::Acquire)
     }
 }
 
-/// Announces a target at `address`.
+/// Announces a target at `address` to the host's daemon.
 pub async fn announce(host: &Host, address: SocketAddr) {
     let announcement = Announcement {
         service: host.place.service.clone().expect("the host has a service"),
@@ -76,7 +76,7 @@
     let answer = session::once(daemon, Method::POST, "/announce", &body).await;
     assert!(
         answer.is_ok_and(|answer| answer.status.is_success()),
-        "the daemon takes it"
+        "the daemon accepts the announcement"
     );
 }
 
@@ -112,13 +112,13 @@
     }
 }
 
-/// An answer that ends after `sent` of `promised` bytes.
+/// Response whose body ends after `sent` of `promised` bytes.
 fn part(promised: usize, sent: usize) -> String {
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {promised}\r\n\r\n");
     head + &"x".repeat(sent)
 }
 
-/// Reads the head of a request without a body; its `x-request` header.
+/// Reads the head of a request without a body and returns its `x-request` header.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/trial/tests/common/mod.rs
+++ b/trial/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What several trials need.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Helpers that several test files share.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 pub mod fake;
 
@@ -10,12 +10,12 @@
 use jackdawpulley::configuration::document::Document;
 use jackdawpulley::units::{DataCentre, Millis, Service};
 
-/// A fleet of this build, without hosts yet.
+/// Starts a fleet without hosts that runs the program of this build.
 pub async fn fleet(options: &[&str]) -> Fleet {
     Fleet::start(PathBuf::from(env!("CARGO_BIN_EXE_jackdaw-trial")), options).await
 }
 
-/// Hosts spread over data centres named `dc-0`, `dc-1` and so on, all of the service `shelf`.
+/// Hosts of the service `shelf`, spread over data centres named `dc-0`, `dc-1` and so on.
 pub fn places(count: usize, centres: usize) -> Vec<Place> {
     (0..count)
         .map(|index| Place {
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// A document that differs from others by its number.
+/// A valid document whose content depends on `number`.
 pub fn document(number: u64) -> Document {
     let mut document = Deployment::Kalahari.document();
     document.retries[0].backoff_ms = Millis(number);
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -1,4 +1,4 @@
-//! The configuration under failure, with real processes.
+//! Configuration updates during failures of the log, the network and daemons, with real processes.
 
 mod common;
 
@@ -13,13 +13,14 @@
 use rustix::process::Signal;
 use serde_json::Value;
 
-/// Time within which an accepted version has to be in force everywhere.
+/// Time within which an accepted version has to be active on all daemons.
 const SECONDS: Duration = Duration::from_secs(9);
-/// Time for a daemon that comes back.
+/// Time within which a restarted or reconnected daemon has to serve again.
 const RETURN: Duration = Duration::from_secs(20);
 
-/// Half of the daemons are killed at once while versions go out, and all come back in the same
-/// moment. A daemon that served the first thing it heard would serve an older version than before.
+/// Guards against a restarted daemon that serves an older version than before: half of the daemons
+/// are killed at once during updates and restarted together, so that the first version which one
+/// receives may be outdated.
 #[tokio::test(flavor = "multi_thread")]
 async fn herd_dies_and_returns() {
     let mut fleet = fleet(&[]).await;
@@ -31,7 +32,7 @@
             fleet.kill_daemon(index);
         }
         let version = fleet.put(10, document(round * 10 + 1)).await;
-        // The log is slow just then, so that it can't hide a daemon that serves too early.
+        // A fast log would hide a daemon that serves too early.
         fleet
             .fail_log(Faults {
                 slow_ms: 400,
@@ -42,7 +43,10 @@
             fleet.start_daemon(index);
         }
         for index in 0..6 {
-            assert!(fleet.serves(index, RETURN).await, "{index} serves again");
+            assert!(
+                fleet.serves(index, RETURN).await,
+                "host {index} serves again"
+            );
         }
         fleet.fail_log(Faults::default()).await;
         assert!(fleet.converges(version, SECONDS).await, "round {round}");
@@ -52,9 +56,9 @@
     assert!(verdict.samples > 100, "{verdict:?}");
 }
 
-/// The readers of a data centre are frozen while an edit is accepted, and continued afterwards
-/// with updates of that time still in their sockets. Nobody may wait for them, and they may not
-/// go back.
+/// Guards against waiting for frozen daemons, and against their return to an older version: two
+/// daemons are frozen while an edit is accepted, and continue with outdated updates in their
+/// sockets.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_daemons_hold_nobody_up() {
     let mut fleet = fleet(&[]).await;
@@ -74,7 +78,7 @@
                 .await
                 .is_some_and(|have| have >= version)
         });
-        assert!(there.await, "{index} runs it");
+        assert!(there.await, "host {index} runs it");
     }
     for index in frozen {
         fleet.signal_daemon(index, Signal::CONT);
@@ -83,8 +87,9 @@
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
-/// The log goes away in the moment in which an edit has been accepted. Daemons that have not read
-/// it yet must get it from the others, and one that restarts meanwhile must not serve less.
+/// Guards against depending on the log for an accepted edit: the log fails right after accepting
+/// it. Daemons that have not read the edit must get it from peers, and a daemon that restarts
+/// meanwhile must not serve an older version.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_vanishes_after_acceptance() {
     let mut fleet = fleet(&[]).await;
@@ -100,7 +105,10 @@
     assert!(fleet.converges(version, SECONDS).await);
     fleet.kill_daemon(2);
     fleet.start_daemon(2);
-    assert!(fleet.serves(2, RETURN).await, "peers give it a floor");
+    assert!(
+        fleet.serves(2, RETURN).await,
+        "peers tell it which version it needs to become ready"
+    );
     assert_eq!(fleet.version(2).await, Some(version));
     fleet.fail_log(Faults::default()).await;
     let version = fleet.put(2, document(2)).await;
@@ -108,8 +116,9 @@
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
-/// The log takes appends and loses its answers. The publisher must find its edit again instead of
-/// guessing, and publishing once more under the same identifier must not make a second version.
+/// Guards against a wrong or duplicate result when the log appends an edit and its response is
+/// lost. The publisher must find the edit on the log; publishing it again under the same identifier
+/// must not create a second version.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_is_found_again() {
     let mut fleet = fleet(&[]).await;
@@ -136,9 +145,9 @@
     assert!(next.0 > first["version"].as_u64().expect("a version"));
 }
 
-/// The log is slow, so that an accepted edit often reaches its own publisher by a peer before the
-/// log's answer does. The publisher took that for somebody else's edit and told its operator of a
-/// conflict, with an edit that was in force everywhere.
+/// Guards against reporting a conflict for an edit that is active on all daemons: with a slow log,
+/// an accepted edit often reaches its publisher through a peer before the log's response does, and
+/// the publisher took it for an edit of another operator.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_edit_is_no_conflict() {
     let mut fleet = fleet(&["--readers", "1"]).await;
@@ -166,8 +175,8 @@
     }
 }
 
-/// The log hangs: an operator is told that the fate is unknown and what to do, not that the edit
-/// failed. When the log is back, the same edit can be published again.
+/// Guards against reporting an edit as failed when the log does not respond: its outcome is unknown,
+/// and the same edit can be published again when the log is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_log_means_unknown() {
     let mut fleet = fleet(&[]).await;
@@ -204,8 +213,8 @@
     );
 }
 
-/// The log forgets almost everything, after an outage as well. Checkpoints keep the accepted
-/// state inside its retention, so that a newcomer and a whole new fleet still find it.
+/// Guards against losing the accepted configuration to the log's retention: checkpoints have to
+/// keep it readable for daemons that all start anew.
 #[tokio::test(flavor = "multi_thread")]
 async fn records_expire() {
     let mut fleet = fleet(&["--checkpoint-ms", "300"]).await;
@@ -226,7 +235,7 @@
             .await;
     }
     assert!(fleet.converges(version, SECONDS).await);
-    // Checkpoints alone push the edits out of the retention.
+    // More than eight further checkpoints push all edits out of the retention of 6 records.
     let appends = fleet.log_stats().await.appends;
     let pushed = until(RETURN, || async {
         fleet.log_stats().await.appends > appends + 8
@@ -243,15 +252,15 @@
         assert_eq!(
             fleet.version(index).await,
             Some(version),
-            "{index} found the checkpoint"
+            "host {index} found the checkpoint"
         );
     }
     let next = fleet.put(3, document(99)).await;
     assert!(fleet.converges(next, SECONDS).await);
 }
 
-/// Two data centres part while an edit is accepted and the log is slow as well. Both sides have
-/// their own readers, and one view after the cut.
+/// Guards against an edit that does not reach both sides of a network partition between data
+/// centres while the log is slow, and against separate views after the partition heals.
 #[tokio::test(flavor = "multi_thread")]
 async fn data_centres_part() {
     let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
@@ -270,7 +279,7 @@
     let version = fleet.put(0, document(1)).await;
     assert!(
         fleet.converges(version, SECONDS).await,
-        "on both sides of the cut"
+        "on both sides of the partition"
     );
     net.heal();
     assert!(fleet.meets(6, RETURN).await, "one view again");
@@ -279,8 +288,9 @@
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
-/// The one reader of a data centre is killed and the log goes away before another has stepped in.
-/// The data centre hears of the version only from the digests on probes of the others.
+/// Guards against a data centre that misses a version when its only reader is killed and the log
+/// fails before another daemon takes over: only the digests on the probes from other data centres
+/// announce the version.
 #[tokio::test(flavor = "multi_thread")]
 async fn reader_dies_with_the_log() {
     let mut fleet = fleet(&["--readers", "1"]).await;
@@ -290,7 +300,7 @@
     let settled = until(RETURN, || async { fleet.log_stats().await.waiting == 2 });
     assert!(
         settled.await,
-        "one daemon of each data centre waits at the log"
+        "one daemon of each data centre reads the log"
     );
     let mut reader = None;
     for index in [1, 3, 5, 7] {
--- a/trial/tests/faults.rs
+++ b/trial/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Calls under load and faults, checked on the history of callers and targets.
+//! Calls under load and faults, checked against the histories of callers and targets.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use jackdaw_trial::calls::{Policy, run};
 use jackdaw_trial::rig::deployment::Deployment;
 
-/// Runs one fault; whatever callers were told has to fit what targets ran.
+/// Injects one fault and checks that the outcomes reported to callers match what targets ran.
 async fn stays_clean(deployment: Deployment, fault: Fault) {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_jackdaw-trial"));
     let args = Args {
@@ -25,8 +25,8 @@
     }
 }
 
-/// Hosts are killed and stopped as planned under load, one fault after the other, since each needs
-/// the machine for itself.
+/// Guards against outcomes that contradict what targets ran, with hosts killed, shut down gracefully
+/// or overloaded. The faults run one after the other, since each needs the whole machine.
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_leave_the_history_clean() {
     stays_clean(Deployment::Hooghly, Fault::Kill).await;
--- a/trial/tests/hostile.rs
+++ b/trial/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Bad input on every port: a typed refusal, and nothing else disturbed.
+//! Invalid input on every port: it is rejected, and the daemon keeps working.
 
 mod common;
 
@@ -19,14 +19,14 @@
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(2, 1)).await;
     assert!(fleet.meets(2, PATIENCE).await);
-    // A target is a process of its own and may be up later than its daemon.
+    // A target is a separate process that may start later than its daemon.
     assert!(fleet.offers(2, PATIENCE).await);
     let version = fleet.put(0, document(1)).await;
     assert!(fleet.converges(version, PATIENCE).await);
     fleet
 }
 
-/// The daemon still answers a call and still probes its peer.
+/// Checks that the daemon still serves a call and still sees its peer.
 async fn is_well(fleet: &Fleet) {
     let request = Session::request(Method::GET, "/titles", &[("x-request", "r")], "");
     let answer = Session::new(fleet.hosts[0].calls())
@@ -36,10 +36,10 @@
     assert!(fleet.meets(2, PATIENCE).await);
 }
 
-/// Sends bytes and reads until the other side closes or falls silent.
+/// Sends bytes and reads until the daemon closes the connection or 500 ms have passed.
 async fn say(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
-    stream.write_all(bytes).await.expect("it takes them");
+    stream.write_all(bytes).await.expect("the bytes are sent");
     let mut answer = Vec::new();
     let _ = tokio::time::timeout(Duration::from_millis(500), stream.read_to_end(&mut answer)).await;
     answer
@@ -145,7 +145,7 @@
             .await
             .expect("whole");
         assert_eq!(answer.status, status, "{path}");
-        assert!(!answer.body.is_empty(), "{path} says why");
+        assert!(!answer.body.is_empty(), "{path} explains the rejection");
     }
     is_well(&fleet).await;
 }
--- a/trial/tests/idempotency.rs
+++ b/trial/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys with real daemons, killed and away in between.
+//! Idempotency keys while daemons are killed and the log is unavailable, with real processes.
 
 mod common;
 
@@ -58,7 +58,8 @@
     fleet.runs().iter().filter(|run| run.request == key).count()
 }
 
-/// A clerk repeats a booking through every host, while it runs and after: one run, one answer.
+/// Guards against a second run, or a different response, when a key is repeated through every host
+/// while the first request runs and after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_get_the_first_answer() {
     for document in [document(1), claimed()] {
@@ -93,8 +94,8 @@
     }
 }
 
-/// The gate that runs a booking is killed before it answers, and the clerk repeats the key through
-/// the other hosts: it may have run, so it is not run again, and the clerk is told.
+/// Guards against a second run after the key's holder is killed before it responds: the request may
+/// have run, so repeats through other hosts get an unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_holder_leaves_doubt_not_a_second_run() {
     for document in [document(1), claimed()] {
@@ -119,7 +120,10 @@
             .expect("known");
         fleet.kill_daemon(holder);
         let _ = first.await;
-        assert!(fleet.meets(3, PATIENCE).await, "the others see it gone");
+        assert!(
+            fleet.meets(3, PATIENCE).await,
+            "the other daemons see it as gone"
+        );
         for index in (0..4).filter(|index| *index != holder) {
             let answer = book(fleet.hosts[index].calls(), "k", "0").await;
             assert_eq!(answer.header(OUTCOME), "unknown", "{answer:?}");
@@ -136,8 +140,8 @@
     }
 }
 
-/// The log is away: a booking that needs a claim is not run, and the clerk is told at once and not
-/// near the deadline. When the log is back, the same key runs, once.
+/// Guards against running a request that needs a claim, or refusing it only near its deadline, while
+/// the log is unavailable. When the log is back, the same key runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn claim_without_the_log_is_not_run() {
     let fleet = start(2, claimed()).await;
@@ -169,8 +173,8 @@
     assert_eq!(times(&fleet, "k"), 1);
 }
 
-/// The log takes claims and loses its answers: nothing runs twice, and keys that were told "not
-/// run" are free again once the log is well.
+/// Guards against a second run, and against keys that stay claimed after a "not run" outcome, when
+/// the log appends claims and its responses are lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_claim_answers_are_taken_back() {
     let fleet = start(2, claimed()).await;
@@ -199,7 +203,7 @@
                 .header(OUTCOME)
                 == "answered"
         });
-        assert!(runs.await, "{key} is free again");
+        assert!(runs.await, "{key} can be claimed again");
         assert_eq!(times(&fleet, &key), 1);
     }
 }
--- a/trial/tests/load.rs
+++ b/trial/tests/load.rs
@@ -1,4 +1,4 @@
-//! What callers get under load, in virtual time.
+//! Simulations of overload, in virtual time.
 
 use jackdaw_trial::load::{Args, Policy, Report, run};
 use jackdaw_trial::rig::deployment::Deployment;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Mean of a figure over some seeds.
+/// Mean of `figure` over the reports of all seeds.
 fn mean(
     deployment: Deployment,
     load: f64,
@@ -41,9 +41,9 @@
     }
 }
 
-/// A heavy day: half as much again as targets can do. Without a limit every list waits until its
-/// caller has gone, and nearly all of the work is for nobody. Credit over five seeds: 0.68 and 0.66
-/// at random, 0.86 and 0.82 by the time to expect.
+/// Guards against wasted work at 1.5 times the targets' capacity: without a limit, requests wait until
+/// their callers have given up. Mean credit over five seeds: 0.68 and 0.66 with random selection, 0.86
+/// and 0.82 by expected time.
 #[test]
 fn overload_serves_whom_it_can() {
     for deployment in [Deployment::Kalahari, Deployment::Hooghly] {
@@ -56,8 +56,9 @@
     }
 }
 
-/// Refused callers come back. While they wait in line like new ones, both are late: a quarter of
-/// the served lists. When they wait less, as their time has been running, more are in time: credit of lists 0.63 before, 0.68 after.
+/// Guards against queueing callers that retry after a refusal as if they were new: both kinds were
+/// late then, a quarter of the served lists. Counting the time that a caller has waited already raises
+/// the credit of lists from 0.63 to 0.68.
 #[test]
 fn new_callers_are_in_time() {
     let timely = |policy| {
@@ -69,9 +70,9 @@
     assert!(told > alike + 0.01, "{alike} {told}");
 }
 
-/// One target turns twelve times slower for a third of the time. Whoever goes by counts alone sends
-/// it a share, and its answers, which would tell, take as long to come. Credit of that third with
-/// the age of unanswered calls left out 0.939, with it 0.944.
+/// Guards against forwarding to a target that is twelve times slower for a third of the run: its
+/// responses, which would show it, are late as well. Credit in that third is 0.939 without the age of
+/// outstanding requests and 0.944 with it.
 #[test]
 fn slow_target_costs_little() {
     let slow = |report: &Report| {
@@ -83,8 +84,9 @@
     assert!(credit > 0.942, "{credit}");
 }
 
-/// Answers to lists are large, and bytes between data centres are paid for. Placing by the time to
-/// expect keeps them near as long as there is room: 24,000 and 5,800 KB on the mean of five seeds.
+/// Guards against needless traffic between data centres, which is paid for; responses to lists are
+/// large. Mean over five seeds: 24,000 KB by two choices and 5,800 KB by expected time, which stays in
+/// the local data centre while that has free slots.
 #[test]
 fn answers_stay_near() {
     let far = |policy| {
@@ -96,7 +98,7 @@
     assert!(3.0 * expected < counts, "{counts} {expected}");
 }
 
-/// Guards against a data centre that refuses its callers while others have room.
+/// Guards against an overloaded data centre that refuses callers while others have free slots.
 #[test]
 fn crowd_finds_room() {
     let credit = |policy| {
--- a/trial/tests/loopback.rs
+++ b/trial/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Parts of the loopback network, one for each trial.
+//! Allocation of loopback networks to trials.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::process::Command;
@@ -7,12 +7,12 @@
 
 use jackdaw_trial::rig::loopback::free_network;
 
-/// Port of a target of a small platform.
+/// Port of a target of the simulated platform.
 const WORK: u16 = 8_147;
-/// Networks that are claimed.
+/// Number of networks to allocate.
 const NETWORKS: usize = 40;
 
-/// Guards against an address that a process which is just being started still holds.
+/// Guards against handing out an address that a process holds while it is being started.
 #[test]
 fn free_is_free() {
     let done = AtomicBool::new(false);
--- a/trial/tests/operators.rs
+++ b/trial/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operator's command and the daemon's exit statuses, as processes.
+//! Output and exit statuses of `jackdawctl` and the daemon, run as processes.
 
 mod common;
 
@@ -59,7 +59,7 @@
     assert_eq!(
         (status, &json(&out)["version"]),
         (Some(0), &version),
-        "asked again: {out}"
+        "published again: {out}"
     );
     assert_eq!(
         fleet
@@ -87,7 +87,7 @@
             ..Faults::default()
         })
         .await;
-    // Without log and peers a second daemon can't reach a floor.
+    // Without the log or peers, the restarted daemon can't learn which version it needs.
     fleet.kill_daemon(0);
     fleet.start_daemon(0);
     let starting = until(PATIENCE, || async {
--- a/trial/tests/quarantine.rs
+++ b/trial/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! A request in quarantine on daemons that read the platform's log.
+//! Quarantine of requests that crash targets, on daemons that read the platform's log.
 
 mod common;
 
@@ -16,12 +16,13 @@
 
 const PATIENCE: Duration = Duration::from_secs(8);
 const HOSTS: usize = 3;
-/// Time in which the daemons on the two sides of a cut find each other gone: one probe in four crosses it.
+/// Time within which daemons detect that those across a partition are gone: one probe in four crosses it.
 const PARTING: Duration = Duration::from_secs(20);
-/// Time for which the request runs until its target ends, longer than ends at one moment are apart.
+/// Time for which the request runs before its target is killed, longer than the interval within which
+/// crashes count as simultaneous.
 const WORK: Duration = Duration::from_millis(400);
 
-/// Sends a request that works for a second; a target that is killed meanwhile has ended under it.
+/// Sends a request that runs for one second, so that its target can be killed meanwhile.
 async fn grant(fleet: &Fleet, index: usize, name: &str) -> Answer {
     let headers = [("x-request", name), ("x-work-ms", "1000")];
     let request = Session::request(Method::POST, "/grants", &headers, "a studio");
@@ -30,12 +31,12 @@
     answer.expect("a whole answer")
 }
 
-/// Has the target end that runs a request, and come back.
+/// Kills the target that runs the request, and restarts it.
 async fn end_under(fleet: &mut Fleet, name: &str) {
     end_under_with(fleet, name, HOSTS).await;
 }
 
-/// The same where so many targets are offered.
+/// Kills and restarts the target, in a network part with `targets` targets.
 async fn end_under_with(fleet: &mut Fleet, name: &str, targets: usize) {
     let runs = || fleet.runs().into_iter().find(|run| run.request == name);
     let (answer, target) = tokio::join!(grant(fleet, 0, name), async {
@@ -53,7 +54,7 @@
     assert!(fleet.offers(targets, PATIENCE).await);
 }
 
-/// Whether all daemons refuse one request before long.
+/// Whether all daemons come to quarantine exactly one request.
 async fn all_refuse(fleet: &Fleet) -> bool {
     let all = fleet.hosts.iter().map(|host| {
         let operator = host.operator();
@@ -66,7 +67,7 @@
     join_all(all).await.into_iter().all(|refuses| refuses)
 }
 
-/// A fleet that serves.
+/// Starts the hosts and waits until all of them serve.
 async fn serving(mut fleet: Fleet, places: &[Place]) -> Fleet {
     fleet.add(places).await;
     assert!(fleet.meets(places.len(), PATIENCE).await);
@@ -76,7 +77,7 @@
     fleet
 }
 
-/// A fleet that refuses one request, since three targets have ended under it.
+/// Starts a fleet that quarantines one request, after three target crashes.
 async fn refusing() -> Fleet {
     let mut fleet = serving(fleet(&[]).await, &places(HOSTS, 1)).await;
     for name in ["first", "second", "third"] {
@@ -86,8 +87,8 @@
     fleet
 }
 
-/// One of two data centres is cut off while targets of the other end under a request. The cut heals, and the
-/// caller goes on in the data centre that has heard of nothing: its targets must not end as well.
+/// Guards against crashes in a data centre that was partitioned off while the other one quarantined
+/// the request: its daemons must learn of the crashes when the partition heals.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_off_daemons_hear_of_it() {
     let mut fleet = fleet(&["--suspicion-ms", "1000"]).await.with_net();
@@ -104,7 +105,7 @@
     net.heal();
     assert!(
         all_refuse(&fleet).await,
-        "within the time of a cut daemon to be well again"
+        "all daemons refuse the request within the time-out after the partition heals"
     );
     assert_refused(&fleet, "known").await;
 }
@@ -115,21 +116,25 @@
         assert_eq!(answer.header(REASON), "quarantined", "{answer:?}");
         assert_eq!(answer.status, 503);
         let wait: u64 = answer.header("retry-after").parse().expect("a number");
-        assert!((3_500..=3_600).contains(&wait), "an hour: {wait}");
+        assert!(
+            (3_500..=3_600).contains(&wait),
+            "about one hour, in seconds: {wait}"
+        );
     }
-    assert_eq!(fleet.runs().len(), 3, "nothing runs after the third end");
+    assert_eq!(fleet.runs().len(), 3, "nothing runs after the third crash");
 }
 
-/// A supervisor starts a target again within milliseconds of its end. A gate that looked 10 ms later found
-/// somebody listening, took the end for a cut connection, and the request went on ending targets.
+/// Guards against missing a crash when a supervisor restarts the target within milliseconds: a sidecar
+/// that checked 10 ms later found the port open, took the crash for a broken connection, and the
+/// request went on crashing targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn quick_restart_is_noticed() {
     let fleet = refusing().await;
     assert_refused(&fleet, "known").await;
 }
 
-/// Three targets have ended under a request, and the whole fleet loses power. Nobody is left who remembers
-/// it, and its caller goes on: the daemons that start find it on the log and refuse it.
+/// Guards against losing a quarantine when all daemons are killed at once: the restarted daemons must
+/// restore it from the log.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_keeps_the_quarantine() {
     let mut fleet = refusing().await;
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -1,4 +1,4 @@
-//! Racing operators: their history is that of a compare-and-set register.
+//! Concurrent operators, whose history has to be that of a compare-and-set register.
 
 mod common;
 
@@ -17,10 +17,10 @@
 const OPERATORS: usize = 4;
 const EDITS: usize = 8;
 
-/// An edit and what its operator was told.
+/// Edit of an operator and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Operation {
-    /// Asked, not answered yet.
+    /// No result yet, or an unknown one.
     Asked,
     Accepted {
         base: u64,
@@ -32,7 +32,7 @@
     },
 }
 
-/// The register: the version in force.
+/// Register whose state is the active version.
 struct Register;
 
 impl Specification for Register {
@@ -54,7 +54,8 @@
 
 type Actions = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
-/// One operator: reads what is in force at some daemon, and publishes on it, again and again.
+/// Runs one operator that repeatedly reads the active version from a daemon and publishes an edit
+/// based on it. Returns the edits with an unknown outcome.
 async fn operate(fleet: &Fleet, me: usize, actions: &Actions) -> Vec<(EditId, u64)> {
     let mut undecided = Vec::new();
     let note = |action| {
@@ -88,7 +89,7 @@
             })),
             _ => {
                 undecided.push((id, base));
-                // Its fate is looked up in the end; until then its operator asks nothing more.
+                // The outcome is looked up at the end; a pending operation has to be the operator's last.
                 break;
             }
         }
@@ -96,7 +97,7 @@
     undecided
 }
 
-/// Looks up the fate of an edit whose operator was told that it is unknown.
+/// Looks up the result of an edit whose outcome was unknown.
 async fn settle(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
     let answer: Option<Value> =
         get(fleet.hosts[0].operator(), &format!("/config/edits/{id}")).await;
@@ -109,9 +110,9 @@
     }
 }
 
-/// Operators race each other through different daemons while the log loses answers, is slow and is
-/// away. Whatever each was told has to fit one order of compare-and-set operations: no accepted
-/// edit is lost, and none is applied twice.
+/// Guards against lost and doubly applied edits: operators publish concurrently through different
+/// daemons while the log loses responses, is slow and is unavailable. All results have to be
+/// linearizable as operations on a compare-and-set register.
 #[tokio::test(flavor = "multi_thread")]
 async fn history_is_a_register() {
     let mut fleet = fleet(&[]).await;
--- a/trial/tests/thin_path.rs
+++ b/trial/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes.
+//! Calls through daemons to targets during a configuration change and a shutdown, with real processes.
 
 use std::path::PathBuf;
 
