--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -17,7 +17,7 @@
 use jackdawpulley::units::{DataCentre, Millis, Slots};
 use rustix::process::Signal;
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Starts hosts of which only those in `with_target` run a target.
 async fn hosts(count: usize, with_target: &[usize], document: Document) -> Fleet {
@@ -33,16 +33,16 @@
     for host in &mut fleet.hosts {
         host.place.service.clone_from(&places(1, 1)[0].service);
     }
-    assert!(fleet.meets(count, PATIENCE).await);
+    assert!(fleet.meets(count, TIMEOUT).await);
     let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.converges(version, TIMEOUT).await);
     fleet
 }
 
 /// Waits until a daemon knows `count` upstreams.
-async fn sees(fleet: &Fleet, index: usize, count: usize) {
+async fn wait_for_upstreams(fleet: &Fleet, index: usize, count: usize) {
     let operator = fleet.hosts[index].operator();
-    let seen = until(PATIENCE, || async move {
+    let seen = until(TIMEOUT, || async move {
         let state: Option<serde_json::Value> = get(operator, "/state").await;
         state.is_some_and(|s| {
             s["upstreams"]
@@ -53,36 +53,41 @@
     assert!(seen.await, "host {index} knows {count} upstreams");
 }
 
-async fn call(door: SocketAddr, method: Method, path: &str, name: &str) -> Result<Answer, Failure> {
+async fn call(
+    ingress: SocketAddr,
+    method: Method,
+    path: &str,
+    name: &str,
+) -> Result<Answer, Failure> {
     let request = Session::request(method, path, &[("x-request", name)], "");
-    Session::new(door).send(request, PATIENCE).await
+    Session::new(ingress).send(request, TIMEOUT).await
 }
 
-fn told(answer: &Answer) -> (&str, &str) {
+fn outcome_and_reason(answer: &Answer) -> (&str, &str) {
     (answer.header(OUTCOME), answer.header(REASON))
 }
 
 /// Guards against retrying a non-repeatable request that may have run: the target reads it and
 /// closes the connection before it responds.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_rental_is_unknown_and_not_repeated() {
+async fn broken_connection_is_not_retried() {
     let fleet = hosts(2, &[], document(1)).await;
     let fakes = [
         Fake::start(&fleet.hosts[0], Manner::CloseAfterReading).await,
         Fake::start(&fleet.hosts[1], Manner::CloseAfterReading).await,
     ];
-    sees(&fleet, 0, 2).await;
+    wait_for_upstreams(&fleet, 0, 2).await;
     let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
         .await
         .expect("whole");
-    assert_eq!(told(&answer), ("unknown", "broken"));
+    assert_eq!(outcome_and_reason(&answer), ("unknown", "broken"));
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     assert_eq!(fakes[0].count() + fakes[1].count(), 1);
     let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t")
         .await
         .expect("whole");
     assert_eq!(
-        told(&answer),
+        outcome_and_reason(&answer),
         ("unknown", "broken"),
         "a read is retried at the other target, which fails as well"
     );
@@ -92,11 +97,11 @@
 /// Guards against failing a request that a target refused before running it: even a non-repeatable
 /// request is retried at another target.
 #[tokio::test(flavor = "multi_thread")]
-async fn proved_refusal_is_tried_elsewhere() {
+async fn refused_request_is_retried() {
     let fleet = hosts(2, &[1], document(1)).await;
     let fake = Fake::start(&fleet.hosts[0], Manner::Refuse).await;
-    sees(&fleet, 0, 2).await;
-    let all = until(PATIENCE, || async {
+    wait_for_upstreams(&fleet, 0, 2).await;
+    let all = until(TIMEOUT, || async {
         let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g").await;
         assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
         fake.count() > 0
@@ -107,15 +112,15 @@
 /// Guards against an unknown outcome, or a wait until the deadline, when nothing listens at the
 /// announced address: the request can't have run, and the caller gets a `retry-after` at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn unreachable_target_is_not_run() {
+async fn unreachable_target_fails_fast() {
     let fleet = hosts(1, &[], document(1)).await;
     announce(&fleet.hosts[0], SocketAddr::new(fleet.hosts[0].ip, 7_199)).await;
-    sees(&fleet, 0, 1).await;
+    wait_for_upstreams(&fleet, 0, 1).await;
     let began = Instant::now();
     let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
         .await
         .expect("whole");
-    assert_eq!(told(&answer), ("not-run", "unreachable"));
+    assert_eq!(outcome_and_reason(&answer), ("not-run", "unreachable"));
     assert!(
         began.elapsed() < Duration::from_millis(500),
         "the refusal comes before the deadline"
@@ -126,14 +131,18 @@
 /// Guards against passing on a truncated response as a complete one. A short response is buffered
 /// before it is passed on, so that the caller gets an error with an unknown outcome instead.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_cut_short_is_told() {
-    for door in [0, 1] {
+async fn truncated_response_is_an_error() {
+    for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
         Fake::start(&fleet.hosts[0], Manner::CutShort).await;
-        sees(&fleet, door, 1).await;
-        let answer = call(fleet.hosts[door].calls(), Method::GET, "/titles", "t").await;
+        wait_for_upstreams(&fleet, ingress, 1).await;
+        let answer = call(fleet.hosts[ingress].calls(), Method::GET, "/titles", "t").await;
         let answer = answer.expect("a complete response from the daemon");
-        assert_eq!(told(&answer), ("unknown", "broken"), "through host {door}");
+        assert_eq!(
+            outcome_and_reason(&answer),
+            ("unknown", "broken"),
+            "through host {ingress}"
+        );
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     }
 }
@@ -141,15 +150,15 @@
 /// Guards against a clean end of a truncated response that is too long to be buffered: the
 /// caller's connection must break as well.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_answer_cut_short_is_a_cut() {
-    for door in [0, 1] {
+async fn truncated_long_response_breaks_connection() {
+    for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
         Fake::start(&fleet.hosts[0], Manner::CutLong).await;
-        sees(&fleet, door, 1).await;
-        let result = call(fleet.hosts[door].calls(), Method::GET, "/titles", "t").await;
+        wait_for_upstreams(&fleet, ingress, 1).await;
+        let result = call(fleet.hosts[ingress].calls(), Method::GET, "/titles", "t").await;
         assert!(
             matches!(result, Err(Failure::Cut(_))),
-            "through host {door}: {result:?}"
+            "through host {ingress}: {result:?}"
         );
     }
 }
@@ -158,12 +167,12 @@
 /// still accepts connections, so each read would wait there for half of its time-out; the ingress
 /// has to detect the silence on the link itself.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_gate_is_noticed_by_silence() {
+async fn frozen_sidecar_is_detected() {
     let slow_to_suspect = ["--probe-period-ms", "3000", "--suspicion-ms", "60000"];
     let mut fleet = fleet(&slow_to_suspect).await;
     fleet.add(&places(3, 1)).await;
     let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.converges(version, TIMEOUT).await);
     // Gossip about the targets is piggybacked on the probes, which are slow here.
     assert!(fleet.offers(3, Duration::from_secs(30)).await);
     for _ in 0..12 {
@@ -196,23 +205,23 @@
 /// Guards against matching a late response to the wrong request: the target responds after the
 /// time-out of one request, while the next one is on its way.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answer_meets_nobody() {
+async fn late_response_is_discarded() {
     let mut short = document(1);
     for route in &mut short.routes {
         route.timeout_ms = Millis(200);
     }
     let fleet = hosts(1, &[], short).await;
     Fake::start(&fleet.hosts[0], Manner::Late).await;
-    sees(&fleet, 0, 1).await;
-    let door = fleet.hosts[0].calls();
+    wait_for_upstreams(&fleet, 0, 1).await;
+    let ingress = fleet.hosts[0].calls();
     for round in 0..5 {
-        let slow = call(door, Method::POST, "/grants", "slow")
+        let slow = call(ingress, Method::POST, "/grants", "slow")
             .await
             .expect("whole");
-        assert_eq!(told(&slow), ("unknown", "timed-out"));
+        assert_eq!(outcome_and_reason(&slow), ("unknown", "timed-out"));
         for next in 0..10 {
             let name = format!("{round}-{next}");
-            let answer = call(door, Method::POST, "/grants", &name)
+            let answer = call(ingress, Method::POST, "/grants", &name)
                 .await
                 .expect("whole");
             assert_eq!(answer.body, name.as_bytes());
@@ -223,15 +232,15 @@
 /// Guards against running a request after its deadline: the sidecar is frozen while the request
 /// waits for a slot, and continues when the caller has already been told of the time-out.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_gate_does_not_run_late() {
+async fn expired_request_does_not_run() {
     let mut narrow = document(1);
     narrow
         .groups
         .iter_mut()
         .for_each(|group| group.slots = Some(jackdawpulley::units::Slots(1)));
     let fleet = hosts(2, &[0], narrow).await;
-    sees(&fleet, 1, 1).await;
-    let door = fleet.hosts[1].calls();
+    wait_for_upstreams(&fleet, 1, 1).await;
+    let ingress = fleet.hosts[1].calls();
     let request = |name: &'static str, work: &'static str, timeout: &'static str| {
         let headers = [
             ("x-request", name),
@@ -239,19 +248,19 @@
             ("x-jackdaw-timeout-ms", timeout),
         ];
         let request = Session::request(Method::POST, "/grants", &headers, "");
-        tokio::spawn(async move { Session::new(door).send(request, PATIENCE).await })
+        tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
     };
     let first = request("first", "700", "1900");
-    let running = until(PATIENCE, || std::future::ready(fleet.runs().len() == 1)).await;
+    let running = until(TIMEOUT, || std::future::ready(fleet.runs().len() == 1)).await;
     assert!(running, "the first request occupies the slot");
     let second = request("second", "0", "1500");
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.signal_daemon(0, Signal::STOP);
     let answer = second.await.expect("it ends").expect("whole");
-    assert_eq!(told(&answer), ("unknown", "timed-out"));
+    assert_eq!(outcome_and_reason(&answer), ("unknown", "timed-out"));
     fleet.signal_daemon(0, Signal::CONT);
     let _ = first.await;
-    let answer = call(door, Method::POST, "/grants", "third")
+    let answer = call(ingress, Method::POST, "/grants", "third")
         .await
         .expect("whole");
     assert_eq!(
@@ -265,19 +274,19 @@
 
 /// Guards against a graceful shutdown that aborts requests in flight.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop_waits_for_what_is_in_flight() {
+async fn graceful_shutdown_waits_for_calls() {
     let mut fleet = hosts(2, &[0, 1], document(1)).await;
-    sees(&fleet, 0, 2).await;
-    let door = fleet.hosts[0].calls();
+    wait_for_upstreams(&fleet, 0, 2).await;
+    let ingress = fleet.hosts[0].calls();
     let calls: Vec<_> = (0..12)
         .map(|number| {
             let name = format!("long-{number}");
             let headers = [("x-request", name.as_str()), ("x-work-ms", "1500")];
             let request = Session::request(Method::POST, "/grants", &headers, "");
-            tokio::spawn(async move { Session::new(door).send(request, PATIENCE).await })
+            tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
         })
         .collect();
-    let running = until(PATIENCE, || std::future::ready(fleet.runs().len() == 12)).await;
+    let running = until(TIMEOUT, || std::future::ready(fleet.runs().len() == 12)).await;
     assert!(running);
     fleet.signal_daemon(0, Signal::TERM);
     for call in calls {
@@ -285,15 +294,15 @@
         assert_eq!(answer.header(OUTCOME), "answered");
     }
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
-    let ended = until(PATIENCE, || std::future::ready(daemon.ended().is_some())).await;
+    let ended = until(TIMEOUT, || std::future::ready(daemon.ended().is_some())).await;
     assert!(ended);
 }
 
 /// Guards against forwarding requests to a target after it has sent `/leave` to its sidecar.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaver_gets_nothing_more() {
+async fn leaving_target_gets_no_requests() {
     let fleet = hosts(2, &[0, 1], document(1)).await;
-    sees(&fleet, 1, 2).await;
+    wait_for_upstreams(&fleet, 1, 2).await;
     let leaving = SocketAddr::new(fleet.hosts[0].ip, 7_003);
     // Stops the lease renewals, which would announce the target again.
     fleet.hosts[0]
@@ -328,27 +337,27 @@
 
 /// Guards against damage to large request and response bodies, directly and through two daemons.
 #[tokio::test(flavor = "multi_thread")]
-async fn large_bodies_pass_whole() {
+async fn large_bodies_arrive_complete() {
     let fleet = hosts(2, &[0], document(1)).await;
-    sees(&fleet, 1, 1).await;
+    wait_for_upstreams(&fleet, 1, 1).await;
     let body = "y".repeat(3 << 20);
     let headers = [("x-request", "large"), ("x-size", "3000000")];
-    for door in [0, 1] {
+    for ingress in [0, 1] {
         let request = Session::request(Method::POST, "/grants", &headers, &body);
-        let mut session = Session::new(fleet.hosts[door].calls());
-        let answer = session.send(request, PATIENCE).await.expect("whole");
+        let mut session = Session::new(fleet.hosts[ingress].calls());
+        let answer = session.send(request, TIMEOUT).await.expect("whole");
         let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's response");
         assert_eq!((echo.received, echo.padding.len()), (3 << 20, 3_000_000));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_path_is_not_run() {
+async fn unknown_path_is_rejected() {
     let fleet = hosts(1, &[0], document(1)).await;
     let answer = call(fleet.hosts[0].calls(), Method::GET, "/nowhere", "n")
         .await
         .expect("whole");
-    assert_eq!(told(&answer), ("not-run", "no-route"));
+    assert_eq!(outcome_and_reason(&answer), ("not-run", "no-route"));
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
     let report: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     assert_eq!(report["outcome"], "not-run");
@@ -357,22 +366,25 @@
 /// Guards against an ingress that ignores the load which a sidecar reports with a refusal, and
 /// keeps forwarding requests to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn refusal_tells_load() {
+async fn refusal_reports_load() {
     let mut document = document(1);
     for group in &mut document.groups {
         (group.slots, group.queue) = (Some(Slots(1)), 0);
     }
     let fleet = hosts(2, &[1], document).await;
-    sees(&fleet, 0, 1).await;
-    let (door, operator) = (fleet.hosts[0].calls(), fleet.hosts[0].operator());
+    wait_for_upstreams(&fleet, 0, 1).await;
+    let (ingress, operator) = (fleet.hosts[0].calls(), fleet.hosts[0].operator());
     let long = tokio::spawn(async move {
         let headers = [("x-request", "long"), ("x-work-ms", "1500")];
         let request = Session::request(Method::POST, "/grants", &headers, "");
-        Session::new(door).send(request, PATIENCE).await
+        Session::new(ingress).send(request, TIMEOUT).await
     });
-    assert!(until(PATIENCE, || std::future::ready(!fleet.runs().is_empty())).await);
-    let refused = call(door, Method::POST, "/grants", "refused").await;
-    assert_eq!(told(&refused.expect("whole")), ("not-run", "overloaded"));
+    assert!(until(TIMEOUT, || std::future::ready(!fleet.runs().is_empty())).await);
+    let refused = call(ingress, Method::POST, "/grants", "refused").await;
+    assert_eq!(
+        outcome_and_reason(&refused.expect("whole")),
+        ("not-run", "overloaded")
+    );
     let state: Option<serde_json::Value> = get(operator, "/state").await;
     let state = state.expect("the daemon is there");
     assert_eq!(state["upstreams"][0]["reported"], 1);
@@ -381,7 +393,7 @@
 
 /// Guards against refusing callers for lack of local slots while another data centre has some free.
 #[tokio::test(flavor = "multi_thread")]
-async fn room_far_away() {
+async fn remote_slots_are_used() {
     let mut document = document(1);
     for group in &mut document.groups {
         (group.slots, group.queue) = (Some(Slots(1)), 0);
@@ -391,27 +403,27 @@
     }
     let mut fleet = fleet(&["--pick", "expected", "--far-ms-per-kb", "100000"]).await;
     fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, PATIENCE).await);
+    assert!(fleet.meets(4, TIMEOUT).await);
     let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, PATIENCE).await);
-    sees(&fleet, 0, 4).await;
-    let door = fleet.hosts[0].calls();
+    assert!(fleet.converges(version, TIMEOUT).await);
+    wait_for_upstreams(&fleet, 0, 4).await;
+    let ingress = fleet.hosts[0].calls();
     let mut near = tokio::task::JoinSet::new();
     for busy in 1..=4 {
         near.spawn(async move {
             let headers = [("x-request", "near"), ("x-work-ms", "6000")];
             let request = Session::request(Method::POST, "/grants", &headers, "");
-            Session::new(door).send(request, 2 * PATIENCE).await
+            Session::new(ingress).send(request, 2 * TIMEOUT).await
         });
-        assert!(until(PATIENCE, || std::future::ready(fleet.runs().len() == busy)).await);
+        assert!(until(TIMEOUT, || std::future::ready(fleet.runs().len() == busy)).await);
     }
     let mut far = places(1, 1);
     far[0].data_centre = DataCentre::from("far");
     fleet.add(&far).await;
-    sees(&fleet, 0, 5).await;
-    let answer = call(door, Method::POST, "/grants", "far")
+    wait_for_upstreams(&fleet, 0, 5).await;
+    let answer = call(ingress, Method::POST, "/grants", "far")
         .await
         .expect("whole");
-    assert_eq!(told(&answer), ("answered", ""));
+    assert_eq!(outcome_and_reason(&answer), ("answered", ""));
     near.shutdown().await;
 }
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -14,15 +14,15 @@
 use serde_json::Value;
 
 /// Time within which an accepted version has to be active on all daemons.
-const SECONDS: Duration = Duration::from_secs(9);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(9);
 /// Time within which a restarted or reconnected daemon has to serve again.
-const RETURN: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Guards against a restarted daemon that serves an older version than before: half of the daemons
 /// are killed at once during updates and restarted together, so that the first version which one
 /// receives may be outdated.
 #[tokio::test(flavor = "multi_thread")]
-async fn herd_dies_and_returns() {
+async fn mass_restart_keeps_versions() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(12, 3)).await;
     let watch = Watch::start(&fleet);
@@ -44,12 +44,15 @@
         }
         for index in 0..6 {
             assert!(
-                fleet.serves(index, RETURN).await,
+                fleet.serves(index, RECOVERY_TIMEOUT).await,
                 "host {index} serves again"
             );
         }
         fleet.fail_log(Faults::default()).await;
-        assert!(fleet.converges(version, SECONDS).await, "round {round}");
+        assert!(
+            fleet.converges(version, CONVERGENCE_TIMEOUT).await,
+            "round {round}"
+        );
     }
     let verdict = watch.finish().await;
     assert_eq!(verdict.faults, Vec::<String>::new());
@@ -60,11 +63,11 @@
 /// daemons are frozen while an edit is accepted, and continue with outdated updates in their
 /// sockets.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_daemons_hold_nobody_up() {
+async fn frozen_daemons_delay_nobody() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(9, 3)).await;
     let first = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(first, SECONDS).await);
+    assert!(fleet.converges(first, CONVERGENCE_TIMEOUT).await);
     let watch = Watch::start(&fleet);
     let frozen = [1, 4];
     for index in frozen {
@@ -72,7 +75,7 @@
     }
     let version = fleet.put(0, document(2)).await;
     for index in [0, 2, 3, 5, 6, 7, 8] {
-        let there = until(SECONDS, || async {
+        let there = until(CONVERGENCE_TIMEOUT, || async {
             fleet
                 .version(index)
                 .await
@@ -83,7 +86,7 @@
     for index in frozen {
         fleet.signal_daemon(index, Signal::CONT);
     }
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -91,7 +94,7 @@
 /// it. Daemons that have not read the edit must get it from peers, and a daemon that restarts
 /// meanwhile must not serve an older version.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_vanishes_after_acceptance() {
+async fn accepted_edit_survives_log_outage() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(9, 3)).await;
     let watch = Watch::start(&fleet);
@@ -102,17 +105,17 @@
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     fleet.kill_daemon(2);
     fleet.start_daemon(2);
     assert!(
-        fleet.serves(2, RETURN).await,
+        fleet.serves(2, RECOVERY_TIMEOUT).await,
         "peers tell it which version it needs to become ready"
     );
     assert_eq!(fleet.version(2).await, Some(version));
     fleet.fail_log(Faults::default()).await;
     let version = fleet.put(2, document(2)).await;
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -120,7 +123,7 @@
 /// lost. The publisher must find the edit on the log; publishing it again under the same identifier
 /// must not create a second version.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answer_is_found_again() {
+async fn lost_log_response_is_recovered() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(3, 3)).await;
     fleet
@@ -152,7 +155,7 @@
 async fn own_edit_is_no_conflict() {
     let mut fleet = fleet(&["--readers", "1"]).await;
     fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, RETURN).await);
+    assert!(fleet.meets(4, RECOVERY_TIMEOUT).await);
     fleet
         .fail_log(Faults {
             slow_ms: 50,
@@ -161,7 +164,7 @@
         .await;
     let mut base = fleet.version(0).await.expect("it serves");
     for number in 0..12 {
-        assert!(fleet.converges(base, SECONDS).await);
+        assert!(fleet.converges(base, CONVERGENCE_TIMEOUT).await);
         let id = EditId(format!("edit-{number}"));
         let edit = Proposal {
             id,
@@ -178,7 +181,7 @@
 /// Guards against reporting an edit as failed when the log does not respond: its outcome is unknown,
 /// and the same edit can be published again when the log is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_log_means_unknown() {
+async fn hanging_log_means_unknown() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(3, 3)).await;
     fleet
@@ -216,7 +219,7 @@
 /// Guards against losing the accepted configuration to the log's retention: checkpoints have to
 /// keep it readable for daemons that all start anew.
 #[tokio::test(flavor = "multi_thread")]
-async fn records_expire() {
+async fn checkpoints_survive_retention() {
     let mut fleet = fleet(&["--checkpoint-ms", "300"]).await;
     fleet
         .fail_log(Faults {
@@ -234,10 +237,10 @@
             )
             .await;
     }
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     // More than eight further checkpoints push all edits out of the retention of 6 records.
     let appends = fleet.log_stats().await.appends;
-    let pushed = until(RETURN, || async {
+    let pushed = until(RECOVERY_TIMEOUT, || async {
         fleet.log_stats().await.appends > appends + 8
     });
     assert!(pushed.await, "checkpoints are written");
@@ -248,7 +251,7 @@
         fleet.start_daemon(index);
     }
     for index in 0..4 {
-        assert!(fleet.serves(index, RETURN).await);
+        assert!(fleet.serves(index, RECOVERY_TIMEOUT).await);
         assert_eq!(
             fleet.version(index).await,
             Some(version),
@@ -256,20 +259,23 @@
         );
     }
     let next = fleet.put(3, document(99)).await;
-    assert!(fleet.converges(next, SECONDS).await);
+    assert!(fleet.converges(next, CONVERGENCE_TIMEOUT).await);
 }
 
 /// Guards against an edit that does not reach both sides of a network partition between data
 /// centres while the log is slow, and against separate views after the partition heals.
 #[tokio::test(flavor = "multi_thread")]
-async fn data_centres_part() {
+async fn partition_heals() {
     let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
     fleet.add(&places(6, 2)).await;
-    assert!(fleet.meets(6, RETURN).await);
+    assert!(fleet.meets(6, RECOVERY_TIMEOUT).await);
     let watch = Watch::start(&fleet);
     let net = fleet.net.clone().expect("it has one");
     net.cut("dc-0", "dc-1");
-    assert!(fleet.meets(3, RETURN).await, "each side sees itself alone");
+    assert!(
+        fleet.meets(3, RECOVERY_TIMEOUT).await,
+        "each side sees itself alone"
+    );
     fleet
         .fail_log(Faults {
             slow_ms: 200,
@@ -278,13 +284,13 @@
         .await;
     let version = fleet.put(0, document(1)).await;
     assert!(
-        fleet.converges(version, SECONDS).await,
+        fleet.converges(version, CONVERGENCE_TIMEOUT).await,
         "on both sides of the partition"
     );
     net.heal();
-    assert!(fleet.meets(6, RETURN).await, "one view again");
+    assert!(fleet.meets(6, RECOVERY_TIMEOUT).await, "one view again");
     let version = fleet.put(5, document(2)).await;
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -292,12 +298,14 @@
 /// fails before another daemon takes over: only the digests on the probes from other data centres
 /// announce the version.
 #[tokio::test(flavor = "multi_thread")]
-async fn reader_dies_with_the_log() {
+async fn reader_and_log_fail() {
     let mut fleet = fleet(&["--readers", "1"]).await;
     fleet.add(&places(8, 2)).await;
-    assert!(fleet.meets(8, RETURN).await);
+    assert!(fleet.meets(8, RECOVERY_TIMEOUT).await);
     let watch = Watch::start(&fleet);
-    let settled = until(RETURN, || async { fleet.log_stats().await.waiting == 2 });
+    let settled = until(RECOVERY_TIMEOUT, || async {
+        fleet.log_stats().await.waiting == 2
+    });
     assert!(
         settled.await,
         "one daemon of each data centre reads the log"
@@ -317,6 +325,6 @@
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
--- a/trial/tests/faults.rs
+++ b/trial/tests/faults.rs
@@ -9,7 +9,7 @@
 use jackdaw_trial::rig::deployment::Deployment;
 
 /// Injects one fault and checks that the outcomes reported to callers match what targets ran.
-async fn stays_clean(deployment: Deployment, fault: Fault) {
+async fn check_fault(deployment: Deployment, fault: Fault) {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_jackdaw-trial"));
     let args = Args {
         deployment,
@@ -28,8 +28,8 @@
 /// Guards against outcomes that contradict what targets ran, with hosts killed, shut down gracefully
 /// or overloaded. The faults run one after the other, since each needs the whole machine.
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_leave_the_history_clean() {
-    stays_clean(Deployment::Hooghly, Fault::Kill).await;
-    stays_clean(Deployment::Kalahari, Fault::Leave).await;
-    stays_clean(Deployment::Kalahari, Fault::Surge).await;
+async fn outcomes_match_runs() {
+    check_fault(Deployment::Hooghly, Fault::Kill).await;
+    check_fault(Deployment::Kalahari, Fault::Leave).await;
+    check_fault(Deployment::Kalahari, Fault::Surge).await;
 }
--- a/trial/tests/hostile.rs
+++ b/trial/tests/hostile.rs
@@ -13,31 +13,31 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn start() -> Fleet {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(2, 1)).await;
-    assert!(fleet.meets(2, PATIENCE).await);
+    assert!(fleet.meets(2, TIMEOUT).await);
     // A target is a separate process that may start later than its daemon.
-    assert!(fleet.offers(2, PATIENCE).await);
+    assert!(fleet.offers(2, TIMEOUT).await);
     let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.converges(version, TIMEOUT).await);
     fleet
 }
 
 /// Checks that the daemon still serves a call and still sees its peer.
-async fn is_well(fleet: &Fleet) {
+async fn assert_healthy(fleet: &Fleet) {
     let request = Session::request(Method::GET, "/titles", &[("x-request", "r")], "");
     let answer = Session::new(fleet.hosts[0].calls())
-        .send(request, PATIENCE)
+        .send(request, TIMEOUT)
         .await;
     assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
-    assert!(fleet.meets(2, PATIENCE).await);
+    assert!(fleet.meets(2, TIMEOUT).await);
 }
 
 /// Sends bytes and reads until the daemon closes the connection or 500 ms have passed.
-async fn say(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+async fn exchange(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     stream.write_all(bytes).await.expect("the bytes are sent");
     let mut answer = Vec::new();
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_on_sockets_is_survived() {
+async fn garbage_is_tolerated() {
     let fleet = start().await;
     let host = &fleet.hosts[0];
     let garbage: Vec<u8> = (0..5_000_u32)
@@ -58,9 +58,9 @@
         host.operator(),
         SocketAddr::new(host.ip, 7_003),
     ] {
-        say(address, &garbage).await;
-        say(address, b"GET / HTTP/1.1\r\nbroken header\r\n\r\n").await;
-        say(
+        exchange(address, &garbage).await;
+        exchange(address, b"GET / HTTP/1.1\r\nbroken header\r\n\r\n").await;
+        exchange(
             address,
             b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\x00\x00",
         )
@@ -70,11 +70,11 @@
     for length in [0, 1, 20, 300, 1_400] {
         let _ = socket.send_to(&garbage[..length], host.peer()).await;
     }
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_frames_are_refused_one_by_one() {
+async fn invalid_frames_are_rejected() {
     let fleet = start().await;
     let peer = fleet.hosts[0].peer();
     let stream = TcpStream::connect(peer).await.expect("it listens");
@@ -106,11 +106,11 @@
     let (response, _) = sender.send_request(request, true).expect("it is sent");
     let error = response.await.expect_err("it is refused");
     assert_eq!(error.reason(), Some(h2::Reason::REFUSED_STREAM));
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_name_the_remedy() {
+async fn invalid_requests_are_explained() {
     let fleet = start().await;
     let host = &fleet.hosts[0];
     let target = SocketAddr::new(host.ip, 7_003);
@@ -147,5 +147,5 @@
         assert_eq!(answer.status, status, "{path}");
         assert!(!answer.body.is_empty(), "{path} explains the rejection");
     }
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
--- a/trial/tests/idempotency.rs
+++ b/trial/tests/idempotency.rs
@@ -13,9 +13,9 @@
 use jackdawpulley::calls::outcome::{OUTCOME, REASON};
 use jackdawpulley::configuration::document::{Document, Guard};
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-fn claimed() -> Document {
+fn document_with_claims() -> Document {
     let mut document = document(1);
     for route in document.routes.iter_mut().filter(|route| !route.repeatable) {
         route.guard = Guard::Claim;
@@ -26,12 +26,12 @@
 async fn start(count: usize, document: Document) -> Fleet {
     let mut fleet = fleet(&["--suspicion-ms", "1000"]).await;
     fleet.add(&places(count, 1)).await;
-    assert!(fleet.meets(count, PATIENCE).await);
+    assert!(fleet.meets(count, TIMEOUT).await);
     let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.converges(version, TIMEOUT).await);
     for index in 0..count {
         let operator = fleet.hosts[index].operator();
-        let all = until(PATIENCE, || async move {
+        let all = until(TIMEOUT, || async move {
             let state: Option<serde_json::Value> =
                 jackdaw_trial::rig::fleet::get(operator, "/state").await;
             state.is_some_and(|s| s["upstreams"].as_array().is_some_and(|u| u.len() == count))
@@ -41,55 +41,55 @@
     fleet
 }
 
-async fn book(door: SocketAddr, key: &str, work: &str) -> Answer {
+async fn send_with_key(ingress: SocketAddr, key: &str, work: &str) -> Answer {
     let headers = [
         ("x-request", key),
         ("x-work-ms", work),
         ("idempotency-key", key),
     ];
     let request = Session::request(Method::POST, "/grants", &headers, "");
-    Session::new(door)
-        .send(request, PATIENCE)
+    Session::new(ingress)
+        .send(request, TIMEOUT)
         .await
         .expect("a whole answer")
 }
 
-fn times(fleet: &Fleet, key: &str) -> usize {
+fn run_count(fleet: &Fleet, key: &str) -> usize {
     fleet.runs().iter().filter(|run| run.request == key).count()
 }
 
 /// Guards against a second run, or a different response, when a key is repeated through every host
 /// while the first request runs and after it.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeats_get_the_first_answer() {
-    for document in [document(1), claimed()] {
+async fn repeats_get_the_first_response() {
+    for document in [document(1), document_with_claims()] {
         let fleet = start(4, document).await;
         for number in 0..6 {
             let key = format!("booking-{number}");
-            let doors: Vec<SocketAddr> = fleet
+            let ingresses: Vec<SocketAddr> = fleet
                 .hosts
                 .iter()
                 .map(jackdaw_trial::rig::host::Host::calls)
                 .collect();
-            let early: Vec<_> = doors
+            let early: Vec<_> = ingresses
                 .iter()
-                .map(|door| {
-                    let (door, key) = (*door, key.clone());
-                    tokio::spawn(async move { book(door, &key, "200").await })
+                .map(|ingress| {
+                    let (ingress, key) = (*ingress, key.clone());
+                    tokio::spawn(async move { send_with_key(ingress, &key, "200").await })
                 })
                 .collect();
             let mut answers = Vec::new();
             for answer in early {
                 answers.push(answer.await.expect("it ends"));
             }
-            for door in doors {
-                answers.push(book(door, &key, "0").await);
+            for ingress in ingresses {
+                answers.push(send_with_key(ingress, &key, "0").await);
             }
             for answer in &answers {
                 assert_eq!(answer.header(OUTCOME), "answered", "{answer:?}");
                 assert_eq!(answer.body, answers[0].body);
             }
-            assert_eq!(times(&fleet, &key), 1);
+            assert_eq!(run_count(&fleet, &key), 1);
         }
     }
 }
@@ -97,10 +97,10 @@
 /// Guards against a second run after the key's holder is killed before it responds: the request may
 /// have run, so repeats through other hosts get an unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_holder_leaves_doubt_not_a_second_run() {
-    for document in [document(1), claimed()] {
+async fn killed_holder_means_unknown() {
+    for document in [document(1), document_with_claims()] {
         let mut fleet = start(4, document).await;
-        let door = fleet.hosts[0].calls();
+        let ingress = fleet.hosts[0].calls();
         let first = tokio::spawn(async move {
             let headers = [
                 ("x-request", "k"),
@@ -108,9 +108,9 @@
                 ("idempotency-key", "k"),
             ];
             let request = Session::request(Method::POST, "/grants", &headers, "");
-            Session::new(door).send(request, PATIENCE).await
+            Session::new(ingress).send(request, TIMEOUT).await
         });
-        let running = until(PATIENCE, || std::future::ready(times(&fleet, "k") == 1)).await;
+        let running = until(TIMEOUT, || std::future::ready(run_count(&fleet, "k") == 1)).await;
         assert!(running);
         let target = fleet.runs()[0].target;
         let holder = fleet
@@ -121,21 +121,21 @@
         fleet.kill_daemon(holder);
         let _ = first.await;
         assert!(
-            fleet.meets(3, PATIENCE).await,
+            fleet.meets(3, TIMEOUT).await,
             "the other daemons see it as gone"
         );
         for index in (0..4).filter(|index| *index != holder) {
-            let answer = book(fleet.hosts[index].calls(), "k", "0").await;
+            let answer = send_with_key(fleet.hosts[index].calls(), "k", "0").await;
             assert_eq!(answer.header(OUTCOME), "unknown", "{answer:?}");
         }
         fleet.start_daemon(holder);
-        assert!(fleet.serves(holder, PATIENCE).await && fleet.meets(4, PATIENCE).await);
+        assert!(fleet.serves(holder, TIMEOUT).await && fleet.meets(4, TIMEOUT).await);
         for host in &fleet.hosts {
-            let answer = book(host.calls(), "k", "0").await;
+            let answer = send_with_key(host.calls(), "k", "0").await;
             assert_ne!(answer.header(OUTCOME), "answered", "{answer:?}");
         }
-        assert_eq!(times(&fleet, "k"), 1);
-        let fresh = book(fleet.hosts[0].calls(), "other", "0").await;
+        assert_eq!(run_count(&fleet, "k"), 1);
+        let fresh = send_with_key(fleet.hosts[0].calls(), "other", "0").await;
         assert_ne!(fresh.header(REASON), "log-away");
     }
 }
@@ -143,10 +143,10 @@
 /// Guards against running a request that needs a claim, or refusing it only near its deadline, while
 /// the log is unavailable. When the log is back, the same key runs once.
 #[tokio::test(flavor = "multi_thread")]
-async fn claim_without_the_log_is_not_run() {
-    let fleet = start(2, claimed()).await;
+async fn unavailable_log_prevents_claims() {
+    let fleet = start(2, document_with_claims()).await;
     assert_eq!(
-        book(fleet.hosts[0].calls(), "warm", "0")
+        send_with_key(fleet.hosts[0].calls(), "warm", "0")
             .await
             .header(OUTCOME),
         "answered"
@@ -158,28 +158,31 @@
         })
         .await;
     let began = Instant::now();
-    let answer = book(fleet.hosts[0].calls(), "k", "0").await;
+    let answer = send_with_key(fleet.hosts[0].calls(), "k", "0").await;
     assert_eq!(
         (answer.header(OUTCOME), answer.header(REASON)),
         ("not-run", "log-away")
     );
     assert!(began.elapsed() < Duration::from_secs(1));
-    assert_eq!(times(&fleet, "k"), 0);
+    assert_eq!(run_count(&fleet, "k"), 0);
     fleet.fail_log(Faults::default()).await;
-    let back = until(PATIENCE, || async {
-        book(fleet.hosts[1].calls(), "k", "0").await.header(OUTCOME) == "answered"
+    let back = until(TIMEOUT, || async {
+        send_with_key(fleet.hosts[1].calls(), "k", "0")
+            .await
+            .header(OUTCOME)
+            == "answered"
     });
     assert!(back.await);
-    assert_eq!(times(&fleet, "k"), 1);
+    assert_eq!(run_count(&fleet, "k"), 1);
 }
 
 /// Guards against a second run, and against keys that stay claimed after a "not run" outcome, when
 /// the log appends claims and its responses are lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_claim_answers_are_taken_back() {
-    let fleet = start(2, claimed()).await;
+async fn unconfirmed_claims_are_released() {
+    let fleet = start(2, document_with_claims()).await;
     assert_eq!(
-        book(fleet.hosts[0].calls(), "warm", "0")
+        send_with_key(fleet.hosts[0].calls(), "warm", "0")
             .await
             .header(OUTCOME),
         "answered"
@@ -191,19 +194,20 @@
         })
         .await;
     for number in 0..5 {
-        let answer = book(fleet.hosts[number % 2].calls(), &format!("k{number}"), "0").await;
+        let answer =
+            send_with_key(fleet.hosts[number % 2].calls(), &format!("k{number}"), "0").await;
         assert_eq!(answer.header(OUTCOME), "not-run", "{answer:?}");
     }
     fleet.fail_log(Faults::default()).await;
     for number in 0..5 {
         let key = format!("k{number}");
-        let runs = until(PATIENCE, || async {
-            book(fleet.hosts[number % 2].calls(), &key, "0")
+        let runs = until(TIMEOUT, || async {
+            send_with_key(fleet.hosts[number % 2].calls(), &key, "0")
                 .await
                 .header(OUTCOME)
                 == "answered"
         });
         assert!(runs.await, "{key} can be claimed again");
-        assert_eq!(times(&fleet, &key), 1);
+        assert_eq!(run_count(&fleet, &key), 1);
     }
 }
--- a/trial/tests/load.rs
+++ b/trial/tests/load.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn same_seed_repeats() {
+fn runs_are_deterministic() {
     let args = args(Deployment::Hooghly, 1.6, 1.0, 7);
     let text = |report: &Report| serde_json::to_string(report).expect("plain data is JSON");
     let (one, two) = (run(&args, Policy::Expected), run(&args, Policy::Expected));
@@ -45,7 +45,7 @@
 /// their callers have given up. Mean credit over five seeds: 0.68 and 0.66 with random selection, 0.86
 /// and 0.82 by expected time.
 #[test]
-fn overload_serves_whom_it_can() {
+fn overload_wastes_little_work() {
     for deployment in [Deployment::Kalahari, Deployment::Hooghly] {
         let credit = |policy| mean(deployment, 1.5, 1.0, policy, |report| report.credit);
         let (random, expected) = (credit(Policy::Random), credit(Policy::Expected));
@@ -60,7 +60,7 @@
 /// late then, a quarter of the served lists. Counting the time that a caller has waited already raises
 /// the credit of lists from 0.63 to 0.68.
 #[test]
-fn new_callers_are_in_time() {
+fn retrying_callers_wait_less() {
     let timely = |policy| {
         mean(Deployment::Kalahari, 1.5, 1.0, policy, |report| {
             report.kinds[0].credit
@@ -88,7 +88,7 @@
 /// large. Mean over five seeds: 24,000 KB by two choices and 5,800 KB by expected time, which stays in
 /// the local data centre while that has free slots.
 #[test]
-fn answers_stay_near() {
+fn traffic_stays_local() {
     let far = |policy| {
         mean(Deployment::Hooghly, 1.5, 1.0, policy, |report| {
             report.far_kb
@@ -100,7 +100,7 @@
 
 /// Guards against an overloaded data centre that refuses callers while others have free slots.
 #[test]
-fn crowd_finds_room() {
+fn overload_spills_over() {
     let credit = |policy| {
         let crowded = (1..=SEEDS).map(|seed| Args {
             crowd: 6.0,
--- a/trial/tests/loopback.rs
+++ b/trial/tests/loopback.rs
@@ -8,13 +8,13 @@
 use jackdaw_trial::rig::loopback::free_network;
 
 /// Port of a target of the simulated platform.
-const WORK: u16 = 8_147;
+const TARGET_PORT: u16 = 8_147;
 /// Number of networks to allocate.
-const NETWORKS: usize = 40;
+const NETWORK_COUNT: usize = 40;
 
 /// Guards against handing out an address that a process holds while it is being started.
 #[test]
-fn free_is_free() {
+fn allocated_networks_are_free() {
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
         for _ in 0..4 {
@@ -24,15 +24,15 @@
                 }
             });
         }
-        let taken = (0..NETWORKS).filter(|_| {
+        let taken = (0..NETWORK_COUNT).filter(|_| {
             let network = free_network();
             let mut hosts = 1..=3;
             hosts.any(|host| {
-                TcpListener::bind((Ipv4Addr::new(127, network, 9, host), WORK)).is_err()
+                TcpListener::bind((Ipv4Addr::new(127, network, 9, host), TARGET_PORT)).is_err()
             })
         });
         let taken = taken.count();
         done.store(true, Ordering::Relaxed);
-        assert_eq!(taken, 0, "of {NETWORKS}");
+        assert_eq!(taken, 0, "of {NETWORK_COUNT}");
     });
 }
--- a/trial/tests/operators.rs
+++ b/trial/tests/operators.rs
@@ -11,7 +11,7 @@
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use serde_json::Value;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn write(fleet: &Fleet, name: &str, text: &str) -> String {
     let path: PathBuf = fleet.logs().join(name);
@@ -19,11 +19,11 @@
     path.to_string_lossy().into_owned()
 }
 
-fn json(out: &str) -> Value {
+fn parse_json(out: &str) -> Value {
     serde_json::from_str(out).unwrap_or_default()
 }
 
-async fn program(args: &[&str]) -> Output {
+async fn run_program(args: &[&str]) -> Output {
     let program = Path::new(env!("CARGO_BIN_EXE_jackdaw-trial"));
     let output = tokio::process::Command::new(program)
         .args(args)
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn verdicts_have_statuses() {
+async fn results_have_exit_statuses() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(2, 1)).await;
     let text = serde_json::to_string(&document(1)).expect("a document is JSON");
@@ -52,12 +52,12 @@
         .ctl(0, &["apply", &good, "--base", "0", "--id", "first"])
         .await;
     assert_eq!(status, Some(0), "{out}");
-    let version = json(&out)["version"].clone();
+    let version = parse_json(&out)["version"].clone();
     let (status, out) = fleet
         .ctl(1, &["apply", &good, "--base", "0", "--id", "first"])
         .await;
     assert_eq!(
-        (status, &json(&out)["version"]),
+        (status, &parse_json(&out)["version"]),
         (Some(0), &version),
         "published again: {out}"
     );
@@ -71,14 +71,14 @@
     assert_eq!(fleet.ctl(1, &["apply", &good, "--force"]).await.0, Some(0));
     let (status, out) = fleet.ctl(0, &["diff", &good]).await;
     assert_eq!(
-        (status, json(&out)["changes"].as_array().map(Vec::len)),
+        (status, parse_json(&out)["changes"].as_array().map(Vec::len)),
         (Some(0), Some(0))
     );
     assert_eq!(fleet.ctl(0, &["nonsense"]).await.0, Some(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn starting_draining_and_gone_daemons_answer_plainly() {
+async fn commands_report_daemon_stage() {
     let mut fleet = fleet(&["--log-patience-ms", "60000"]).await;
     fleet.add(&places(1, 1)).await;
     fleet
@@ -90,9 +90,9 @@
     // Without the log or peers, the restarted daemon can't learn which version it needs.
     fleet.kill_daemon(0);
     fleet.start_daemon(0);
-    let starting = until(PATIENCE, || async {
+    let starting = until(TIMEOUT, || async {
         let (status, out) = fleet.ctl(0, &["state"]).await;
-        status == Some(0) && json(&out)["stage"] == "starting"
+        status == Some(0) && parse_json(&out)["stage"] == "starting"
     });
     assert!(starting.await);
     let (status, out) = fleet
@@ -102,25 +102,25 @@
     let address = fleet.hosts[0].operator().to_string();
     let (status, out) = fleet.ctl(0, &["drain", &address]).await;
     assert_eq!(
-        (status, json(&out)["stage"].as_str()),
+        (status, parse_json(&out)["stage"].as_str()),
         (Some(0), Some("draining")),
         "{out}"
     );
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
-    let ended = until(PATIENCE, || std::future::ready(daemon.ended().is_some())).await;
+    let ended = until(TIMEOUT, || std::future::ready(daemon.ended().is_some())).await;
     assert!(ended);
     assert_eq!(daemon.ended().and_then(|status| status.code()), Some(0));
     let (status, out) = fleet.ctl(0, &["show"]).await;
     assert_eq!(status, Some(1));
     assert!(
-        json(&out)["error"]
+        parse_json(&out)["error"]
             .as_str()
             .is_some_and(|text| text.contains("can't be reached"))
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_settings_are_named_and_end_with_two() {
+async fn invalid_settings_are_listed() {
     let right = [
         "daemon",
         "--data-centre",
@@ -137,12 +137,12 @@
         "127.0.0.8:17000",
         "--check-settings",
     ];
-    assert_eq!(program(&right).await.status.code(), Some(0));
+    assert_eq!(run_program(&right).await.status.code(), Some(0));
     let wrong: Vec<&str> = right
         .into_iter()
         .chain(["--readers", "0", "--fanout", "0"])
         .collect();
-    let output = program(&wrong).await;
+    let output = run_program(&wrong).await;
     let told = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(
@@ -156,7 +156,7 @@
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(1, 1)).await;
     let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.converges(version, TIMEOUT).await);
     let call =
         jackdaw_trial::rig::session::once(fleet.hosts[0].calls(), http::Method::GET, "/titles", "");
     assert!(call.await.is_ok());
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -14,14 +14,14 @@
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::{Action, History, Specification};
 
-const OPERATORS: usize = 4;
-const EDITS: usize = 8;
+const OPERATOR_COUNT: usize = 4;
+const EDITS_PER_OPERATOR: usize = 8;
 
 /// Edit of an operator and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Operation {
     /// No result yet, or an unknown one.
-    Asked,
+    Pending,
     Accepted {
         base: u64,
         version: u64,
@@ -45,7 +45,7 @@
 
     fn apply(operation: &Operation, state: &u64) -> (bool, u64) {
         match *operation {
-            Operation::Asked => (false, *state),
+            Operation::Pending => (false, *state),
             Operation::Accepted { base, version } => (base == *state && version > base, version),
             Operation::Conflict { base, current } => (current == *state && base != current, *state),
         }
@@ -56,34 +56,38 @@
 
 /// Runs one operator that repeatedly reads the active version from a daemon and publishes an edit
 /// based on it. Returns the edits with an unknown outcome.
-async fn operate(fleet: &Fleet, me: usize, actions: &Actions) -> Vec<(EditId, u64)> {
+async fn run_operator(
+    fleet: &Fleet,
+    operator_index: usize,
+    actions: &Actions,
+) -> Vec<(EditId, u64)> {
     let mut undecided = Vec::new();
-    let note = |action| {
+    let record = |action| {
         actions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push((me, action));
+            .push((operator_index, action));
     };
-    for round in 0..EDITS {
-        let daemon = (me + round) % fleet.hosts.len();
+    for round in 0..EDITS_PER_OPERATOR {
+        let daemon = (operator_index + round) % fleet.hosts.len();
         let base = fleet.version(daemon).await.unwrap_or_default().0;
-        let id = EditId(format!("operator-{me}-edit-{round}"));
-        let number = u64::try_from(me * 100 + round).expect("small");
+        let id = EditId(format!("operator-{operator_index}-edit-{round}"));
+        let number = u64::try_from(operator_index * 100 + round).expect("small");
         let edit = Proposal {
             id: id.clone(),
             base: Base::Version(Version(base)),
             document: document(number),
         };
-        note(Action::Call(Operation::Asked));
+        record(Action::Call(Operation::Pending));
         let answer = fleet.publish((daemon + 1) % fleet.hosts.len(), &edit).await;
         let (status, answer) = answer.unwrap_or((0, Value::Null));
         let told = |name: &str| answer[name].as_u64().unwrap_or_default();
         match status {
-            200 => note(Action::Response(Operation::Accepted {
+            200 => record(Action::Response(Operation::Accepted {
                 base,
                 version: told("version"),
             })),
-            409 => note(Action::Response(Operation::Conflict {
+            409 => record(Action::Response(Operation::Conflict {
                 base,
                 current: told("current"),
             })),
@@ -98,7 +102,7 @@
 }
 
 /// Looks up the result of an edit whose outcome was unknown.
-async fn settle(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
+async fn look_up(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
     let answer: Option<Value> =
         get(fleet.hosts[0].operator(), &format!("/config/edits/{id}")).await;
     let answer = answer.unwrap_or_default();
@@ -106,7 +110,7 @@
     match (told("version"), told("current")) {
         (Some(version), _) => Operation::Accepted { base, version },
         (None, Some(current)) => Operation::Conflict { base, current },
-        (None, None) => Operation::Asked,
+        (None, None) => Operation::Pending,
     }
 }
 
@@ -114,17 +118,17 @@
 /// daemons while the log loses responses, is slow and is unavailable. All results have to be
 /// linearizable as operations on a compare-and-set register.
 #[tokio::test(flavor = "multi_thread")]
-async fn history_is_a_register() {
+async fn history_is_linearizable() {
     let mut fleet = fleet(&[]).await;
     fleet.add(&places(4, 2)).await;
     let fleet = Arc::new(fleet);
     let actions: Actions = Arc::default();
     let mut operators = Vec::new();
-    for me in 0..OPERATORS {
+    for operator_index in 0..OPERATOR_COUNT {
         let (fleet, actions) = (Arc::clone(&fleet), Arc::clone(&actions));
-        operators.push(tokio::spawn(
-            async move { operate(&fleet, me, &actions).await },
-        ));
+        operators.push(tokio::spawn(async move {
+            run_operator(&fleet, operator_index, &actions).await
+        }));
     }
     let modes = [
         Mode::LoseAnswers,
@@ -144,17 +148,23 @@
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
     let mut undecided = Vec::new();
-    for (me, operator) in operators.into_iter().enumerate() {
+    for (operator_index, operator) in operators.into_iter().enumerate() {
         let left = operator.await.expect("an operator ends");
-        undecided.extend(left.into_iter().map(|(id, base)| (me, id, base)));
+        undecided.extend(
+            left.into_iter()
+                .map(|(id, base)| (operator_index, id, base)),
+        );
     }
     let last = fleet.put(0, document(9_999)).await;
     let mut actions = actions
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
-    for (me, id, base) in undecided {
-        actions.push((me, Action::Response(settle(&fleet, &id, base).await)));
+    for (operator_index, id, base) in undecided {
+        actions.push((
+            operator_index,
+            Action::Response(look_up(&fleet, &id, base).await),
+        ));
     }
     let accepted = actions.iter().filter_map(|(_, action)| match action {
         Action::Response(Operation::Accepted { version, .. }) => Some(*version),
--- a/trial/tests/thin_path.rs
+++ b/trial/tests/thin_path.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn request_is_served_through_a_change_and_a_stop() {
+async fn calls_survive_change_and_shutdown() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_jackdaw-trial"));
     let report = jackdaw_trial::path::run(program).await;
     assert!(report.passed, "{report:?}");
