--- a/trial/src/calls/caller.rs
+++ b/trial/src/calls/caller.rs
@@ -162,7 +162,7 @@
             let request = Session::request(method, self.kind.path, &headers, "{}");
             match session.send(request, PATIENCE).await {
                 Ok(answer) => {
-                    if answer.closes() {
+                    if answer.closes_connection() {
                         self.next_door(session);
                     }
                     return (judge(&answer, name), answer.header(REASON).to_owned());
@@ -183,7 +183,7 @@
 
     fn next_door(&mut self, session: &mut Session) {
         self.door = (self.door + 1) % self.doors.len();
-        session.move_to(self.doors[self.door]);
+        session.reconnect_to(self.doors[self.door]);
     }
 }
 
--- a/trial/src/calls/inject.rs
+++ b/trial/src/calls/inject.rs
@@ -10,7 +10,7 @@
 
 use crate::calls::history::Leaving;
 use crate::calls::options::{Args, Fault};
-use crate::rig::fleet::{Fleet, until};
+use crate::rig::fleet::{Fleet, wait_until};
 use crate::stand_in::log::{Faults, Mode};
 
 /// Time for a process to stop, or to come back.
@@ -39,7 +39,7 @@
         Fault::Freeze => freeze(fleet, Signal::STOP),
         Fault::LogOutage => {
             fleet
-                .fail_log(Faults {
+                .set_log_faults(Faults {
                     mode: Mode::Refuse,
                     ..Faults::default()
                 })
@@ -50,7 +50,7 @@
     tokio::time::sleep((length / 2).saturating_sub(began.elapsed())).await;
     if args.fault == Fault::LogOutage {
         tokio::time::sleep(length / 10).await;
-        fleet.fail_log(Faults::default()).await;
+        fleet.set_log_faults(Faults::default()).await;
     }
     change(fleet, args).await;
     tokio::time::sleep((length * 3 / 4).saturating_sub(began.elapsed())).await;
@@ -71,7 +71,7 @@
 /// Kills a whole host of the first service and only the target of a host of the second.
 fn kill(fleet: &mut Fleet, killed: &Mutex<Vec<SocketAddr>>) {
     let (host, target) = victims(fleet);
-    let door = fleet.hosts[host].calls();
+    let door = fleet.hosts[host].call_address();
     killed
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
@@ -105,7 +105,7 @@
         if Instant::now() >= end {
             break;
         }
-        let target = fleet.hosts[index].work();
+        let target = fleet.hosts[index].target_address();
         let asked_ms = clock::unix_ms();
         stop(fleet.hosts[index].target.take()).await;
         stop(fleet.hosts[index].daemon.take()).await;
@@ -118,7 +118,7 @@
         fleet.start_daemon(index);
         fleet.start_target(index);
         assert!(
-            fleet.serves(index, PATIENCE).await,
+            fleet.wait_for_ready(index, PATIENCE).await,
             "host {index} comes back"
         );
     }
@@ -130,7 +130,10 @@
         return;
     };
     process.signal(Signal::TERM);
-    let ended = until(PATIENCE, || std::future::ready(process.ended().is_some())).await;
+    let ended = wait_until(PATIENCE, || {
+        std::future::ready(process.exit_status().is_some())
+    })
+    .await;
     assert!(ended, "a planned stop ends");
 }
 
@@ -138,5 +141,5 @@
 async fn change(fleet: &Fleet, args: &Args) {
     let mut document = args.deployment.document();
     document.routes[0].timeout_ms = Millis(2_100);
-    fleet.put(0, document).await;
+    fleet.publish_document(0, document).await;
 }
--- a/trial/src/calls/mod.rs
+++ b/trial/src/calls/mod.rs
@@ -92,16 +92,18 @@
         options.extend(["--pick", "random", "--limits", "off", "--retries", "fixed"]);
     }
     let mut fleet = Fleet::start(program, &options).await.with_slots(SLOTS);
-    fleet.add(&args.deployment.places()).await;
+    fleet.add_hosts(&args.deployment.places()).await;
     assert!(
         fleet
-            .meets(fleet.hosts.len(), Duration::from_secs(30))
+            .wait_for_members(fleet.hosts.len(), Duration::from_secs(30))
             .await,
         "all know each other"
     );
-    let version = fleet.put(0, args.deployment.document()).await;
+    let version = fleet.publish_document(0, args.deployment.document()).await;
     assert!(
-        fleet.converges(version, Duration::from_secs(9)).await,
+        fleet
+            .wait_for_version(version, Duration::from_secs(9))
+            .await,
         "the document is in force"
     );
 
@@ -110,7 +112,8 @@
     let kinds = kinds(args);
     let length = Duration::from_secs(args.seconds);
     let record = Arc::new(Record::new(&kinds, Instant::now() + length));
-    let doors: Arc<Vec<SocketAddr>> = Arc::new(fleet.hosts.iter().map(Host::calls).collect());
+    let doors: Arc<Vec<SocketAddr>> =
+        Arc::new(fleet.hosts.iter().map(Host::call_address).collect());
     let killed = Arc::new(Mutex::new(Vec::new()));
     let mut callers = Vec::new();
     for (kind_index, kind) in kinds.iter().enumerate() {
--- a/trial/src/measure/converge.rs
+++ b/trial/src/measure/converge.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::rig::deployment::{Place, sized};
-use crate::rig::fleet::{Fleet, get};
+use crate::rig::fleet::{Fleet, get_json};
 use crate::rig::process::Usage;
 
 /// Ways of delivery that are compared, the baseline first.
@@ -107,15 +107,15 @@
             service: None,
         })
         .collect();
-    fleet.add(&places).await;
+    fleet.add_hosts(&places).await;
     assert!(
-        fleet.meets(args.daemons, PATIENCE * 2).await,
+        fleet.wait_for_members(args.daemons, PATIENCE * 2).await,
         "all daemons know each other"
     );
     let mut document = sized(args.services);
     let document_bytes = serde_json::to_vec(&document).map_or(0, |text| text.len());
-    let version = fleet.put(0, document.clone()).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    let version = fleet.publish_document(0, document.clone()).await;
+    assert!(fleet.wait_for_version(version, PATIENCE).await);
     // Reads that were begun before the daemons knew each other end meanwhile.
     tokio::time::sleep(IDLE).await;
 
@@ -169,15 +169,15 @@
 
 /// Publishes a change; the time from acceptance until the last daemon runs it, in milliseconds.
 async fn converge(fleet: &Fleet, index: usize, document: &Document) -> f64 {
-    let version = fleet.put(index, document.clone()).await;
+    let version = fleet.publish_document(index, document.clone()).await;
     let accepted_us = fleet.log_stats().await.appended_us;
     assert!(
-        fleet.converges(version, PATIENCE).await,
+        fleet.wait_for_version(version, PATIENCE).await,
         "version {version} converges"
     );
     let mut last_us = accepted_us;
     for host in &fleet.hosts {
-        let health: Health = get(host.operator(), "/health/ready")
+        let health: Health = get_json(host.operator_address(), "/health/ready")
             .await
             .expect("it answers");
         assert_eq!(health.version, version);
@@ -194,7 +194,7 @@
         rss_max_kib: 0,
     };
     for host in &fleet.hosts {
-        let health: Health = get(host.operator(), "/health/ready")
+        let health: Health = get_json(host.operator_address(), "/health/ready")
             .await
             .expect("it answers");
         let control = health.control;
@@ -202,7 +202,7 @@
         let usage = host
             .daemon
             .as_ref()
-            .map(|daemon| Usage::of(daemon.id()))
+            .map(|daemon| Usage::of_process(daemon.id()))
             .unwrap_or_default();
         reading.cpu_s += usage.cpu_s;
         reading.rss_max_kib = reading.rss_max_kib.max(usage.rss_kib);
--- a/trial/src/measure/overhead.rs
+++ b/trial/src/measure/overhead.rs
@@ -14,7 +14,7 @@
 
 use crate::measure::converge::as_f64;
 use crate::rig::deployment::{Deployment, Place};
-use crate::rig::fleet::{Fleet, until};
+use crate::rig::fleet::{Fleet, wait_until};
 use crate::rig::process::Usage;
 use crate::rig::session::{self, Session};
 
@@ -86,26 +86,31 @@
         data_centre: DataCentre::from("eros"),
         service: service.map(Service::from),
     };
-    fleet.add(&[place(Some("shelf")), place(None)]).await;
-    assert!(fleet.meets(2, PATIENCE * 4).await, "both know each other");
-    let version = fleet.put(0, Deployment::Kalahari.document()).await;
+    fleet.add_hosts(&[place(Some("shelf")), place(None)]).await;
     assert!(
-        fleet.converges(version, PATIENCE).await,
+        fleet.wait_for_members(2, PATIENCE * 4).await,
+        "both know each other"
+    );
+    let version = fleet
+        .publish_document(0, Deployment::Kalahari.document())
+        .await;
+    assert!(
+        fleet.wait_for_version(version, PATIENCE).await,
         "the document is in force"
     );
     let ways = [
-        fleet.hosts[0].work(),
-        fleet.hosts[0].calls(),
-        fleet.hosts[1].calls(),
+        fleet.hosts[0].target_address(),
+        fleet.hosts[0].call_address(),
+        fleet.hosts[1].call_address(),
     ];
     // The target announces itself when it is up; until then there is nobody to call.
     for way in ways {
         let answers = || async move {
             let read = Deployment::Kalahari.paths().read;
-            let answer = session::once(way, Method::GET, read, "").await;
+            let answer = session::send_once(way, Method::GET, read, "").await;
             answer.is_ok_and(|answer| answer.status.is_success())
         };
-        assert!(until(PATIENCE * 4, answers).await, "{way} answers");
+        assert!(wait_until(PATIENCE * 4, answers).await, "{way} answers");
     }
     let times = latencies(args, ways).await;
     let [direct, one, two] = &times;
@@ -188,7 +193,7 @@
             fleet.hosts[i]
                 .daemon
                 .as_ref()
-                .map_or(0.0, |d| Usage::of(d.id()).cpu_s)
+                .map_or(0.0, |d| Usage::of_process(d.id()).cpu_s)
         })
     };
     let (stop, count) = (
--- a/trial/src/measure/scale.rs
+++ b/trial/src/measure/scale.rs
@@ -67,12 +67,14 @@
 pub fn run(args: &Args) -> Report {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Instant::now();
-    let before = Usage::of(std::process::id()).rss_kib;
+    let before = Usage::of_process(std::process::id()).rss_kib;
     let mut view = View::new(member(0), Timing::default());
     for index in 1..args.members {
         view.merge(now, &member(index));
     }
-    let view_kib = Usage::of(std::process::id()).rss_kib.saturating_sub(before);
+    let view_kib = Usage::of_process(std::process::id())
+        .rss_kib
+        .saturating_sub(before);
     let mut other = View::new(member(1), Timing::default());
     let (mut ticks, mut receipts) = (Duration::ZERO, Duration::ZERO);
     let mut datagram_bytes = 0;
--- a/trial/src/path.rs
+++ b/trial/src/path.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 
 use crate::rig::deployment::Deployment;
-use crate::rig::fleet::{Fleet, until};
+use crate::rig::fleet::{Fleet, wait_until};
 use crate::rig::session::{Failure, Session};
 use crate::stand_in::target::Echo;
 
@@ -56,16 +56,20 @@
     let deployment = Deployment::Hooghly;
     let mut fleet = Fleet::start(program, &[]).await;
     let places = deployment.places();
-    fleet.add(&places[..4]).await;
-    fleet.add(&places[9..]).await;
+    fleet.add_hosts(&places[..4]).await;
+    fleet.add_hosts(&places[9..]).await;
     let daemons = fleet.hosts.len();
     assert!(
-        fleet.meets(daemons, Duration::from_secs(20)).await,
+        fleet
+            .wait_for_members(daemons, Duration::from_secs(20))
+            .await,
         "all daemons know each other"
     );
     // A target is a process of its own and may be up later than its daemon.
     assert!(
-        fleet.offers(daemons, Duration::from_secs(20)).await,
+        fleet
+            .wait_for_upstreams(daemons, Duration::from_secs(20))
+            .await,
         "all daemons know every target"
     );
     let start_ms = began.elapsed().as_millis();
@@ -92,14 +96,14 @@
     let text = serde_json::to_vec(&deployment.document()).expect("a document is JSON");
     std::fs::write(&file, text).expect("the temporary folder can be written");
     let began = Instant::now();
-    let (status, out) = fleet.ctl(0, &["apply", &file.to_string_lossy()]).await;
+    let (status, out) = fleet.run_ctl(0, &["apply", &file.to_string_lossy()]).await;
     assert_eq!(status, Some(0), "apply: {out}");
     let answer: Value = serde_json::from_str(&out).expect("ctl prints JSON");
     let version = answer["version"]
         .as_u64()
         .expect("an accepted edit has a version");
     let (status, out) = fleet
-        .ctl(1, &["status", "--watch", &version.to_string()])
+        .run_ctl(1, &["status", "--watch", &version.to_string()])
         .await;
     assert_eq!(status, Some(0), "status: {out}");
     (Version(version), began.elapsed().as_millis())
@@ -109,7 +113,7 @@
 async fn call_elsewhere(fleet: &Fleet, deployment: Deployment) {
     let paths = deployment.paths();
     let headers = [("x-request", "first"), ("x-size", "20000")];
-    let mut session = Session::new(fleet.hosts[0].calls());
+    let mut session = Session::new(fleet.hosts[0].call_address());
     let call = Session::request(Method::GET, paths.feed, &headers, "");
     let answer = session
         .send(call, Duration::from_secs(5))
@@ -125,8 +129,8 @@
 }
 
 async fn dump(fleet: &Fleet, version: Version) {
-    let address = fleet.hosts[2].operator().to_string();
-    let (status, out) = fleet.ctl(0, &["state", &address]).await;
+    let address = fleet.hosts[2].operator_address().to_string();
+    let (status, out) = fleet.run_ctl(0, &["state", &address]).await;
     assert_eq!(status, Some(0), "state: {out}");
     let state: Value = serde_json::from_str(&out).expect("ctl prints JSON");
     assert_eq!(state["version"].as_u64(), Some(version.0));
@@ -138,9 +142,9 @@
     let stop = Arc::new(AtomicBool::new(false));
     let mut sessions = Vec::new();
     for (index, host) in fleet.hosts.iter().enumerate() {
-        let other = fleet.hosts[(index + 1) % fleet.hosts.len()].calls();
+        let other = fleet.hosts[(index + 1) % fleet.hosts.len()].call_address();
         let stop = Arc::clone(&stop);
-        let session = Session::new(host.calls());
+        let session = Session::new(host.call_address());
         sessions.push(tokio::spawn(async move {
             load(session, other, deployment, index, &stop).await
         }));
@@ -148,9 +152,11 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let mut document = deployment.document();
     document.routes[0].timeout_ms.0 = 1_500;
-    let version = fleet.put(1, document).await;
+    let version = fleet.publish_document(1, document).await;
     assert!(
-        fleet.converges(version, Duration::from_secs(9)).await,
+        fleet
+            .wait_for_version(version, Duration::from_secs(9))
+            .await,
         "in force everywhere"
     );
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -158,13 +164,13 @@
     let stopping = fleet.hosts[3].daemon.as_ref().expect("it runs");
     stopping.signal(Signal::TERM);
     let mut daemon = fleet.hosts[3].daemon.take().expect("it runs");
-    let ended = until(Duration::from_secs(20), || {
-        std::future::ready(daemon.ended().is_some())
+    let ended = wait_until(Duration::from_secs(20), || {
+        std::future::ready(daemon.exit_status().is_some())
     })
     .await;
     assert!(ended, "a planned stop ends");
     assert_eq!(
-        daemon.ended().and_then(|status| status.code()),
+        daemon.exit_status().and_then(|status| status.code()),
         Some(0),
         "with status 0"
     );
@@ -209,15 +215,15 @@
                     eprintln!("{name}: {} {:?}", answer.status, answer.body);
                     tally.failed += 1;
                 }
-                if answer.closes() {
-                    session.move_to(other);
+                if answer.closes_connection() {
+                    session.reconnect_to(other);
                 }
             }
-            Err(Failure::Refused) => session.move_to(other),
+            Err(Failure::Refused) => session.reconnect_to(other),
             Err(failure) => {
                 eprintln!("{name}: {failure:?}");
                 tally.cut += 1;
-                session.move_to(other);
+                session.reconnect_to(other);
             }
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
--- a/trial/src/rig/fleet.rs
+++ b/trial/src/rig/fleet.rs
@@ -14,15 +14,17 @@
 use serde_json::Value;
 
 use crate::rig::deployment::Place;
-use crate::rig::host::{CALL, Host, LOG, OPERATOR, PEER, Process, TARGET, WORK};
-use crate::rig::loopback::free_network;
-use crate::rig::net::Net;
+use crate::rig::host::{
+    ANNOUNCE_PORT, CALL_PORT, Host, LOG_PORT, OPERATOR_PORT, PEER_PORT, Process, TARGET_PORT,
+};
+use crate::rig::loopback::allocate_network;
+use crate::rig::network::Network;
 use crate::rig::session::{self, Answer};
 use crate::stand_in::log::{Faults, Stats};
 use crate::stand_in::target::Run;
 
 /// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Everything that a trial runs.
 #[derive(Debug)]
@@ -34,7 +36,7 @@
     /// Slots of each target.
     slots: String,
     /// The network between the hosts, when trials want to cut it.
-    pub net: Option<Arc<Net>>,
+    pub net: Option<Arc<Network>>,
     /// The platform log.
     pub log: Option<Process>,
     /// The hosts.
@@ -48,7 +50,7 @@
     ///
     /// When no part of the loopback network is free or the log does not come up.
     pub async fn start(program: PathBuf, options: &[&str]) -> Self {
-        let network = free_network();
+        let network = allocate_network();
         let logs =
             std::env::temp_dir().join(format!("jackdaw-trial-{}-{network}", std::process::id()));
         std::fs::create_dir_all(&logs).expect("the temporary folder can be written");
@@ -65,9 +67,13 @@
         };
         fleet.start_log();
         let log = fleet.log_address();
-        let up = || async move { session::once(log, Method::GET, "/stats", "").await.is_ok() };
+        let up = || async move {
+            session::send_once(log, Method::GET, "/stats", "")
+                .await
+                .is_ok()
+        };
         assert!(
-            until(Duration::from_secs(10), up).await,
+            wait_until(Duration::from_secs(10), up).await,
             "the log did not come up"
         );
         fleet
@@ -83,7 +89,7 @@
     /// Puts a network that can be cut between the hosts that are added from now on.
     #[must_use]
     pub fn with_net(mut self) -> Self {
-        self.net = Some(Arc::new(Net::default()));
+        self.net = Some(Arc::new(Network::default()));
         self
     }
 
@@ -92,7 +98,7 @@
     /// # Panics
     ///
     /// When they do not within a minute.
-    pub async fn add(&mut self, places: &[Place]) {
+    pub async fn add_hosts(&mut self, places: &[Place]) {
         let first = self.hosts.len();
         for place in places {
             let index = self.hosts.len();
@@ -102,7 +108,10 @@
             let inner = match &self.net {
                 Some(net) => {
                     let inner = IpAddr::V4(Ipv4Addr::new(127, self.network, 100 + rack, host));
-                    let (outer, inner) = (SocketAddr::new(ip, PEER), SocketAddr::new(inner, PEER));
+                    let (outer, inner) = (
+                        SocketAddr::new(ip, PEER_PORT),
+                        SocketAddr::new(inner, PEER_PORT),
+                    );
                     net.attach(outer, inner, place.data_centre.clone()).await;
                     inner.ip()
                 }
@@ -120,7 +129,7 @@
         }
         for index in first..self.hosts.len() {
             assert!(
-                self.serves(index, Duration::from_mins(1)).await,
+                self.wait_for_ready(index, Duration::from_mins(1)).await,
                 "host {index} is not ready"
             );
         }
@@ -138,12 +147,12 @@
         let centre = host.place.data_centre.to_string();
         let address = |port| SocketAddr::new(host.ip, port).to_string();
         let log = self.log_address().to_string();
-        let advertise = address(PEER);
+        let advertise = address(PEER_PORT);
         let (peer, call, target, operator) = (
-            SocketAddr::new(host.inner, PEER).to_string(),
-            address(CALL),
-            address(TARGET),
-            address(OPERATOR),
+            SocketAddr::new(host.inner, PEER_PORT).to_string(),
+            address(CALL_PORT),
+            address(ANNOUNCE_PORT),
+            address(OPERATOR_PORT),
         );
         let mut args = vec![
             "daemon",
@@ -174,7 +183,7 @@
             return;
         };
         let address = |port| SocketAddr::new(host.ip, port).to_string();
-        let (listen, daemon) = (address(WORK), address(TARGET));
+        let (listen, daemon) = (address(TARGET_PORT), address(ANNOUNCE_PORT));
         let runs = self.runs_file(index).to_string_lossy().into_owned();
         let args = [
             "target",
@@ -196,7 +205,7 @@
     /// Address of the platform log.
     #[must_use]
     pub const fn log_address(&self) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.network, 0, 1)), LOG)
+        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.network, 0, 1)), LOG_PORT)
     }
 
     /// Sets the switches of the log.
@@ -204,9 +213,9 @@
     /// # Panics
     ///
     /// When the log does not take them.
-    pub async fn fail_log(&self, faults: Faults) {
+    pub async fn set_log_faults(&self, faults: Faults) {
         let body = serde_json::to_string(&faults).expect("plain data is JSON");
-        let answer = session::once(self.log_address(), Method::POST, "/faults", &body).await;
+        let answer = session::send_once(self.log_address(), Method::POST, "/faults", &body).await;
         assert!(
             answer.is_ok_and(|answer| answer.status.is_success()),
             "the log takes faults"
@@ -215,14 +224,16 @@
 
     /// What the log has done.
     pub async fn log_stats(&self) -> Stats {
-        get(self.log_address(), "/stats").await.unwrap_or_default()
+        get_json(self.log_address(), "/stats")
+            .await
+            .unwrap_or_default()
     }
 
     /// Whether a daemon serves before `patience` ends.
-    pub async fn serves(&self, index: usize, patience: Duration) -> bool {
-        let operator = self.hosts[index].operator();
-        until(patience, || async move {
-            let answer = session::once(operator, Method::GET, "/health/ready", "").await;
+    pub async fn wait_for_ready(&self, index: usize, patience: Duration) -> bool {
+        let operator = self.hosts[index].operator_address();
+        wait_until(patience, || async move {
+            let answer = session::send_once(operator, Method::GET, "/health/ready", "").await;
             answer.is_ok_and(|answer| answer.status.is_success())
         })
         .await
@@ -230,24 +241,24 @@
 
     /// Version in force on a daemon.
     pub async fn version(&self, index: usize) -> Option<Version> {
-        let state: Value = get(self.hosts[index].operator(), "/health/ready").await?;
+        let state: Value = get_json(self.hosts[index].operator_address(), "/health/ready").await?;
         state["version"].as_u64().map(Version)
     }
 
     /// Hosts whose daemon runs.
     #[must_use]
-    pub fn running(&self) -> Vec<usize> {
+    pub fn running_hosts(&self) -> Vec<usize> {
         (0..self.hosts.len())
             .filter(|&index| self.hosts[index].daemon.is_some())
             .collect()
     }
 
     /// Whether all running daemons have `version` or a later one before `patience` ends.
-    pub async fn converges(&self, version: Version, patience: Duration) -> bool {
+    pub async fn wait_for_version(&self, version: Version, patience: Duration) -> bool {
         let deadline = Instant::now() + patience;
-        for index in self.running() {
+        for index in self.running_hosts() {
             let left = deadline.saturating_duration_since(Instant::now());
-            let there = until(left, || async move {
+            let there = wait_until(left, || async move {
                 self.version(index)
                     .await
                     .is_some_and(|have| have >= version)
@@ -260,13 +271,13 @@
     }
 
     /// Whether all running daemons see `count` members before `patience` ends.
-    pub async fn meets(&self, count: usize, patience: Duration) -> bool {
+    pub async fn wait_for_members(&self, count: usize, patience: Duration) -> bool {
         let deadline = Instant::now() + patience;
-        for index in self.running() {
-            let operator = self.hosts[index].operator();
+        for index in self.running_hosts() {
+            let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
-            let met = until(left, || async move {
-                let members: Option<Vec<Value>> = get(operator, "/members").await;
+            let met = wait_until(left, || async move {
+                let members: Option<Vec<Value>> = get_json(operator, "/members").await;
                 members.is_some_and(|members| members.len() == count)
             });
             if !met.await {
@@ -277,13 +288,13 @@
     }
 
     /// Waits until every daemon that runs knows `count` upstreams.
-    pub async fn offers(&self, count: usize, patience: Duration) -> bool {
+    pub async fn wait_for_upstreams(&self, count: usize, patience: Duration) -> bool {
         let deadline = Instant::now() + patience;
-        for index in self.running() {
-            let operator = self.hosts[index].operator();
+        for index in self.running_hosts() {
+            let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
-            let known = until(left, || async move {
-                let state: Option<Value> = get(operator, "/state").await;
+            let known = wait_until(left, || async move {
+                let state: Option<Value> = get_json(operator, "/state").await;
                 let all = state.and_then(|state| Some(state["upstreams"].as_array()?.len()));
                 all == Some(count)
             });
@@ -353,13 +364,15 @@
 }
 
 /// Fetches JSON.
-pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
-    let answer: Answer = session::once(address, Method::GET, path, "").await.ok()?;
+pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
+    let answer: Answer = session::send_once(address, Method::GET, path, "")
+        .await
+        .ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
 /// Waits until `condition` holds; `false` when it does not before `patience` ends.
-pub async fn until<F, C>(patience: Duration, mut condition: C) -> bool
+pub async fn wait_until<F, C>(patience: Duration, mut condition: C) -> bool
 where
     F: Future<Output = bool>,
     C: FnMut() -> F,
@@ -372,7 +385,7 @@
         if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/trial/src/rig/host.rs
+++ b/trial/src/rig/host.rs
@@ -7,12 +7,12 @@
 
 use crate::rig::deployment::Place;
 
-pub(crate) const PEER: u16 = 7001;
-pub(crate) const CALL: u16 = 7002;
-pub(crate) const TARGET: u16 = 7003;
-pub(crate) const OPERATOR: u16 = 7004;
-pub(crate) const WORK: u16 = 7005;
-pub(crate) const LOG: u16 = 7000;
+pub(crate) const PEER_PORT: u16 = 7001;
+pub(crate) const CALL_PORT: u16 = 7002;
+pub(crate) const ANNOUNCE_PORT: u16 = 7003;
+pub(crate) const OPERATOR_PORT: u16 = 7004;
+pub(crate) const TARGET_PORT: u16 = 7005;
+pub(crate) const LOG_PORT: u16 = 7000;
 
 /// A process of a trial; killed when dropped.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     }
 
     /// Its exit status, once it has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
@@ -78,25 +78,25 @@
 impl Host {
     /// Address for other daemons.
     #[must_use]
-    pub const fn peer(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, PEER)
+    pub const fn peer_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, PEER_PORT)
     }
 
     /// Address for callers.
     #[must_use]
-    pub const fn calls(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, CALL)
+    pub const fn call_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, CALL_PORT)
     }
 
     /// Address for operators.
     #[must_use]
-    pub const fn operator(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, OPERATOR)
+    pub const fn operator_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, OPERATOR_PORT)
     }
 
     /// Address where the target takes calls.
     #[must_use]
-    pub const fn work(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, WORK)
+    pub const fn target_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, TARGET_PORT)
     }
 }
--- a/trial/src/rig/loopback.rs
+++ b/trial/src/rig/loopback.rs
@@ -4,17 +4,17 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use crate::rig::host::{LOG, PEER, TARGET, WORK};
+use crate::rig::host::{ANNOUNCE_PORT, LOG_PORT, PEER_PORT, TARGET_PORT};
 
 /// Ports of a small platform's machines, where another test run may play one at the same time.
-const PLATFORM: [u16; 3] = [7_660, 8_140, 8_147];
+const PLATFORM_PORTS: [u16; 3] = [7_660, 8_140, 8_147];
 
 /// Host and port that a process listens on while a part of the network is its own.
-const CLAIM: (u8, u16) = (254, 7_599);
+const LOCK_ADDRESS: (u8, u16) = (254, 7_599);
 
-static NETWORKS: AtomicU32 = AtomicU32::new(0);
+static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
 /// Claims of this process, kept to its end: what it has started there may listen for as long.
-static CLAIMS: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
+static LOCKS: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
 
 /// A part of the loopback network that no other trial uses.
 ///
@@ -22,22 +22,28 @@
 ///
 /// When none is free.
 #[must_use]
-pub fn free_network() -> u8 {
+pub fn allocate_network() -> u8 {
     for _ in 0..200 {
-        let count = NETWORKS.fetch_add(1, Ordering::Relaxed);
+        let count = NEXT_NETWORK.fetch_add(1, Ordering::Relaxed);
         let candidate = std::process::id().wrapping_mul(7).wrapping_add(count) % 200 + 20;
         let network = u8::try_from(candidate).expect("below 220");
         // Guards against another run that looks at the same moment, or whose store still listens: its
         // daemons and this run's would speak to each other's. One listener decides.
-        let (host, port) = CLAIM;
+        let (host, port) = LOCK_ADDRESS;
         let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, network, 0, host), port)) else {
             continue;
         };
         // Guards against daemons that a killed run has left behind: they would answer in the place
         // of this run's own, which could not listen. A listener of our own could not tell: a process that is
         // started at this moment holds it for longer than we do.
-        let own = [(0, LOG), (1, PEER), (1, TARGET), (1, WORK), (9, LOG)];
-        let mut ports = own.into_iter().chain(PLATFORM.map(|port| (9, port)));
+        let own = [
+            (0, LOG_PORT),
+            (1, PEER_PORT),
+            (1, ANNOUNCE_PORT),
+            (1, TARGET_PORT),
+            (9, LOG_PORT),
+        ];
+        let mut ports = own.into_iter().chain(PLATFORM_PORTS.map(|port| (9, port)));
         let free = ports.all(|(rack, port)| {
             (1..=3).all(|host| {
                 let ip = IpAddr::V4(Ipv4Addr::new(127, network, rack, host));
@@ -45,7 +51,7 @@
             })
         });
         if free {
-            let mut claims = CLAIMS.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut claims = LOCKS.lock().unwrap_or_else(PoisonError::into_inner);
             claims.push(claim);
             return network;
         }
--- a/trial/src/rig/watch.rs
+++ b/trial/src/rig/monitor.rs
@@ -12,16 +12,16 @@
 use serde::Deserialize;
 use tokio::task::JoinHandle;
 
-use crate::rig::fleet::{Fleet, get};
+use crate::rig::fleet::{Fleet, get_json};
 
 /// Pause between two looks at a daemon.
-const LOOK: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Faults of one daemon that are kept.
-const MOST_FAULTS: usize = 5;
+const MAX_FAULTS: usize = 5;
 
 /// What a daemon answers to `GET /config`.
 #[derive(Debug, Clone, Deserialize)]
-struct InForce {
+struct ActiveConfiguration {
     version: Version,
     hash: String,
     document: Document,
@@ -35,14 +35,14 @@
 
 /// Follows daemons until it is finished.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Monitor {
     stop: Arc<AtomicBool>,
-    tasks: Vec<JoinHandle<Seen>>,
+    tasks: Vec<JoinHandle<Observation>>,
 }
 
 /// What was seen of one daemon.
 #[derive(Debug, Default)]
-struct Seen {
+struct Observation {
     samples: usize,
     /// Hash of each version that it served.
     versions: BTreeMap<Version, String>,
@@ -51,14 +51,14 @@
 
 /// What was seen of all.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub struct Report {
     /// Looks that found a serving daemon.
     pub samples: usize,
     /// What should not have been.
     pub faults: Vec<String>,
 }
 
-impl Watch {
+impl Monitor {
     /// Follows every host of a fleet, across restarts of its daemon.
     #[must_use]
     pub fn start(fleet: &Fleet) -> Self {
@@ -70,7 +70,7 @@
         let tasks = fleet
             .hosts
             .iter()
-            .map(|host| follow(host.operator()))
+            .map(|host| follow(host.operator_address()))
             .collect();
         Self { stop, tasks }
     }
@@ -80,9 +80,9 @@
     /// # Panics
     ///
     /// When a follower has panicked.
-    pub async fn finish(self) -> Verdict {
+    pub async fn finish(self) -> Report {
         self.stop.store(true, Ordering::Release);
-        let mut verdict = Verdict::default();
+        let mut verdict = Report::default();
         let mut hashes: BTreeMap<Version, String> = BTreeMap::new();
         for task in self.tasks {
             let seen = task.await.expect("a follower ends");
@@ -101,16 +101,19 @@
     }
 }
 
-async fn follow(operator: SocketAddr, stop: &AtomicBool) -> Seen {
-    let mut seen = Seen::default();
+async fn follow(operator: SocketAddr, stop: &AtomicBool) -> Observation {
+    let mut seen = Observation::default();
     let mut last = Version(0);
     while !stop.load(Ordering::Acquire) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         // Readiness is asked first: a daemon that was ready then has reached its floor.
-        let ready = get::<Health>(operator, "/health/ready")
+        let ready = get_json::<Health>(operator, "/health/ready")
             .await
             .is_some_and(|h| h.ready);
-        let Some(in_force) = get::<InForce>(operator, "/config").await.filter(|_| ready) else {
+        let Some(in_force) = get_json::<ActiveConfiguration>(operator, "/config")
+            .await
+            .filter(|_| ready)
+        else {
             continue;
         };
         seen.samples += 1;
@@ -129,7 +132,7 @@
                 .push(format!("{operator} serves a mix at {}", in_force.version));
         }
         seen.versions.insert(in_force.version, in_force.hash);
-        seen.faults.truncate(MOST_FAULTS);
+        seen.faults.truncate(MAX_FAULTS);
     }
     seen
 }
--- a/trial/src/rig/net.rs
+++ b/trial/src/rig/network.rs
@@ -14,22 +14,22 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
 /// Pause between two looks at a cut link.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Forwards between daemons.
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct Network {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     /// Data centre of each inner address.
-    places: Vec<(IpAddr, DataCentre)>,
+    data_centres: Vec<(IpAddr, DataCentre)>,
     /// Pairs of data centres that can't reach each other.
-    cuts: Vec<(DataCentre, DataCentre)>,
+    partitions: Vec<(DataCentre, DataCentre)>,
     /// Hosts that are cut off, each by the ways that are.
-    muted: Vec<(IpAddr, Way)>,
+    isolated: Vec<(IpAddr, Direction)>,
     /// Hosts to and from which everything takes longer.
     slowed: Vec<(IpAddr, Duration)>,
     /// Times that all connections were reset.
@@ -38,7 +38,7 @@
 
 /// Ways to or from a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// To the host.
     In,
     /// From the host.
@@ -47,7 +47,7 @@
     Both,
 }
 
-impl Net {
+impl Network {
     /// Forwards from `outer` to `inner`, which is in `data_centre`.
     ///
     /// # Panics
@@ -59,7 +59,7 @@
         inner: SocketAddr,
         data_centre: DataCentre,
     ) {
-        self.state().places.push((inner.ip(), data_centre));
+        self.state().data_centres.push((inner.ip(), data_centre));
         let tcp = TcpListener::bind(outer)
             .await
             .expect("the outer address is free");
@@ -72,21 +72,21 @@
     }
 
     /// Parts two data centres.
-    pub fn cut(&self, one: &str, other: &str) {
-        self.state().cuts.push((one.into(), other.into()));
+    pub fn partition(&self, one: &str, other: &str) {
+        self.state().partitions.push((one.into(), other.into()));
     }
 
     /// Joins everything again.
     pub fn heal(&self) {
         let mut state = self.state();
-        state.cuts.clear();
-        state.muted.clear();
+        state.partitions.clear();
+        state.isolated.clear();
         state.slowed.clear();
     }
 
     /// Cuts a host off, by its inner address.
-    pub fn mute(&self, host: IpAddr, way: Way) {
-        self.state().muted.push((host, way));
+    pub fn isolate(&self, host: IpAddr, way: Direction) {
+        self.state().isolated.push((host, way));
     }
 
     /// Has everything to and from a host take so much longer.
@@ -97,12 +97,12 @@
     /// Joins a host again.
     pub fn heal_host(&self, host: IpAddr) {
         let mut state = self.state();
-        state.muted.retain(|(muted, _)| *muted != host);
+        state.isolated.retain(|(muted, _)| *muted != host);
         state.slowed.retain(|(slowed, _)| *slowed != host);
     }
 
     /// Resets all connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.state().resets += 1;
     }
 
@@ -114,19 +114,19 @@
     }
 
     /// Whether what `one` sends does not reach `other`.
-    fn parted(&self, one: IpAddr, other: IpAddr) -> bool {
+    fn is_blocked(&self, one: IpAddr, other: IpAddr) -> bool {
         let state = self.state();
-        let stops = |host: IpAddr, way: Way| match way {
-            Way::In => host == other,
-            Way::Out => host == one,
-            Way::Both => host == one || host == other,
+        let stops = |host: IpAddr, way: Direction| match way {
+            Direction::In => host == other,
+            Direction::Out => host == one,
+            Direction::Both => host == one || host == other,
         };
-        if state.muted.iter().any(|(host, way)| stops(*host, *way)) {
+        if state.isolated.iter().any(|(host, way)| stops(*host, *way)) {
             return true;
         }
         let place = |ip| {
             state
-                .places
+                .data_centres
                 .iter()
                 .find(|(inner, _)| *inner == ip)
                 .map(|(_, dc)| dc)
@@ -136,7 +136,7 @@
         };
         let matches = |a: &DataCentre, b: &DataCentre| a == one && b == other;
         state
-            .cuts
+            .partitions
             .iter()
             .any(|(a, b)| matches(a, b) || matches(b, a))
     }
@@ -148,7 +148,7 @@
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            if self.parted(sender.ip(), inner.ip()) {
+            if self.is_blocked(sender.ip(), inner.ip()) {
                 continue;
             }
             if let Some(delay) = self.delay(sender.ip(), inner.ip()) {
@@ -197,10 +197,10 @@
                     Ok(0) | Err(_) => break,
                     Ok(length) => length,
                 },
-                () = self.until_reset(began) => return,
+                () = self.wait_for_reset(began) => return,
             };
-            while self.parted(ends.0, ends.1) {
-                tokio::time::sleep(LOOK).await;
+            while self.is_blocked(ends.0, ends.1) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             if let Some(delay) = self.delay(ends.0, ends.1) {
                 tokio::time::sleep(delay).await;
@@ -213,9 +213,9 @@
     }
 
     /// Waits until all connections that are as old as `began` are reset.
-    async fn until_reset(&self, began: u64) {
+    async fn wait_for_reset(&self, began: u64) {
         while self.state().resets == began {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/trial/src/rig/process.rs
+++ b/trial/src/rig/process.rs
@@ -3,7 +3,7 @@
 use std::fs;
 
 /// Processor ticks in a second, as Linux counts them for user programs.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// What a process uses.
 #[derive(Debug, Clone, Copy, Default)]
@@ -17,7 +17,7 @@
 impl Usage {
     /// Reads the usage of a process; zero when it has ended.
     #[must_use]
-    pub fn of(pid: u32) -> Self {
+    pub fn of_process(pid: u32) -> Self {
         let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let rss = rss.and_then(|text| text.split_whitespace().next()?.parse().ok());
@@ -28,7 +28,7 @@
         let ticks: f64 = ticks.filter_map(|text| text.parse::<f64>().ok()).sum();
         Self {
             rss_kib: rss.unwrap_or(0),
-            cpu_s: ticks / TICKS,
+            cpu_s: ticks / TICKS_PER_SECOND,
         }
     }
 }
--- a/trial/src/rig/pipe.rs
+++ b/trial/src/rig/proxy.rs
@@ -27,9 +27,9 @@
 
 /// A forwarder.
 #[derive(Debug)]
-pub struct Pipe(Arc<watch::Sender<Condition>>);
+pub struct Proxy(Arc<watch::Sender<Condition>>);
 
-impl Pipe {
+impl Proxy {
     /// Forwards from `outer` to `inner`.
     ///
     /// # Panics
--- a/trial/src/rig/publish.rs
+++ b/trial/src/rig/publish.rs
@@ -12,7 +12,7 @@
 use crate::rig::session::{self, Failure};
 
 /// Tries to publish on what a daemon says is in force.
-const PUT_TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 impl Fleet {
     /// Publishes an edit through a daemon; the status and the JSON answer.
@@ -26,8 +26,13 @@
     /// Never: an edit is plain data.
     pub async fn publish(&self, index: usize, edit: &Proposal) -> Result<(u16, Value), Failure> {
         let body = serde_json::to_string(edit).expect("plain data is JSON");
-        let answer =
-            session::once(self.hosts[index].operator(), Method::POST, "/config", &body).await?;
+        let answer = session::send_once(
+            self.hosts[index].operator_address(),
+            Method::POST,
+            "/config",
+            &body,
+        )
+        .await?;
         let value = serde_json::from_slice(&answer.body).unwrap_or_default();
         Ok((answer.status.as_u16(), value))
     }
@@ -39,9 +44,9 @@
     /// # Panics
     ///
     /// When it is not accepted.
-    pub async fn put(&self, index: usize, document: Document) -> Version {
+    pub async fn publish_document(&self, index: usize, document: Document) -> Version {
         let mut base = self.version(index).await.unwrap_or_default();
-        for _ in 0..PUT_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let id = EditId(format!("trial-{:016x}", rand::random::<u64>()));
             let edit = Proposal {
                 id,
@@ -68,8 +73,8 @@
     /// # Panics
     ///
     /// When it can't be started.
-    pub async fn ctl(&self, index: usize, args: &[&str]) -> (Option<i32>, String) {
-        let daemon = self.hosts[index].operator().to_string();
+    pub async fn run_ctl(&self, index: usize, args: &[&str]) -> (Option<i32>, String) {
+        let daemon = self.hosts[index].operator_address().to_string();
         let mut command = tokio::process::Command::new(&self.program);
         command
             .args(["ctl", "--json", "--daemon", &daemon])
--- a/trial/src/rig/session.rs
+++ b/trial/src/rig/session.rs
@@ -33,7 +33,7 @@
 
     /// Whether the other side ends the session after this answer.
     #[must_use]
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header(header::CONNECTION.as_str())
             .eq_ignore_ascii_case("close")
     }
@@ -71,7 +71,7 @@
     }
 
     /// Sends the next request to another address, over a new connection.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    pub fn reconnect_to(&mut self, address: SocketAddr) {
         self.address = address;
         self.sender = None;
     }
@@ -113,7 +113,7 @@
         let result = tokio::time::timeout(patience, self.exchange(request)).await;
         let result = result.unwrap_or(Err(Failure::Silent));
         match &result {
-            Ok(answer) if !answer.closes() => {}
+            Ok(answer) if !answer.closes_connection() => {}
             _ => self.sender = None,
         }
         result
@@ -155,7 +155,7 @@
 /// # Errors
 ///
 /// Why there is no whole answer.
-pub async fn once(
+pub async fn send_once(
     address: SocketAddr,
     method: Method,
     path: &str,
--- a/trial/src/stand_in/target.rs
+++ b/trial/src/stand_in/target.rs
@@ -189,7 +189,7 @@
         };
         let body = serde_json::to_string(&announcement).expect("plain data is JSON");
         while !self.leaving.load(Ordering::Acquire) {
-            let sent = session::once(self.args.daemon, Method::POST, "/announce", &body).await;
+            let sent = session::send_once(self.args.daemon, Method::POST, "/announce", &body).await;
             let heard = sent.is_ok_and(|answer| answer.status == StatusCode::OK);
             let pause = if heard { self.args.lease_ms.0 / 3 } else { 100 };
             tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -198,7 +198,7 @@
 
     async fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
-        let _ = session::once(self.args.daemon, Method::POST, "/leave", "").await;
+        let _ = session::send_once(self.args.daemon, Method::POST, "/leave", "").await;
         while self.in_flight.load(Ordering::Acquire) > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -9,7 +9,7 @@
 use common::{document, fleet, places};
 use http::{Method, StatusCode};
 use jackdaw_trial::rig::deployment::Place;
-use jackdaw_trial::rig::fleet::{Fleet, get, until};
+use jackdaw_trial::rig::fleet::{Fleet, get_json, wait_until};
 use jackdaw_trial::rig::session::{Answer, Failure, Session};
 use jackdaw_trial::stand_in::target::Echo;
 use jackdawpulley::calls::outcome::{OUTCOME, REASON};
@@ -29,21 +29,23 @@
             .clone()
             .filter(|_| with_target.contains(&index)),
     };
-    fleet.add(&(0..count).map(bare).collect::<Vec<_>>()).await;
+    fleet
+        .add_hosts(&(0..count).map(bare).collect::<Vec<_>>())
+        .await;
     for host in &mut fleet.hosts {
         host.place.service.clone_from(&places(1, 1)[0].service);
     }
-    assert!(fleet.meets(count, TIMEOUT).await);
-    let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
+    assert!(fleet.wait_for_members(count, TIMEOUT).await);
+    let version = fleet.publish_document(0, document).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     fleet
 }
 
 /// Waits until a daemon knows `count` upstreams.
 async fn wait_for_upstreams(fleet: &Fleet, index: usize, count: usize) {
-    let operator = fleet.hosts[index].operator();
-    let seen = until(TIMEOUT, || async move {
-        let state: Option<serde_json::Value> = get(operator, "/state").await;
+    let operator = fleet.hosts[index].operator_address();
+    let seen = wait_until(TIMEOUT, || async move {
+        let state: Option<serde_json::Value> = get_json(operator, "/state").await;
         state.is_some_and(|s| {
             s["upstreams"]
                 .as_array()
@@ -77,13 +79,13 @@
         Fake::start(&fleet.hosts[1], Manner::CloseAfterReading).await,
     ];
     wait_for_upstreams(&fleet, 0, 2).await;
-    let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
+    let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
         .expect("whole");
     assert_eq!(outcome_and_reason(&answer), ("unknown", "broken"));
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     assert_eq!(fakes[0].count() + fakes[1].count(), 1);
-    let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t")
+    let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t")
         .await
         .expect("whole");
     assert_eq!(
@@ -101,8 +103,8 @@
     let fleet = hosts(2, &[1], document(1)).await;
     let fake = Fake::start(&fleet.hosts[0], Manner::Refuse).await;
     wait_for_upstreams(&fleet, 0, 2).await;
-    let all = until(TIMEOUT, || async {
-        let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g").await;
+    let all = wait_until(TIMEOUT, || async {
+        let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g").await;
         assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
         fake.count() > 0
     });
@@ -117,7 +119,7 @@
     announce(&fleet.hosts[0], SocketAddr::new(fleet.hosts[0].ip, 7_199)).await;
     wait_for_upstreams(&fleet, 0, 1).await;
     let began = Instant::now();
-    let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
+    let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
         .expect("whole");
     assert_eq!(outcome_and_reason(&answer), ("not-run", "unreachable"));
@@ -136,7 +138,13 @@
         let fleet = hosts(2, &[], document(1)).await;
         Fake::start(&fleet.hosts[0], Manner::CutShort).await;
         wait_for_upstreams(&fleet, ingress, 1).await;
-        let answer = call(fleet.hosts[ingress].calls(), Method::GET, "/titles", "t").await;
+        let answer = call(
+            fleet.hosts[ingress].call_address(),
+            Method::GET,
+            "/titles",
+            "t",
+        )
+        .await;
         let answer = answer.expect("a complete response from the daemon");
         assert_eq!(
             outcome_and_reason(&answer),
@@ -155,7 +163,13 @@
         let fleet = hosts(2, &[], document(1)).await;
         Fake::start(&fleet.hosts[0], Manner::CutLong).await;
         wait_for_upstreams(&fleet, ingress, 1).await;
-        let result = call(fleet.hosts[ingress].calls(), Method::GET, "/titles", "t").await;
+        let result = call(
+            fleet.hosts[ingress].call_address(),
+            Method::GET,
+            "/titles",
+            "t",
+        )
+        .await;
         assert!(
             matches!(result, Err(Failure::Cut(_))),
             "through host {ingress}: {result:?}"
@@ -170,13 +184,13 @@
 async fn frozen_sidecar_is_detected() {
     let slow_to_suspect = ["--probe-period-ms", "3000", "--suspicion-ms", "60000"];
     let mut fleet = fleet(&slow_to_suspect).await;
-    fleet.add(&places(3, 1)).await;
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
+    fleet.add_hosts(&places(3, 1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     // Gossip about the targets is piggybacked on the probes, which are slow here.
-    assert!(fleet.offers(3, Duration::from_secs(30)).await);
+    assert!(fleet.wait_for_upstreams(3, Duration::from_secs(30)).await);
     for _ in 0..12 {
-        let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t").await;
+        let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
         assert_eq!(answer.expect("whole").status, StatusCode::OK);
     }
     fleet.hosts[2]
@@ -187,7 +201,7 @@
     let mut slow = 0;
     for _ in 0..40 {
         let began = Instant::now();
-        let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t").await;
+        let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
         assert_eq!(answer.expect("whole").status, StatusCode::OK);
         slow += u32::from(began.elapsed() > Duration::from_millis(500));
     }
@@ -213,7 +227,7 @@
     let fleet = hosts(1, &[], short).await;
     Fake::start(&fleet.hosts[0], Manner::Late).await;
     wait_for_upstreams(&fleet, 0, 1).await;
-    let ingress = fleet.hosts[0].calls();
+    let ingress = fleet.hosts[0].call_address();
     for round in 0..5 {
         let slow = call(ingress, Method::POST, "/grants", "slow")
             .await
@@ -240,7 +254,7 @@
         .for_each(|group| group.slots = Some(jackdawpulley::units::Slots(1)));
     let fleet = hosts(2, &[0], narrow).await;
     wait_for_upstreams(&fleet, 1, 1).await;
-    let ingress = fleet.hosts[1].calls();
+    let ingress = fleet.hosts[1].call_address();
     let request = |name: &'static str, work: &'static str, timeout: &'static str| {
         let headers = [
             ("x-request", name),
@@ -251,7 +265,7 @@
         tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
     };
     let first = request("first", "700", "1900");
-    let running = until(TIMEOUT, || std::future::ready(fleet.runs().len() == 1)).await;
+    let running = wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == 1)).await;
     assert!(running, "the first request occupies the slot");
     let second = request("second", "0", "1500");
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -277,7 +291,7 @@
 async fn graceful_shutdown_waits_for_calls() {
     let mut fleet = hosts(2, &[0, 1], document(1)).await;
     wait_for_upstreams(&fleet, 0, 2).await;
-    let ingress = fleet.hosts[0].calls();
+    let ingress = fleet.hosts[0].call_address();
     let calls: Vec<_> = (0..12)
         .map(|number| {
             let name = format!("long-{number}");
@@ -286,7 +300,7 @@
             tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
         })
         .collect();
-    let running = until(TIMEOUT, || std::future::ready(fleet.runs().len() == 12)).await;
+    let running = wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == 12)).await;
     assert!(running);
     fleet.signal_daemon(0, Signal::TERM);
     for call in calls {
@@ -294,7 +308,10 @@
         assert_eq!(answer.header(OUTCOME), "answered");
     }
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
-    let ended = until(TIMEOUT, || std::future::ready(daemon.ended().is_some())).await;
+    let ended = wait_until(TIMEOUT, || {
+        std::future::ready(daemon.exit_status().is_some())
+    })
+    .await;
     assert!(ended);
 }
 
@@ -310,16 +327,16 @@
         .as_ref()
         .expect("it runs")
         .signal(Signal::STOP);
-    let left = jackdaw_trial::rig::session::once(leaving, Method::POST, "/leave", "").await;
+    let left = jackdaw_trial::rig::session::send_once(leaving, Method::POST, "/leave", "").await;
     assert!(left.is_ok_and(|answer| answer.status.is_success()));
     let before = fleet
         .runs()
         .iter()
-        .filter(|run| run.target == fleet.hosts[0].work())
+        .filter(|run| run.target == fleet.hosts[0].target_address())
         .count();
     for number in 0..40 {
         let answer = call(
-            fleet.hosts[1].calls(),
+            fleet.hosts[1].call_address(),
             Method::POST,
             "/grants",
             &format!("{number}"),
@@ -330,7 +347,7 @@
     let after = fleet
         .runs()
         .iter()
-        .filter(|run| run.target == fleet.hosts[0].work())
+        .filter(|run| run.target == fleet.hosts[0].target_address())
         .count();
     assert_eq!(before, after);
 }
@@ -344,7 +361,7 @@
     let headers = [("x-request", "large"), ("x-size", "3000000")];
     for ingress in [0, 1] {
         let request = Session::request(Method::POST, "/grants", &headers, &body);
-        let mut session = Session::new(fleet.hosts[ingress].calls());
+        let mut session = Session::new(fleet.hosts[ingress].call_address());
         let answer = session.send(request, TIMEOUT).await.expect("whole");
         let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's response");
         assert_eq!((echo.received, echo.padding.len()), (3 << 20, 3_000_000));
@@ -354,7 +371,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_path_is_rejected() {
     let fleet = hosts(1, &[0], document(1)).await;
-    let answer = call(fleet.hosts[0].calls(), Method::GET, "/nowhere", "n")
+    let answer = call(fleet.hosts[0].call_address(), Method::GET, "/nowhere", "n")
         .await
         .expect("whole");
     assert_eq!(outcome_and_reason(&answer), ("not-run", "no-route"));
@@ -373,19 +390,22 @@
     }
     let fleet = hosts(2, &[1], document).await;
     wait_for_upstreams(&fleet, 0, 1).await;
-    let (ingress, operator) = (fleet.hosts[0].calls(), fleet.hosts[0].operator());
+    let (ingress, operator) = (
+        fleet.hosts[0].call_address(),
+        fleet.hosts[0].operator_address(),
+    );
     let long = tokio::spawn(async move {
         let headers = [("x-request", "long"), ("x-work-ms", "1500")];
         let request = Session::request(Method::POST, "/grants", &headers, "");
         Session::new(ingress).send(request, TIMEOUT).await
     });
-    assert!(until(TIMEOUT, || std::future::ready(!fleet.runs().is_empty())).await);
+    assert!(wait_until(TIMEOUT, || std::future::ready(!fleet.runs().is_empty())).await);
     let refused = call(ingress, Method::POST, "/grants", "refused").await;
     assert_eq!(
         outcome_and_reason(&refused.expect("whole")),
         ("not-run", "overloaded")
     );
-    let state: Option<serde_json::Value> = get(operator, "/state").await;
+    let state: Option<serde_json::Value> = get_json(operator, "/state").await;
     let state = state.expect("the daemon is there");
     assert_eq!(state["upstreams"][0]["reported"], 1);
     assert!(long.await.expect("it ends").is_ok());
@@ -402,12 +422,12 @@
         route.timeout_ms = Millis(20_000);
     }
     let mut fleet = fleet(&["--pick", "expected", "--far-ms-per-kb", "100000"]).await;
-    fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, TIMEOUT).await);
-    let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
+    fleet.add_hosts(&places(4, 1)).await;
+    assert!(fleet.wait_for_members(4, TIMEOUT).await);
+    let version = fleet.publish_document(0, document).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     wait_for_upstreams(&fleet, 0, 4).await;
-    let ingress = fleet.hosts[0].calls();
+    let ingress = fleet.hosts[0].call_address();
     let mut near = tokio::task::JoinSet::new();
     for busy in 1..=4 {
         near.spawn(async move {
@@ -415,11 +435,11 @@
             let request = Session::request(Method::POST, "/grants", &headers, "");
             Session::new(ingress).send(request, 2 * TIMEOUT).await
         });
-        assert!(until(TIMEOUT, || std::future::ready(fleet.runs().len() == busy)).await);
+        assert!(wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == busy)).await);
     }
     let mut far = places(1, 1);
     far[0].data_centre = DataCentre::from("far");
-    fleet.add(&far).await;
+    fleet.add_hosts(&far).await;
     wait_for_upstreams(&fleet, 0, 5).await;
     let answer = call(ingress, Method::POST, "/grants", "far")
         .await
--- a/trial/tests/common/fake.rs
+++ b/trial/tests/common/fake.rs
@@ -73,7 +73,7 @@
     };
     let body = serde_json::to_string(&announcement).expect("plain data is JSON");
     let daemon = SocketAddr::new(host.ip, 7_003);
-    let answer = session::once(daemon, Method::POST, "/announce", &body).await;
+    let answer = session::send_once(daemon, Method::POST, "/announce", &body).await;
     assert!(
         answer.is_ok_and(|answer| answer.status.is_success()),
         "the daemon accepts the announcement"
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::{document, fleet, places};
-use jackdaw_trial::rig::fleet::{get, until};
-use jackdaw_trial::rig::watch::Watch;
+use jackdaw_trial::rig::fleet::{get_json, wait_until};
+use jackdaw_trial::rig::monitor::Monitor;
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
@@ -24,17 +24,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn mass_restart_keeps_versions() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(12, 3)).await;
-    let watch = Watch::start(&fleet);
+    fleet.add_hosts(&places(12, 3)).await;
+    let watch = Monitor::start(&fleet);
     for round in 0..3 {
-        fleet.put(11, document(round * 10)).await;
+        fleet.publish_document(11, document(round * 10)).await;
         for index in 0..6 {
             fleet.kill_daemon(index);
         }
-        let version = fleet.put(10, document(round * 10 + 1)).await;
+        let version = fleet.publish_document(10, document(round * 10 + 1)).await;
         // A fast log would hide a daemon that serves too early.
         fleet
-            .fail_log(Faults {
+            .set_log_faults(Faults {
                 slow_ms: 400,
                 ..Faults::default()
             })
@@ -44,13 +44,13 @@
         }
         for index in 0..6 {
             assert!(
-                fleet.serves(index, RECOVERY_TIMEOUT).await,
+                fleet.wait_for_ready(index, RECOVERY_TIMEOUT).await,
                 "host {index} serves again"
             );
         }
-        fleet.fail_log(Faults::default()).await;
+        fleet.set_log_faults(Faults::default()).await;
         assert!(
-            fleet.converges(version, CONVERGENCE_TIMEOUT).await,
+            fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await,
             "round {round}"
         );
     }
@@ -65,17 +65,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_daemons_delay_nobody() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(9, 3)).await;
-    let first = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(first, CONVERGENCE_TIMEOUT).await);
-    let watch = Watch::start(&fleet);
+    fleet.add_hosts(&places(9, 3)).await;
+    let first = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(first, CONVERGENCE_TIMEOUT).await);
+    let watch = Monitor::start(&fleet);
     let frozen = [1, 4];
     for index in frozen {
         fleet.signal_daemon(index, Signal::STOP);
     }
-    let version = fleet.put(0, document(2)).await;
+    let version = fleet.publish_document(0, document(2)).await;
     for index in [0, 2, 3, 5, 6, 7, 8] {
-        let there = until(CONVERGENCE_TIMEOUT, || async {
+        let there = wait_until(CONVERGENCE_TIMEOUT, || async {
             fleet
                 .version(index)
                 .await
@@ -86,7 +86,7 @@
     for index in frozen {
         fleet.signal_daemon(index, Signal::CONT);
     }
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -96,26 +96,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn accepted_edit_survives_log_outage() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(9, 3)).await;
-    let watch = Watch::start(&fleet);
-    let version = fleet.put(3, document(1)).await;
+    fleet.add_hosts(&places(9, 3)).await;
+    let watch = Monitor::start(&fleet);
+    let version = fleet.publish_document(3, document(1)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Refuse,
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     fleet.kill_daemon(2);
     fleet.start_daemon(2);
     assert!(
-        fleet.serves(2, RECOVERY_TIMEOUT).await,
+        fleet.wait_for_ready(2, RECOVERY_TIMEOUT).await,
         "peers tell it which version it needs to become ready"
     );
     assert_eq!(fleet.version(2).await, Some(version));
-    fleet.fail_log(Faults::default()).await;
-    let version = fleet.put(2, document(2)).await;
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    fleet.set_log_faults(Faults::default()).await;
+    let version = fleet.publish_document(2, document(2)).await;
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -125,9 +125,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_log_response_is_recovered() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(3, 3)).await;
+    fleet.add_hosts(&places(3, 3)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::LoseAnswers,
             ..Faults::default()
         })
@@ -143,8 +143,8 @@
     let (status, again) = fleet.publish(1, &edit).await.expect("an answer");
     assert_eq!(status, 200);
     assert_eq!(first["version"], again["version"]);
-    fleet.fail_log(Faults::default()).await;
-    let next = fleet.put(2, document(2)).await;
+    fleet.set_log_faults(Faults::default()).await;
+    let next = fleet.publish_document(2, document(2)).await;
     assert!(next.0 > first["version"].as_u64().expect("a version"));
 }
 
@@ -154,17 +154,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn own_edit_is_no_conflict() {
     let mut fleet = fleet(&["--readers", "1"]).await;
-    fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, RECOVERY_TIMEOUT).await);
+    fleet.add_hosts(&places(4, 1)).await;
+    assert!(fleet.wait_for_members(4, RECOVERY_TIMEOUT).await);
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 50,
             ..Faults::default()
         })
         .await;
     let mut base = fleet.version(0).await.expect("it serves");
     for number in 0..12 {
-        assert!(fleet.converges(base, CONVERGENCE_TIMEOUT).await);
+        assert!(fleet.wait_for_version(base, CONVERGENCE_TIMEOUT).await);
         let id = EditId(format!("edit-{number}"));
         let edit = Proposal {
             id,
@@ -183,9 +183,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hanging_log_means_unknown() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(3, 3)).await;
+    fleet.add_hosts(&places(3, 3)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Hang,
             ..Faults::default()
         })
@@ -203,7 +203,7 @@
         "{answer}"
     );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 300,
             ..Faults::default()
         })
@@ -222,25 +222,25 @@
 async fn checkpoints_survive_retention() {
     let mut fleet = fleet(&["--checkpoint-ms", "300"]).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             retain: 6,
             ..Faults::default()
         })
         .await;
-    fleet.add(&places(4, 2)).await;
-    let mut version = fleet.put(0, document(0)).await;
+    fleet.add_hosts(&places(4, 2)).await;
+    let mut version = fleet.publish_document(0, document(0)).await;
     for number in 1..12 {
         version = fleet
-            .put(
+            .publish_document(
                 usize::try_from(number % 4).expect("small"),
                 document(number),
             )
             .await;
     }
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     // More than eight further checkpoints push all edits out of the retention of 6 records.
     let appends = fleet.log_stats().await.appends;
-    let pushed = until(RECOVERY_TIMEOUT, || async {
+    let pushed = wait_until(RECOVERY_TIMEOUT, || async {
         fleet.log_stats().await.appends > appends + 8
     });
     assert!(pushed.await, "checkpoints are written");
@@ -251,15 +251,15 @@
         fleet.start_daemon(index);
     }
     for index in 0..4 {
-        assert!(fleet.serves(index, RECOVERY_TIMEOUT).await);
+        assert!(fleet.wait_for_ready(index, RECOVERY_TIMEOUT).await);
         assert_eq!(
             fleet.version(index).await,
             Some(version),
             "host {index} found the checkpoint"
         );
     }
-    let next = fleet.put(3, document(99)).await;
-    assert!(fleet.converges(next, CONVERGENCE_TIMEOUT).await);
+    let next = fleet.publish_document(3, document(99)).await;
+    assert!(fleet.wait_for_version(next, CONVERGENCE_TIMEOUT).await);
 }
 
 /// Guards against an edit that does not reach both sides of a network partition between data
@@ -267,30 +267,33 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn partition_heals() {
     let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
-    fleet.add(&places(6, 2)).await;
-    assert!(fleet.meets(6, RECOVERY_TIMEOUT).await);
-    let watch = Watch::start(&fleet);
+    fleet.add_hosts(&places(6, 2)).await;
+    assert!(fleet.wait_for_members(6, RECOVERY_TIMEOUT).await);
+    let watch = Monitor::start(&fleet);
     let net = fleet.net.clone().expect("it has one");
-    net.cut("dc-0", "dc-1");
+    net.partition("dc-0", "dc-1");
     assert!(
-        fleet.meets(3, RECOVERY_TIMEOUT).await,
+        fleet.wait_for_members(3, RECOVERY_TIMEOUT).await,
         "each side sees itself alone"
     );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 200,
             ..Faults::default()
         })
         .await;
-    let version = fleet.put(0, document(1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
     assert!(
-        fleet.converges(version, CONVERGENCE_TIMEOUT).await,
+        fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await,
         "on both sides of the partition"
     );
     net.heal();
-    assert!(fleet.meets(6, RECOVERY_TIMEOUT).await, "one view again");
-    let version = fleet.put(5, document(2)).await;
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    assert!(
+        fleet.wait_for_members(6, RECOVERY_TIMEOUT).await,
+        "one view again"
+    );
+    let version = fleet.publish_document(5, document(2)).await;
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
 
@@ -300,10 +303,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reader_and_log_fail() {
     let mut fleet = fleet(&["--readers", "1"]).await;
-    fleet.add(&places(8, 2)).await;
-    assert!(fleet.meets(8, RECOVERY_TIMEOUT).await);
-    let watch = Watch::start(&fleet);
-    let settled = until(RECOVERY_TIMEOUT, || async {
+    fleet.add_hosts(&places(8, 2)).await;
+    assert!(fleet.wait_for_members(8, RECOVERY_TIMEOUT).await);
+    let watch = Monitor::start(&fleet);
+    let settled = wait_until(RECOVERY_TIMEOUT, || async {
         fleet.log_stats().await.waiting == 2
     });
     assert!(
@@ -312,19 +315,19 @@
     );
     let mut reader = None;
     for index in [1, 3, 5, 7] {
-        let state: Option<Value> = get(fleet.hosts[index].operator(), "/state").await;
+        let state: Option<Value> = get_json(fleet.hosts[index].operator_address(), "/state").await;
         if state.is_some_and(|state| state["reads_log"] == true) {
             reader = Some(index);
         }
     }
     fleet.kill_daemon(reader.expect("one of the data centre reads"));
-    let version = fleet.put(0, document(1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Hang,
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, CONVERGENCE_TIMEOUT).await);
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     assert_eq!(watch.finish().await.faults, Vec::<String>::new());
 }
--- a/trial/tests/hostile.rs
+++ b/trial/tests/hostile.rs
@@ -8,7 +8,7 @@
 use common::{document, fleet, places};
 use http::{Method, StatusCode};
 use jackdaw_trial::rig::fleet::Fleet;
-use jackdaw_trial::rig::session::{Session, once};
+use jackdaw_trial::rig::session::{Session, send_once};
 use jackdawpulley::calls::outcome::OUTCOME;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
@@ -17,23 +17,23 @@
 
 async fn start() -> Fleet {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(2, 1)).await;
-    assert!(fleet.meets(2, TIMEOUT).await);
+    fleet.add_hosts(&places(2, 1)).await;
+    assert!(fleet.wait_for_members(2, TIMEOUT).await);
     // A target is a separate process that may start later than its daemon.
-    assert!(fleet.offers(2, TIMEOUT).await);
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
+    assert!(fleet.wait_for_upstreams(2, TIMEOUT).await);
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     fleet
 }
 
 /// Checks that the daemon still serves a call and still sees its peer.
 async fn assert_healthy(fleet: &Fleet) {
     let request = Session::request(Method::GET, "/titles", &[("x-request", "r")], "");
-    let answer = Session::new(fleet.hosts[0].calls())
+    let answer = Session::new(fleet.hosts[0].call_address())
         .send(request, TIMEOUT)
         .await;
     assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
-    assert!(fleet.meets(2, TIMEOUT).await);
+    assert!(fleet.wait_for_members(2, TIMEOUT).await);
 }
 
 /// Sends bytes and reads until the daemon closes the connection or 500 ms have passed.
@@ -53,9 +53,9 @@
         .map(|i| (i * 7 % 251).to_le_bytes()[0])
         .collect();
     for address in [
-        host.peer(),
-        host.calls(),
-        host.operator(),
+        host.peer_address(),
+        host.call_address(),
+        host.operator_address(),
         SocketAddr::new(host.ip, 7_003),
     ] {
         exchange(address, &garbage).await;
@@ -68,7 +68,9 @@
     }
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
     for length in [0, 1, 20, 300, 1_400] {
-        let _ = socket.send_to(&garbage[..length], host.peer()).await;
+        let _ = socket
+            .send_to(&garbage[..length], host.peer_address())
+            .await;
     }
     assert_healthy(&fleet).await;
 }
@@ -76,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_frames_are_rejected() {
     let fleet = start().await;
-    let peer = fleet.hosts[0].peer();
+    let peer = fleet.hosts[0].peer_address();
     let stream = TcpStream::connect(peer).await.expect("it listens");
     let (mut sender, connection) = h2::client::handshake(stream).await.expect("it speaks h2");
     tokio::spawn(connection);
@@ -119,9 +121,14 @@
         "y".repeat(5 << 20)
     );
     let cases = [
-        (host.operator(), "/config", "{", StatusCode::BAD_REQUEST),
         (
-            host.operator(),
+            host.operator_address(),
+            "/config",
+            "{",
+            StatusCode::BAD_REQUEST,
+        ),
+        (
+            host.operator_address(),
             "/config",
             long.as_str(),
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -141,7 +148,7 @@
         ),
     ];
     for (address, path, body, status) in cases {
-        let answer = once(address, Method::POST, path, body)
+        let answer = send_once(address, Method::POST, path, body)
             .await
             .expect("whole");
         assert_eq!(answer.status, status, "{path}");
--- a/trial/tests/idempotency.rs
+++ b/trial/tests/idempotency.rs
@@ -7,7 +7,7 @@
 
 use common::{document, fleet, places};
 use http::Method;
-use jackdaw_trial::rig::fleet::{Fleet, until};
+use jackdaw_trial::rig::fleet::{Fleet, wait_until};
 use jackdaw_trial::rig::session::{Answer, Session};
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use jackdawpulley::calls::outcome::{OUTCOME, REASON};
@@ -25,15 +25,15 @@
 
 async fn start(count: usize, document: Document) -> Fleet {
     let mut fleet = fleet(&["--suspicion-ms", "1000"]).await;
-    fleet.add(&places(count, 1)).await;
-    assert!(fleet.meets(count, TIMEOUT).await);
-    let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
+    fleet.add_hosts(&places(count, 1)).await;
+    assert!(fleet.wait_for_members(count, TIMEOUT).await);
+    let version = fleet.publish_document(0, document).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     for index in 0..count {
-        let operator = fleet.hosts[index].operator();
-        let all = until(TIMEOUT, || async move {
+        let operator = fleet.hosts[index].operator_address();
+        let all = wait_until(TIMEOUT, || async move {
             let state: Option<serde_json::Value> =
-                jackdaw_trial::rig::fleet::get(operator, "/state").await;
+                jackdaw_trial::rig::fleet::get_json(operator, "/state").await;
             state.is_some_and(|s| s["upstreams"].as_array().is_some_and(|u| u.len() == count))
         });
         assert!(all.await, "host {index} sees all upstreams");
@@ -69,7 +69,7 @@
             let ingresses: Vec<SocketAddr> = fleet
                 .hosts
                 .iter()
-                .map(jackdaw_trial::rig::host::Host::calls)
+                .map(jackdaw_trial::rig::host::Host::call_address)
                 .collect();
             let early: Vec<_> = ingresses
                 .iter()
@@ -100,7 +100,7 @@
 async fn killed_holder_means_unknown() {
     for document in [document(1), document_with_claims()] {
         let mut fleet = start(4, document).await;
-        let ingress = fleet.hosts[0].calls();
+        let ingress = fleet.hosts[0].call_address();
         let first = tokio::spawn(async move {
             let headers = [
                 ("x-request", "k"),
@@ -110,32 +110,34 @@
             let request = Session::request(Method::POST, "/grants", &headers, "");
             Session::new(ingress).send(request, TIMEOUT).await
         });
-        let running = until(TIMEOUT, || std::future::ready(run_count(&fleet, "k") == 1)).await;
+        let running = wait_until(TIMEOUT, || std::future::ready(run_count(&fleet, "k") == 1)).await;
         assert!(running);
         let target = fleet.runs()[0].target;
         let holder = fleet
             .hosts
             .iter()
-            .position(|host| host.work() == target)
+            .position(|host| host.target_address() == target)
             .expect("known");
         fleet.kill_daemon(holder);
         let _ = first.await;
         assert!(
-            fleet.meets(3, TIMEOUT).await,
+            fleet.wait_for_members(3, TIMEOUT).await,
             "the other daemons see it as gone"
         );
         for index in (0..4).filter(|index| *index != holder) {
-            let answer = send_with_key(fleet.hosts[index].calls(), "k", "0").await;
+            let answer = send_with_key(fleet.hosts[index].call_address(), "k", "0").await;
             assert_eq!(answer.header(OUTCOME), "unknown", "{answer:?}");
         }
         fleet.start_daemon(holder);
-        assert!(fleet.serves(holder, TIMEOUT).await && fleet.meets(4, TIMEOUT).await);
+        assert!(
+            fleet.wait_for_ready(holder, TIMEOUT).await && fleet.wait_for_members(4, TIMEOUT).await
+        );
         for host in &fleet.hosts {
-            let answer = send_with_key(host.calls(), "k", "0").await;
+            let answer = send_with_key(host.call_address(), "k", "0").await;
             assert_ne!(answer.header(OUTCOME), "answered", "{answer:?}");
         }
         assert_eq!(run_count(&fleet, "k"), 1);
-        let fresh = send_with_key(fleet.hosts[0].calls(), "other", "0").await;
+        let fresh = send_with_key(fleet.hosts[0].call_address(), "other", "0").await;
         assert_ne!(fresh.header(REASON), "log-away");
     }
 }
@@ -146,28 +148,28 @@
 async fn unavailable_log_prevents_claims() {
     let fleet = start(2, document_with_claims()).await;
     assert_eq!(
-        send_with_key(fleet.hosts[0].calls(), "warm", "0")
+        send_with_key(fleet.hosts[0].call_address(), "warm", "0")
             .await
             .header(OUTCOME),
         "answered"
     );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Refuse,
             ..Faults::default()
         })
         .await;
     let began = Instant::now();
-    let answer = send_with_key(fleet.hosts[0].calls(), "k", "0").await;
+    let answer = send_with_key(fleet.hosts[0].call_address(), "k", "0").await;
     assert_eq!(
         (answer.header(OUTCOME), answer.header(REASON)),
         ("not-run", "log-away")
     );
     assert!(began.elapsed() < Duration::from_secs(1));
     assert_eq!(run_count(&fleet, "k"), 0);
-    fleet.fail_log(Faults::default()).await;
-    let back = until(TIMEOUT, || async {
-        send_with_key(fleet.hosts[1].calls(), "k", "0")
+    fleet.set_log_faults(Faults::default()).await;
+    let back = wait_until(TIMEOUT, || async {
+        send_with_key(fleet.hosts[1].call_address(), "k", "0")
             .await
             .header(OUTCOME)
             == "answered"
@@ -182,27 +184,31 @@
 async fn unconfirmed_claims_are_released() {
     let fleet = start(2, document_with_claims()).await;
     assert_eq!(
-        send_with_key(fleet.hosts[0].calls(), "warm", "0")
+        send_with_key(fleet.hosts[0].call_address(), "warm", "0")
             .await
             .header(OUTCOME),
         "answered"
     );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::LoseAnswers,
             ..Faults::default()
         })
         .await;
     for number in 0..5 {
-        let answer =
-            send_with_key(fleet.hosts[number % 2].calls(), &format!("k{number}"), "0").await;
+        let answer = send_with_key(
+            fleet.hosts[number % 2].call_address(),
+            &format!("k{number}"),
+            "0",
+        )
+        .await;
         assert_eq!(answer.header(OUTCOME), "not-run", "{answer:?}");
     }
-    fleet.fail_log(Faults::default()).await;
+    fleet.set_log_faults(Faults::default()).await;
     for number in 0..5 {
         let key = format!("k{number}");
-        let runs = until(TIMEOUT, || async {
-            send_with_key(fleet.hosts[number % 2].calls(), &key, "0")
+        let runs = wait_until(TIMEOUT, || async {
+            send_with_key(fleet.hosts[number % 2].call_address(), &key, "0")
                 .await
                 .header(OUTCOME)
                 == "answered"
--- a/trial/tests/loopback.rs
+++ b/trial/tests/loopback.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-use jackdaw_trial::rig::loopback::free_network;
+use jackdaw_trial::rig::loopback::allocate_network;
 
 /// Port of a target of the simulated platform.
 const TARGET_PORT: u16 = 8_147;
@@ -25,7 +25,7 @@
             });
         }
         let taken = (0..NETWORK_COUNT).filter(|_| {
-            let network = free_network();
+            let network = allocate_network();
             let mut hosts = 1..=3;
             hosts.any(|host| {
                 TcpListener::bind((Ipv4Addr::new(127, network, 9, host), TARGET_PORT)).is_err()
--- a/trial/tests/operators.rs
+++ b/trial/tests/operators.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{document, fleet, places};
-use jackdaw_trial::rig::fleet::{Fleet, until};
+use jackdaw_trial::rig::fleet::{Fleet, wait_until};
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use serde_json::Value;
 
@@ -35,7 +35,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn results_have_exit_statuses() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(2, 1)).await;
+    fleet.add_hosts(&places(2, 1)).await;
     let text = serde_json::to_string(&document(1)).expect("a document is JSON");
     let good = write(&fleet, "good.json", &text);
     let bad = write(
@@ -44,17 +44,20 @@
         r#"{"routes":[{"name":"a","path":"b","group":"c","retry":"d"}]}"#,
     );
     let odd = write(&fleet, "odd.json", r#"{"rotues":[]}"#);
-    assert_eq!(fleet.ctl(0, &["check", &good]).await.0, Some(0));
-    assert_eq!(fleet.ctl(0, &["check", &bad]).await.0, Some(4));
-    assert_eq!(fleet.ctl(0, &["check", &odd]).await.0, Some(4));
-    assert_eq!(fleet.ctl(0, &["check", "/nowhere.json"]).await.0, Some(1));
+    assert_eq!(fleet.run_ctl(0, &["check", &good]).await.0, Some(0));
+    assert_eq!(fleet.run_ctl(0, &["check", &bad]).await.0, Some(4));
+    assert_eq!(fleet.run_ctl(0, &["check", &odd]).await.0, Some(4));
+    assert_eq!(
+        fleet.run_ctl(0, &["check", "/nowhere.json"]).await.0,
+        Some(1)
+    );
     let (status, out) = fleet
-        .ctl(0, &["apply", &good, "--base", "0", "--id", "first"])
+        .run_ctl(0, &["apply", &good, "--base", "0", "--id", "first"])
         .await;
     assert_eq!(status, Some(0), "{out}");
     let version = parse_json(&out)["version"].clone();
     let (status, out) = fleet
-        .ctl(1, &["apply", &good, "--base", "0", "--id", "first"])
+        .run_ctl(1, &["apply", &good, "--base", "0", "--id", "first"])
         .await;
     assert_eq!(
         (status, &parse_json(&out)["version"]),
@@ -63,26 +66,29 @@
     );
     assert_eq!(
         fleet
-            .ctl(1, &["apply", &good, "--base", "0", "--id", "second"])
+            .run_ctl(1, &["apply", &good, "--base", "0", "--id", "second"])
             .await
             .0,
         Some(3)
     );
-    assert_eq!(fleet.ctl(1, &["apply", &good, "--force"]).await.0, Some(0));
-    let (status, out) = fleet.ctl(0, &["diff", &good]).await;
+    assert_eq!(
+        fleet.run_ctl(1, &["apply", &good, "--force"]).await.0,
+        Some(0)
+    );
+    let (status, out) = fleet.run_ctl(0, &["diff", &good]).await;
     assert_eq!(
         (status, parse_json(&out)["changes"].as_array().map(Vec::len)),
         (Some(0), Some(0))
     );
-    assert_eq!(fleet.ctl(0, &["nonsense"]).await.0, Some(2));
+    assert_eq!(fleet.run_ctl(0, &["nonsense"]).await.0, Some(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn commands_report_daemon_stage() {
     let mut fleet = fleet(&["--log-patience-ms", "60000"]).await;
-    fleet.add(&places(1, 1)).await;
+    fleet.add_hosts(&places(1, 1)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Hang,
             ..Faults::default()
         })
@@ -90,27 +96,33 @@
     // Without the log or peers, the restarted daemon can't learn which version it needs.
     fleet.kill_daemon(0);
     fleet.start_daemon(0);
-    let starting = until(TIMEOUT, || async {
-        let (status, out) = fleet.ctl(0, &["state"]).await;
+    let starting = wait_until(TIMEOUT, || async {
+        let (status, out) = fleet.run_ctl(0, &["state"]).await;
         status == Some(0) && parse_json(&out)["stage"] == "starting"
     });
     assert!(starting.await);
     let (status, out) = fleet
-        .ctl(0, &["status", "--watch", "1", "--patience-ms", "1"])
+        .run_ctl(0, &["status", "--watch", "1", "--patience-ms", "1"])
         .await;
     assert_eq!(status, Some(1), "{out}");
-    let address = fleet.hosts[0].operator().to_string();
-    let (status, out) = fleet.ctl(0, &["drain", &address]).await;
+    let address = fleet.hosts[0].operator_address().to_string();
+    let (status, out) = fleet.run_ctl(0, &["drain", &address]).await;
     assert_eq!(
         (status, parse_json(&out)["stage"].as_str()),
         (Some(0), Some("draining")),
         "{out}"
     );
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
-    let ended = until(TIMEOUT, || std::future::ready(daemon.ended().is_some())).await;
+    let ended = wait_until(TIMEOUT, || {
+        std::future::ready(daemon.exit_status().is_some())
+    })
+    .await;
     assert!(ended);
-    assert_eq!(daemon.ended().and_then(|status| status.code()), Some(0));
-    let (status, out) = fleet.ctl(0, &["show"]).await;
+    assert_eq!(
+        daemon.exit_status().and_then(|status| status.code()),
+        Some(0)
+    );
+    let (status, out) = fleet.run_ctl(0, &["show"]).await;
     assert_eq!(status, Some(1));
     assert!(
         parse_json(&out)["error"]
@@ -154,14 +166,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_are_documented() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(1, 1)).await;
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
-    let call =
-        jackdaw_trial::rig::session::once(fleet.hosts[0].calls(), http::Method::GET, "/titles", "");
+    fleet.add_hosts(&places(1, 1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
+    let call = jackdaw_trial::rig::session::send_once(
+        fleet.hosts[0].call_address(),
+        http::Method::GET,
+        "/titles",
+        "",
+    );
     assert!(call.await.is_ok());
-    let metrics = jackdaw_trial::rig::session::once(
-        fleet.hosts[0].operator(),
+    let metrics = jackdaw_trial::rig::session::send_once(
+        fleet.hosts[0].operator_address(),
         http::Method::GET,
         "/metrics",
         "",
--- a/trial/tests/quarantine.rs
+++ b/trial/tests/quarantine.rs
@@ -9,7 +9,7 @@
 use futures_util::future::join_all;
 use http::Method;
 use jackdaw_trial::rig::deployment::Place;
-use jackdaw_trial::rig::fleet::{Fleet, get, until};
+use jackdaw_trial::rig::fleet::{Fleet, get_json, wait_until};
 use jackdaw_trial::rig::session::{Answer, Session};
 use jackdawpulley::calls::outcome::REASON;
 use rustix::process::Signal;
@@ -26,7 +26,7 @@
 async fn send_request(fleet: &Fleet, index: usize, name: &str) -> Answer {
     let headers = [("x-request", name), ("x-work-ms", "1000")];
     let request = Session::request(Method::POST, "/grants", &headers, "a studio");
-    let mut session = Session::new(fleet.hosts[index].calls());
+    let mut session = Session::new(fleet.hosts[index].call_address());
     let answer = session.send(request, TIMEOUT).await;
     answer.expect("a whole answer")
 }
@@ -40,26 +40,28 @@
 async fn crash_target_of(fleet: &mut Fleet, name: &str, targets: usize) {
     let runs = || fleet.runs().into_iter().find(|run| run.request == name);
     let (answer, target) = tokio::join!(send_request(fleet, 0, name), async {
-        assert!(until(TIMEOUT, || std::future::ready(runs().is_some())).await);
+        assert!(wait_until(TIMEOUT, || std::future::ready(runs().is_some())).await);
         tokio::time::sleep(RUN_TIME).await;
         let target = runs().expect("it runs").target;
         let mut hosts = fleet.hosts.iter();
-        let index = hosts.position(|host| host.work() == target).expect("known");
+        let index = hosts
+            .position(|host| host.target_address() == target)
+            .expect("known");
         let target = fleet.hosts[index].target.as_ref().expect("it runs");
         target.signal(Signal::KILL);
         index
     });
     assert_eq!(answer.header(REASON), "broken");
     fleet.start_target(target);
-    assert!(fleet.offers(targets, TIMEOUT).await);
+    assert!(fleet.wait_for_upstreams(targets, TIMEOUT).await);
 }
 
 /// Whether all daemons come to quarantine exactly one request.
 async fn all_quarantine(fleet: &Fleet) -> bool {
     let all = fleet.hosts.iter().map(|host| {
-        let operator = host.operator();
-        until(TIMEOUT, move || async move {
-            let state: Option<serde_json::Value> = get(operator, "/state").await;
+        let operator = host.operator_address();
+        wait_until(TIMEOUT, move || async move {
+            let state: Option<serde_json::Value> = get_json(operator, "/state").await;
             let refused = state.and_then(|state| state["quarantined"].as_array().map(Vec::len));
             refused == Some(1)
         })
@@ -69,11 +71,11 @@
 
 /// Starts the hosts and waits until all of them serve.
 async fn start_serving(mut fleet: Fleet, places: &[Place]) -> Fleet {
-    fleet.add(places).await;
-    assert!(fleet.meets(places.len(), TIMEOUT).await);
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, TIMEOUT).await);
-    assert!(fleet.offers(places.len(), TIMEOUT).await);
+    fleet.add_hosts(places).await;
+    assert!(fleet.wait_for_members(places.len(), TIMEOUT).await);
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
+    assert!(fleet.wait_for_upstreams(places.len(), TIMEOUT).await);
     fleet
 }
 
@@ -96,9 +98,9 @@
     let mut places = places(HOST_COUNT + 1, 2);
     places.sort_by(|a, b| a.data_centre.cmp(&b.data_centre));
     fleet = start_serving(fleet, &places).await;
-    net.cut("dc-0", "dc-1");
+    net.partition("dc-0", "dc-1");
     let inside = HOST_COUNT.div_ceil(2);
-    assert!(fleet.offers(inside, PARTITION_TIMEOUT).await);
+    assert!(fleet.wait_for_upstreams(inside, PARTITION_TIMEOUT).await);
     for name in ["first", "second", "third"] {
         crash_target_of(&mut fleet, name, inside).await;
     }
@@ -145,7 +147,7 @@
         fleet.start_daemon(index);
     }
     for index in 0..HOST_COUNT {
-        assert!(fleet.serves(index, TIMEOUT).await);
+        assert!(fleet.wait_for_ready(index, TIMEOUT).await);
     }
     assert_quarantined(&fleet, "after").await;
 }
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{document, fleet, places};
-use jackdaw_trial::rig::fleet::{Fleet, get};
+use jackdaw_trial::rig::fleet::{Fleet, get_json};
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
@@ -103,8 +103,11 @@
 
 /// Looks up the result of an edit whose outcome was unknown.
 async fn look_up(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
-    let answer: Option<Value> =
-        get(fleet.hosts[0].operator(), &format!("/config/edits/{id}")).await;
+    let answer: Option<Value> = get_json(
+        fleet.hosts[0].operator_address(),
+        &format!("/config/edits/{id}"),
+    )
+    .await;
     let answer = answer.unwrap_or_default();
     let told = |name: &str| answer[name].as_u64();
     match (told("version"), told("current")) {
@@ -120,7 +123,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn history_is_linearizable() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(4, 2)).await;
+    fleet.add_hosts(&places(4, 2)).await;
     let fleet = Arc::new(fleet);
     let actions: Actions = Arc::default();
     let mut operators = Vec::new();
@@ -139,7 +142,7 @@
     ];
     for mode in modes {
         fleet
-            .fail_log(Faults {
+            .set_log_faults(Faults {
                 mode,
                 slow_ms: 5,
                 ..Faults::default()
@@ -155,7 +158,7 @@
                 .map(|(id, base)| (operator_index, id, base)),
         );
     }
-    let last = fleet.put(0, document(9_999)).await;
+    let last = fleet.publish_document(0, document(9_999)).await;
     let mut actions = actions
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
