--- a/trial/src/lib.rs
+++ b/trial/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stand-ins, fault trials and measurements for jackdawpulley.
+//! Stand-ins, fault injection and measurements for jackdawpulley.
 //!
-//! Everything runs as real processes on loopback: this one binary is the stand-in for the
-//! platform's log, the stand-in target, the daemon, the operator's command and the trial that
-//! starts and injures all of them.
+//! Trials start real processes on loopback. One binary is the stand-in for the platform's log, the
+//! stand-in target, the daemon, the operator's command, and the trial that starts the others and
+//! injects faults.
 //!
-//! [`rig`] is what all of it is built from; [`calls`], [`load`] and [`path`] are trials, [`measure`] holds
-//! measurements, [`stand_in`] what stands in for the outside.
+//! [`rig`] holds the shared test rig; [`calls`], [`load`] and [`path`] are trials, [`measure`] holds
+//! measurements, and [`stand_in`] replaces external systems.
 
 pub mod calls;
 pub mod load;
--- a/trial/src/rig/deployment.rs
+++ b/trial/src/rig/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that trials are modelled on, and documents for them.
+//! Deployments that trials model, with their configuration documents.
 
 use jackdawpulley::configuration::document::{
     Bounds, Class, Document, Ejection, Group, Guard, Retry, Route,
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use strum::{Display, EnumString};
 
-/// A first user.
+/// Modelled deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
@@ -21,14 +21,14 @@
 /// One host of a deployment.
 #[derive(Debug, Clone)]
 pub struct Place {
-    /// Where it is.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// What its target offers, when it has one.
+    /// Service that the host's target offers, if the host has a target.
     pub service: Option<Service>,
 }
 
 impl Deployment {
-    /// Its data centres.
+    /// Data centres of the deployment.
     #[must_use]
     pub const fn data_centres(self) -> &'static [&'static str] {
         match self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Its services with their upstreams.
+    /// Services with their numbers of upstreams.
     #[must_use]
     pub const fn services(self) -> &'static [(&'static str, usize)] {
         match self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its hosts, each service spread over the data centres.
+    /// Hosts, with each service spread over the data centres.
     #[must_use]
     pub fn places(self) -> Vec<Place> {
         let centres = self.data_centres();
@@ -59,7 +59,7 @@
         all.collect()
     }
 
-    /// Its document.
+    /// Configuration document of the deployment.
     #[must_use]
     pub fn document(self) -> Document {
         let (reads, writes) = match self {
@@ -92,7 +92,7 @@
         .sorted()
     }
 
-    /// Path of a read, and of a call that must run at most once.
+    /// Paths of the deployment's routes.
     #[must_use]
     pub const fn paths(self) -> Paths {
         match self {
@@ -112,16 +112,16 @@
     }
 }
 
-/// Paths of a deployment's routes.
+/// Paths of a deployment's routes, by kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Paths {
-    /// Interactive, repeatable.
+    /// Path of an interactive, repeatable route.
     pub read: &'static str,
-    /// Interactive, at most once.
+    /// Path of an interactive route whose requests run at most once.
     pub write: &'static str,
-    /// Deferrable, at most once.
+    /// Path of a deferrable route whose requests run at most once.
     pub grant: &'static str,
-    /// Background, repeatable.
+    /// Path of a background, repeatable route.
     pub feed: &'static str,
 }
 
@@ -166,7 +166,7 @@
     }
 }
 
-/// A document with `services` services, each with a group and four routes.
+/// Document with `services` services, each with one group and four routes.
 #[must_use]
 pub fn sized(services: usize) -> Document {
     let routes = (0..services).flat_map(|service| {
--- a/trial/src/rig/fleet.rs
+++ b/trial/src/rig/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting, injuring and asking real processes on loopback.
+//! Starts real processes on loopback, injects faults into them and queries them.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -23,32 +23,32 @@
 use crate::stand_in::log::{Faults, Stats};
 use crate::stand_in::target::Run;
 
-/// Pause between two looks at a condition.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything that a trial runs.
+/// All processes of a trial.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) program: PathBuf,
     network: u8,
     logs: PathBuf,
     options: Vec<String>,
-    /// Slots of each target.
+    /// Slots of each target that is started.
     slots: String,
-    /// The network between the hosts, when trials want to cut it.
+    /// Simulated network between the daemons, if the trial needs one.
     pub net: Option<Arc<Network>>,
-    /// The platform log.
+    /// Stand-in for the platform's log.
     pub log: Option<Process>,
-    /// The hosts.
+    /// Hosts in the order of their indices.
     pub hosts: Vec<Host>,
 }
 
 impl Fleet {
-    /// Starts the log; `options` are passed to every daemon.
+    /// Starts the log. Every daemon gets `options` on its command line.
     ///
     /// # Panics
     ///
-    /// When no part of the loopback network is free or the log does not come up.
+    /// When no loopback network is free or the log does not start within 10 s.
     pub async fn start(program: PathBuf, options: &[&str]) -> Self {
         let network = allocate_network();
         let logs =
@@ -74,30 +74,30 @@
         };
         assert!(
             wait_until(Duration::from_secs(10), up).await,
-            "the log did not come up"
+            "the log did not start"
         );
         fleet
     }
 
-    /// Gives the targets that are started from now on other slots.
+    /// Sets the slots of targets that are started from now on.
     #[must_use]
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots.to_string();
         self
     }
 
-    /// Puts a network that can be cut between the hosts that are added from now on.
+    /// Connects the hosts that are added from now on through a simulated network.
     #[must_use]
     pub fn with_net(mut self) -> Self {
         self.net = Some(Arc::new(Network::default()));
         self
     }
 
-    /// Starts hosts and waits until all of them serve.
+    /// Starts hosts and waits until all of them are ready.
     ///
     /// # Panics
     ///
-    /// When they do not within a minute.
+    /// When a host is not ready within one minute.
     pub async fn add_hosts(&mut self, places: &[Place]) {
         let first = self.hosts.len();
         for place in places {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Starts the platform log.
+    /// Starts the stand-in for the platform's log.
     pub fn start_log(&mut self) {
         let listen = self.log_address().to_string();
         self.log = Some(self.spawn("log", &["log", "--listen", &listen]));
@@ -176,7 +176,7 @@
         self.hosts[index].daemon = Some(process);
     }
 
-    /// Starts the target of a host, when it has a service.
+    /// Starts the target of a host, if the host has a service.
     pub fn start_target(&mut self, index: usize) {
         let host = &self.hosts[index];
         let Some(service) = host.place.service.as_ref().map(ToString::to_string) else {
@@ -202,50 +202,50 @@
         self.hosts[index].target = Some(process);
     }
 
-    /// Address of the platform log.
+    /// Address of the stand-in for the platform's log.
     #[must_use]
     pub const fn log_address(&self) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.network, 0, 1)), LOG_PORT)
     }
 
-    /// Sets the switches of the log.
+    /// Sets the faults of the log.
     ///
     /// # Panics
     ///
-    /// When the log does not take them.
+    /// When the log does not accept them.
     pub async fn set_log_faults(&self, faults: Faults) {
         let body = serde_json::to_string(&faults).expect("plain data is JSON");
         let answer = session::send_once(self.log_address(), Method::POST, "/faults", &body).await;
         assert!(
             answer.is_ok_and(|answer| answer.status.is_success()),
-            "the log takes faults"
+            "the log accepts the faults"
         );
     }
 
-    /// What the log has done.
+    /// Counters of the log.
     pub async fn log_stats(&self) -> Stats {
         get_json(self.log_address(), "/stats")
             .await
             .unwrap_or_default()
     }
 
-    /// Whether a daemon serves before `patience` ends.
-    pub async fn wait_for_ready(&self, index: usize, patience: Duration) -> bool {
+    /// Waits until a daemon is ready; returns `false` on a time-out.
+    pub async fn wait_for_ready(&self, index: usize, timeout: Duration) -> bool {
         let operator = self.hosts[index].operator_address();
-        wait_until(patience, || async move {
+        wait_until(timeout, || async move {
             let answer = session::send_once(operator, Method::GET, "/health/ready", "").await;
             answer.is_ok_and(|answer| answer.status.is_success())
         })
         .await
     }
 
-    /// Version in force on a daemon.
+    /// Active version of a daemon.
     pub async fn version(&self, index: usize) -> Option<Version> {
         let state: Value = get_json(self.hosts[index].operator_address(), "/health/ready").await?;
         state["version"].as_u64().map(Version)
     }
 
-    /// Hosts whose daemon runs.
+    /// Indices of the hosts whose daemon runs.
     #[must_use]
     pub fn running_hosts(&self) -> Vec<usize> {
         (0..self.hosts.len())
@@ -253,9 +253,10 @@
             .collect()
     }
 
-    /// Whether all running daemons have `version` or a later one before `patience` ends.
-    pub async fn wait_for_version(&self, version: Version, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
+    /// Waits until `version` or a later one is active on all running daemons; returns `false` on a
+    /// time-out.
+    pub async fn wait_for_version(&self, version: Version, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         for index in self.running_hosts() {
             let left = deadline.saturating_duration_since(Instant::now());
             let there = wait_until(left, || async move {
@@ -270,9 +271,9 @@
         true
     }
 
-    /// Whether all running daemons see `count` members before `patience` ends.
-    pub async fn wait_for_members(&self, count: usize, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
+    /// Waits until all running daemons see `count` members; returns `false` on a time-out.
+    pub async fn wait_for_members(&self, count: usize, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         for index in self.running_hosts() {
             let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
@@ -287,9 +288,9 @@
         true
     }
 
-    /// Waits until every daemon that runs knows `count` upstreams.
-    pub async fn wait_for_upstreams(&self, count: usize, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
+    /// Waits until all running daemons know `count` upstreams; returns `false` on a time-out.
+    pub async fn wait_for_upstreams(&self, count: usize, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         for index in self.running_hosts() {
             let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
@@ -305,7 +306,7 @@
         true
     }
 
-    /// What all targets have run, across their restarts.
+    /// Runs that all targets have recorded, across their restarts.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         let files = (0..self.hosts.len()).map(|index| self.runs_file(index));
@@ -333,7 +334,7 @@
         }
     }
 
-    /// Folder with what the processes wrote to standard error.
+    /// Folder with the output of the processes and the runs of the targets.
     #[must_use]
     pub const fn logs(&self) -> &PathBuf {
         &self.logs
@@ -363,7 +364,7 @@
     }
 }
 
-/// Fetches JSON.
+/// Fetches and parses JSON; `None` on any failure.
 pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
     let answer: Answer = session::send_once(address, Method::GET, path, "")
         .await
@@ -371,13 +372,13 @@
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// Waits until `condition` holds; `false` when it does not before `patience` ends.
-pub async fn wait_until<F, C>(patience: Duration, mut condition: C) -> bool
+/// Waits until `condition` holds; returns `false` on a time-out.
+pub async fn wait_until<F, C>(timeout: Duration, mut condition: C) -> bool
 where
     F: Future<Output = bool>,
     C: FnMut() -> F,
 {
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + timeout;
     loop {
         if condition().await {
             return true;
--- a/trial/src/rig/host.rs
+++ b/trial/src/rig/host.rs
@@ -1,4 +1,4 @@
-//! One host of a trial and its processes.
+//! Hosts of a trial and their processes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::process::{Child, ExitStatus};
@@ -14,27 +14,26 @@
 pub(crate) const TARGET_PORT: u16 = 7005;
 pub(crate) const LOG_PORT: u16 = 7000;
 
-/// A process of a trial; killed when dropped.
+/// Child process that is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// The process as the system knows it.
     child: Child,
 }
 
 impl Process {
-    /// Takes charge of a started process.
+    /// Takes ownership of a started process.
     #[must_use]
     pub const fn new(child: Child) -> Self {
         Self { child }
     }
 
-    /// Its identifier.
+    /// Process identifier.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid {
@@ -42,13 +41,13 @@
         }
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its exit status, once it has ended.
+    /// Exit status, once the process has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -60,18 +59,18 @@
     }
 }
 
-/// One host: a daemon and, mostly, a target.
+/// Host with a daemon and usually a target.
 #[derive(Debug)]
 pub struct Host {
-    /// Where it is and what it offers.
+    /// Data centre and service.
     pub place: Place,
-    /// Its address.
+    /// Address that the host advertises.
     pub ip: IpAddr,
-    /// Address behind the stand-in network, when there is one.
+    /// Address that the daemon listens on for peers: behind the simulated network, if there is one.
     pub inner: IpAddr,
-    /// Its daemon, while it runs.
+    /// Daemon, until it is killed or taken.
     pub daemon: Option<Process>,
-    /// Its target, while it runs.
+    /// Target, until it is killed or taken.
     pub target: Option<Process>,
 }
 
@@ -94,7 +93,7 @@
         SocketAddr::new(self.ip, OPERATOR_PORT)
     }
 
-    /// Address where the target takes calls.
+    /// Address where the target accepts requests.
     #[must_use]
     pub const fn target_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, TARGET_PORT)
--- a/trial/src/rig/mod.rs
+++ b/trial/src/rig/mod.rs
@@ -1,4 +1,4 @@
-//! What trials are built from: hosts and processes on loopback, the network between them, sessions of callers.
+//! Test rig: hosts and processes on loopback, the network between them, and sessions of callers.
 
 pub mod deployment;
 pub mod fleet;
--- a/trial/src/rig/monitor.rs
+++ b/trial/src/rig/monitor.rs
@@ -1,4 +1,4 @@
-//! Watching what every daemon has in force, for the whole of a trial.
+//! Polls the active configuration of every daemon during a trial, and checks it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 
 use crate::rig::fleet::{Fleet, get_json};
 
-/// Pause between two looks at a daemon.
+/// Interval between polls of a daemon.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// Faults of one daemon that are kept.
+/// Most faults that are kept for one daemon.
 const MAX_FAULTS: usize = 5;
 
-/// What a daemon answers to `GET /config`.
+/// Response of a daemon to `GET /config`.
 #[derive(Debug, Clone, Deserialize)]
 struct ActiveConfiguration {
     version: Version,
@@ -27,112 +27,115 @@
     document: Document,
 }
 
-/// What a daemon answers to `GET /health/ready`.
+/// Response of a daemon to `GET /health/ready`.
 #[derive(Debug, Clone, Deserialize)]
 struct Health {
     ready: bool,
 }
 
-/// Follows daemons until it is finished.
+/// Polls daemons until [`Monitor::finish`] is called.
 #[derive(Debug)]
 pub struct Monitor {
     stop: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<Observation>>,
 }
 
-/// What was seen of one daemon.
+/// Observations of one daemon.
 #[derive(Debug, Default)]
 struct Observation {
     samples: usize,
-    /// Hash of each version that it served.
+    /// Hash of each version that the daemon served.
     versions: BTreeMap<Version, String>,
     faults: Vec<String>,
 }
 
-/// What was seen of all.
+/// Observations of all daemons.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Looks that found a serving daemon.
+    /// Number of polls that found a ready daemon.
     pub samples: usize,
-    /// What should not have been.
+    /// Violations of the invariants, as text.
     pub faults: Vec<String>,
 }
 
 impl Monitor {
-    /// Follows every host of a fleet, across restarts of its daemon.
+    /// Polls every host of a fleet, across restarts of its daemon.
     #[must_use]
     pub fn start(fleet: &Fleet) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let follow = |operator| {
+        let poll = |operator| {
             let stop = Arc::clone(&stop);
-            tokio::spawn(async move { follow(operator, &stop).await })
+            tokio::spawn(async move { poll(operator, &stop).await })
         };
         let tasks = fleet
             .hosts
             .iter()
-            .map(|host| follow(host.operator_address()))
+            .map(|host| poll(host.operator_address()))
             .collect();
         Self { stop, tasks }
     }
 
-    /// Stops looking.
+    /// Stops polling and returns the findings.
     ///
     /// # Panics
     ///
-    /// When a follower has panicked.
+    /// When a polling task has panicked.
     pub async fn finish(self) -> Report {
         self.stop.store(true, Ordering::Release);
-        let mut verdict = Report::default();
+        let mut report = Report::default();
         let mut hashes: BTreeMap<Version, String> = BTreeMap::new();
         for task in self.tasks {
-            let seen = task.await.expect("a follower ends");
-            verdict.samples += seen.samples;
-            verdict.faults.extend(seen.faults);
-            for (version, hash) in seen.versions {
+            let observation = task.await.expect("the polling task ends");
+            report.samples += observation.samples;
+            report.faults.extend(observation.faults);
+            for (version, hash) in observation.versions {
                 let known = hashes.entry(version).or_insert_with(|| hash.clone());
                 if *known != hash {
-                    verdict
+                    report
                         .faults
-                        .push(format!("version {version} has two contents"));
+                        .push(format!("version {version} has two different hashes"));
                 }
             }
         }
-        verdict
+        report
     }
 }
 
-async fn follow(operator: SocketAddr, stop: &AtomicBool) -> Observation {
-    let mut seen = Observation::default();
+async fn poll(operator: SocketAddr, stop: &AtomicBool) -> Observation {
+    let mut observation = Observation::default();
     let mut last = Version(0);
     while !stop.load(Ordering::Acquire) {
         tokio::time::sleep(POLL_INTERVAL).await;
-        // Readiness is asked first: a daemon that was ready then has reached its floor.
+        // Readiness is polled first: a daemon that was ready then had the version it needs.
         let ready = get_json::<Health>(operator, "/health/ready")
             .await
             .is_some_and(|h| h.ready);
-        let Some(in_force) = get_json::<ActiveConfiguration>(operator, "/config")
+        let Some(active) = get_json::<ActiveConfiguration>(operator, "/config")
             .await
             .filter(|_| ready)
         else {
             continue;
         };
-        seen.samples += 1;
-        if in_force.version < last {
-            let fault = format!("{operator} went from {last} back to {}", in_force.version);
-            seen.faults.push(fault);
+        observation.samples += 1;
+        if active.version < last {
+            let fault = format!("{operator} went from {last} back to {}", active.version);
+            observation.faults.push(fault);
         }
-        last = last.max(in_force.version);
-        let dangling = check::document(&in_force.document);
-        if !dangling.is_empty() {
-            seen.faults
-                .push(format!("{operator} serves faults: {dangling:?}"));
+        last = last.max(active.version);
+        let problems = check::document(&active.document);
+        if !problems.is_empty() {
+            observation.faults.push(format!(
+                "{operator} serves an invalid document: {problems:?}"
+            ));
         }
-        if format!("{:016x}", in_force.document.hash()) != in_force.hash {
-            seen.faults
-                .push(format!("{operator} serves a mix at {}", in_force.version));
+        if format!("{:016x}", active.document.hash()) != active.hash {
+            observation.faults.push(format!(
+                "{operator} serves a document that does not match its hash at {}",
+                active.version
+            ));
         }
-        seen.versions.insert(in_force.version, in_force.hash);
-        seen.faults.truncate(MAX_FAULTS);
+        observation.versions.insert(active.version, active.hash);
+        observation.faults.truncate(MAX_FAULTS);
     }
-    seen
+    observation
 }
--- a/trial/src/rig/network.rs
+++ b/trial/src/rig/network.rs
@@ -1,8 +1,8 @@
-//! A network between daemons that can be cut, between data centres or around a host, slowed and reset.
+//! Simulated network between daemons, with partitions, isolated hosts, delays and resets.
 //!
-//! Each daemon listens on an inner address and advertises an outer one; this module forwards from
-//! the outer to the inner, and drops what crosses a cut. Who sends is told by the source address,
-//! which is the sender's inner one.
+//! Each daemon listens on an inner address and advertises an outer one. This module forwards traffic
+//! from the outer to the inner address; across a partition it drops datagrams and holds back streams.
+//! It identifies the sender by the source address, which is the sender's inner one.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,10 +13,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// Pause between two looks at a cut link.
+/// Interval between checks of a blocked connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Forwards between daemons.
+/// Simulated network.
 #[derive(Debug, Default)]
 pub struct Network {
     state: Mutex<State>,
@@ -26,33 +26,33 @@
 struct State {
     /// Data centre of each inner address.
     data_centres: Vec<(IpAddr, DataCentre)>,
-    /// Pairs of data centres that can't reach each other.
+    /// Pairs of partitioned data centres.
     partitions: Vec<(DataCentre, DataCentre)>,
-    /// Hosts that are cut off, each by the ways that are.
+    /// Isolated hosts, with the direction that is blocked.
     isolated: Vec<(IpAddr, Direction)>,
-    /// Hosts to and from which everything takes longer.
+    /// Hosts whose traffic is delayed, both ways.
     slowed: Vec<(IpAddr, Duration)>,
-    /// Times that all connections were reset.
+    /// Number of resets of all connections.
     resets: u64,
 }
 
-/// Ways to or from a host.
+/// Direction of traffic, as seen from a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// To the host.
+    /// Traffic to the host.
     In,
-    /// From the host.
+    /// Traffic from the host.
     Out,
-    /// Both.
+    /// Traffic in both directions.
     Both,
 }
 
 impl Network {
-    /// Forwards from `outer` to `inner`, which is in `data_centre`.
+    /// Starts to forward from `outer` to `inner`, an address in `data_centre`.
     ///
     /// # Panics
     ///
-    /// When the outer address can't be had.
+    /// When the outer address can't be bound.
     pub async fn attach(
         self: &Arc<Self>,
         outer: SocketAddr,
@@ -71,12 +71,12 @@
         tokio::spawn(async move { datagrams.forward_datagrams(udp, inner).await });
     }
 
-    /// Parts two data centres.
+    /// Partitions two data centres.
     pub fn partition(&self, one: &str, other: &str) {
         self.state().partitions.push((one.into(), other.into()));
     }
 
-    /// Joins everything again.
+    /// Removes all partitions, isolations and delays.
     pub fn heal(&self) {
         let mut state = self.state();
         state.partitions.clear();
@@ -84,24 +84,24 @@
         state.slowed.clear();
     }
 
-    /// Cuts a host off, by its inner address.
+    /// Isolates the host with this inner address, in one direction or both.
     pub fn isolate(&self, host: IpAddr, way: Direction) {
         self.state().isolated.push((host, way));
     }
 
-    /// Has everything to and from a host take so much longer.
+    /// Delays all traffic to and from the host with this inner address.
     pub fn slow(&self, host: IpAddr, delay: Duration) {
         self.state().slowed.push((host, delay));
     }
 
-    /// Joins a host again.
+    /// Removes the isolation and the delay of a host.
     pub fn heal_host(&self, host: IpAddr) {
         let mut state = self.state();
         state.isolated.retain(|(muted, _)| *muted != host);
         state.slowed.retain(|(slowed, _)| *slowed != host);
     }
 
-    /// Resets all connections.
+    /// Closes all connections.
     pub fn reset_connections(&self) {
         self.state().resets += 1;
     }
@@ -113,7 +113,7 @@
         slowed.map(|(_, delay)| *delay)
     }
 
-    /// Whether what `one` sends does not reach `other`.
+    /// Whether traffic from `one` to `other` is blocked.
     fn is_blocked(&self, one: IpAddr, other: IpAddr) -> bool {
         let state = self.state();
         let stops = |host: IpAddr, way: Direction| match way {
@@ -187,7 +187,7 @@
         forth.abort();
     }
 
-    /// Copies one direction; holds everything back while the ends are parted.
+    /// Copies one direction; holds data back while the direction is blocked.
     async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, ends: (IpAddr, IpAddr)) {
         let began = self.state().resets;
         let mut buffer = vec![0; 16 << 10];
@@ -212,7 +212,7 @@
         let _ = to.shutdown().await;
     }
 
-    /// Waits until all connections that are as old as `began` are reset.
+    /// Waits until the connections that were opened after `began` resets are reset.
     async fn wait_for_reset(&self, began: u64) {
         while self.state().resets == began {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/trial/src/rig/proxy.rs
+++ b/trial/src/rig/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder whose condition can be changed while it runs.
+//! TCP proxy with network conditions that can be changed while it runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,32 +9,32 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What becomes of what is sent.
+/// Network condition.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Condition {
-    /// It is passed on.
+    /// Data is forwarded.
     #[default]
     Open,
-    /// It is held back, both ways.
+    /// Data is held back in both directions.
     Silent,
-    /// Requests are passed on, and answers are held back.
+    /// Requests are forwarded, and responses are held back.
     Mute,
-    /// It is passed on after so many milliseconds.
+    /// Data is forwarded after this many milliseconds.
     Slow(u64),
-    /// Connections are ended.
+    /// Connections are closed.
     Closed,
 }
 
-/// A forwarder.
+/// TCP proxy.
 #[derive(Debug)]
 pub struct Proxy(Arc<watch::Sender<Condition>>);
 
 impl Proxy {
-    /// Forwards from `outer` to `inner`.
+    /// Starts to forward from `outer` to `inner`.
     ///
     /// # Panics
     ///
-    /// When the outer address can't be had.
+    /// When the outer address can't be bound.
     pub async fn open(outer: SocketAddr, inner: SocketAddr) -> Self {
         let listener = TcpListener::bind(outer).await;
         let listener = listener.expect("the outer address is free");
@@ -48,7 +48,7 @@
         Self(condition)
     }
 
-    /// Changes the condition, of open connections as well.
+    /// Sets the condition of all connections, open ones included.
     pub fn set(&self, condition: Condition) {
         self.0.send_replace(condition);
     }
@@ -75,7 +75,7 @@
     forth.abort();
 }
 
-/// Copies one direction, which `held` holds back beside [`Condition::Silent`].
+/// Copies one direction; holds data back under `held` and [`Condition::Silent`].
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/trial/src/rig/publish.rs
+++ b/trial/src/rig/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing through the daemons of a fleet, by their interface and by the operator's command.
+//! Publishes edits through the daemons of a fleet, and runs the operator's command.
 
 use std::process::Stdio;
 
@@ -11,19 +11,19 @@
 use crate::rig::fleet::Fleet;
 use crate::rig::session::{self, Failure};
 
-/// Tries to publish on what a daemon says is in force.
+/// Attempts to publish a document while the active version changes.
 const MAX_ATTEMPTS: usize = 5;
 
 impl Fleet {
-    /// Publishes an edit through a daemon; the status and the JSON answer.
+    /// Publishes an edit through a daemon; returns the status and the JSON response.
     ///
     /// # Errors
     ///
-    /// Why there is no whole answer.
+    /// When there is no complete response.
     ///
     /// # Panics
     ///
-    /// Never: an edit is plain data.
+    /// Never: an edit can always be serialized.
     pub async fn publish(&self, index: usize, edit: &Proposal) -> Result<(u16, Value), Failure> {
         let body = serde_json::to_string(edit).expect("plain data is JSON");
         let answer = session::send_once(
@@ -37,13 +37,13 @@
         Ok((answer.status.as_u16(), value))
     }
 
-    /// Publishes a document on whatever is in force and returns its version.
+    /// Publishes a document on top of the active version and returns the new version.
     ///
-    /// A daemon that is a moment behind names the version to publish on.
+    /// A daemon whose version is outdated reports a conflict with the version to publish on.
     ///
     /// # Panics
     ///
-    /// When it is not accepted.
+    /// When the edit is not accepted.
     pub async fn publish_document(&self, index: usize, document: Document) -> Version {
         let mut base = self.version(index).await.unwrap_or_default();
         for _ in 0..MAX_ATTEMPTS {
@@ -65,14 +65,14 @@
             let version = answer["version"].as_u64();
             return Version(version.expect("an accepted edit has a version"));
         }
-        panic!("no base fits: version {base} is said to be in force");
+        panic!("all attempts conflicted; last reported active version: {base}");
     }
 
     /// Runs `jackdawctl` and returns its exit status and standard output.
     ///
     /// # Panics
     ///
-    /// When it can't be started.
+    /// When the command can't be started.
     pub async fn run_ctl(&self, index: usize, args: &[&str]) -> (Option<i32>, String) {
         let daemon = self.hosts[index].operator_address().to_string();
         let mut command = tokio::process::Command::new(&self.program);
--- a/trial/src/rig/session.rs
+++ b/trial/src/rig/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session: one HTTP/1.1 connection, kept for as long as the other side keeps it.
+//! Caller's session: an HTTP/1.1 connection that stays open until the server closes it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// Complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// A header's text; empty when it is not there.
+    /// Value of a header; empty if it is missing or not text.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers
@@ -31,7 +31,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether the other side ends the session after this answer.
+    /// Whether the server closes the connection after this response.
     #[must_use]
     pub fn closes_connection(&self) -> bool {
         self.header(header::CONNECTION.as_str())
@@ -39,18 +39,18 @@
     }
 }
 
-/// Why there is no whole answer.
+/// Reason for the lack of a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened: nothing was sent.
     Refused,
-    /// The connection broke, within an answer or before it.
+    /// The connection broke before the end of the response.
     Cut(String),
-    /// No answer in time.
+    /// No complete response within the time-out.
     Silent,
 }
 
-/// One connection, opened when first needed and again after it was closed.
+/// Connection that is opened on first use and reopened after it was closed.
 #[derive(Debug)]
 pub struct Session {
     address: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl Session {
-    /// A session with `address`.
+    /// Creates a session with the server at `address`.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self {
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Sends the next request to another address, over a new connection.
+    /// Directs further requests to another address, over a new connection.
     pub fn reconnect_to(&mut self, address: SocketAddr) {
         self.address = address;
         self.sender = None;
     }
 
-    /// A request to be sent.
+    /// Builds a request.
     ///
     /// # Panics
     ///
@@ -100,17 +100,17 @@
             .expect("trials write valid requests")
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// When there is no complete response within `timeout`.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Answer, Failure> {
-        let result = tokio::time::timeout(patience, self.exchange(request)).await;
+        let result = tokio::time::timeout(timeout, self.exchange(request)).await;
         let result = result.unwrap_or(Err(Failure::Silent));
         match &result {
             Ok(answer) if !answer.closes_connection() => {}
@@ -120,7 +120,7 @@
     }
 
     async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Answer, Failure> {
-        // An idle connection that was closed meanwhile is opened anew, as any client does.
+        // Reopens a connection that the server closed while it was idle, as any client does.
         if self.sender.as_mut().is_none_or(|sender| sender.is_closed()) {
             self.sender = Some(self.open().await?);
             self.connections += 1;
@@ -150,11 +150,11 @@
     }
 }
 
-/// Sends one request over a connection of its own.
+/// Sends one request over a new connection.
 ///
 /// # Errors
 ///
-/// Why there is no whole answer.
+/// When there is no complete response within 15 s.
 pub async fn send_once(
     address: SocketAddr,
     method: Method,
--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -177,7 +177,7 @@
     }
 }
 
-/// Guards against forwarding reads to a frozen sidecar until the membership drops it. Its host
+/// Guards against forwarding reads to a frozen sidecar, one of three, until the membership drops it. Its host
 /// still accepts connections, so each read would wait there for half of its time-out; the ingress
 /// has to detect the silence on the link itself.
 #[tokio::test(flavor = "multi_thread")]
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -25,7 +25,7 @@
 async fn mass_restart_keeps_versions() {
     let mut fleet = fleet(&[]).await;
     fleet.add_hosts(&places(12, 3)).await;
-    let watch = Monitor::start(&fleet);
+    let monitor = Monitor::start(&fleet);
     for round in 0..3 {
         fleet.publish_document(11, document(round * 10)).await;
         for index in 0..6 {
@@ -54,9 +54,9 @@
             "round {round}"
         );
     }
-    let verdict = watch.finish().await;
-    assert_eq!(verdict.faults, Vec::<String>::new());
-    assert!(verdict.samples > 100, "{verdict:?}");
+    let report = monitor.finish().await;
+    assert_eq!(report.faults, Vec::<String>::new());
+    assert!(report.samples > 100, "{report:?}");
 }
 
 /// Guards against waiting for frozen daemons, and against their return to an older version: two
@@ -68,7 +68,7 @@
     fleet.add_hosts(&places(9, 3)).await;
     let first = fleet.publish_document(0, document(1)).await;
     assert!(fleet.wait_for_version(first, CONVERGENCE_TIMEOUT).await);
-    let watch = Monitor::start(&fleet);
+    let monitor = Monitor::start(&fleet);
     let frozen = [1, 4];
     for index in frozen {
         fleet.signal_daemon(index, Signal::STOP);
@@ -87,7 +87,7 @@
         fleet.signal_daemon(index, Signal::CONT);
     }
     assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
 /// Guards against depending on the log for an accepted edit: the log fails right after accepting
@@ -97,7 +97,7 @@
 async fn accepted_edit_survives_log_outage() {
     let mut fleet = fleet(&[]).await;
     fleet.add_hosts(&places(9, 3)).await;
-    let watch = Monitor::start(&fleet);
+    let monitor = Monitor::start(&fleet);
     let version = fleet.publish_document(3, document(1)).await;
     fleet
         .set_log_faults(Faults {
@@ -116,7 +116,7 @@
     fleet.set_log_faults(Faults::default()).await;
     let version = fleet.publish_document(2, document(2)).await;
     assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
 /// Guards against a wrong or duplicate result when the log appends an edit and its response is
@@ -269,7 +269,7 @@
     let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
     fleet.add_hosts(&places(6, 2)).await;
     assert!(fleet.wait_for_members(6, RECOVERY_TIMEOUT).await);
-    let watch = Monitor::start(&fleet);
+    let monitor = Monitor::start(&fleet);
     let net = fleet.net.clone().expect("it has one");
     net.partition("dc-0", "dc-1");
     assert!(
@@ -294,7 +294,7 @@
     );
     let version = fleet.publish_document(5, document(2)).await;
     assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
 /// Guards against a data centre that misses a version when its only reader is killed and the log
@@ -305,7 +305,7 @@
     let mut fleet = fleet(&["--readers", "1"]).await;
     fleet.add_hosts(&places(8, 2)).await;
     assert!(fleet.wait_for_members(8, RECOVERY_TIMEOUT).await);
-    let watch = Monitor::start(&fleet);
+    let monitor = Monitor::start(&fleet);
     let settled = wait_until(RECOVERY_TIMEOUT, || async {
         fleet.log_stats().await.waiting == 2
     });
@@ -329,5 +329,5 @@
         })
         .await;
     assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
--- a/trial/tests/quarantine.rs
+++ b/trial/tests/quarantine.rs
@@ -89,7 +89,7 @@
     fleet
 }
 
-/// Guards against crashes in a data centre that was partitioned off while the other one quarantined
+/// Guards against crashes in one of two data centres that was partitioned off while the other one quarantined
 /// the request: its daemons must learn of the crashes when the partition heals.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_daemons_learn_crashes() {
@@ -135,8 +135,8 @@
     assert_quarantined(&fleet, "known").await;
 }
 
-/// Guards against losing a quarantine when all daemons are killed at once: the restarted daemons must
-/// restore it from the log.
+/// Guards against losing the quarantine of a request that crashed three targets when all daemons are
+/// killed at once: the restarted daemons must restore it from the log.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantine_survives_restart() {
     let mut fleet = start_quarantining().await;
