--- a/trial/src/calls/caller.rs
+++ b/trial/src/calls/caller.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::calls::history::{Told, Try};
+use crate::calls::history::{Attempt, Outcome};
 use crate::measure::converge::as_f64;
 use crate::rig::session::{Answer, Failure, Session};
 use crate::stand_in::target::Echo;
@@ -21,7 +21,7 @@
 /// Longest time that a target works on a call, in milliseconds.
 const MAX_WORK_MS: f64 = 1_600.0;
 /// Time that a caller waits for an answer; above every time-out of a route.
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 /// Tries of a caller that repeats a key.
 const KEY_TRIES: usize = 3;
 
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Record {
     /// Every try.
-    pub tries: Mutex<Vec<Try>>,
+    pub tries: Mutex<Vec<Attempt>>,
     /// By kind.
     pub times: Vec<Mutex<Times>>,
     /// When callers stop sending.
@@ -72,9 +72,9 @@
     /// Place of its kind in the record.
     pub kind_index: usize,
     /// The daemon that it begins with.
-    pub door: usize,
+    pub ingress: usize,
     /// All daemons.
-    pub doors: Arc<Vec<SocketAddr>>,
+    pub ingresses: Arc<Vec<SocketAddr>>,
     /// What callers collect.
     pub record: Arc<Record>,
     /// Daemons that were killed.
@@ -87,7 +87,7 @@
     /// Calls at random times, as fast on average as its kind asks for.
     pub async fn run(mut self, length: Duration) {
         let mean_s = as_f64(self.kind.sessions as u64) / self.kind.rate;
-        let mut session = Session::new(self.doors[self.door]);
+        let mut session = Session::new(self.ingresses[self.ingress]);
         let began = Instant::now();
         let mut due = began;
         loop {
@@ -113,7 +113,7 @@
         times.lock().unwrap_or_else(PoisonError::into_inner).sent += 1;
         for _ in 0..if keyed { KEY_TRIES } else { 1 } {
             let (told, reason) = self.attempt(session, &name, &work, keyed).await;
-            let attempt = Try {
+            let attempt = Attempt {
                 request: name.clone(),
                 once: self.kind.once,
                 told,
@@ -125,16 +125,16 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(attempt);
             match told {
-                Told::Answered => {
+                Outcome::Answered => {
                     let took = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
                     let mut times = times.lock().unwrap_or_else(PoisonError::into_inner);
                     times.inside += u64::from(Instant::now() < record.until);
                     let _ = times.answered.record(took);
                     return;
                 }
-                Told::Unknown | Told::Cut | Told::CutByKill => {
+                Outcome::Unknown | Outcome::Cut | Outcome::CutByKill => {
                     tokio::time::sleep(Duration::from_millis(100)).await;
-                    self.next_door(session);
+                    self.use_next_ingress(session);
                 }
                 _ => return,
             }
@@ -147,57 +147,68 @@
         name: &str,
         work: &str,
         keyed: bool,
-    ) -> (Told, String) {
+    ) -> (Outcome, String) {
         let mut headers = vec![("x-request", name), ("x-work-ms", work), ("x-size", "300")];
         if keyed {
             headers.push(("idempotency-key", name));
         }
         // A daemon that refuses connections has seen nothing; another one is tried.
-        for _ in 0..self.doors.len() {
+        for _ in 0..self.ingresses.len() {
             let method = if self.kind.once {
                 Method::POST
             } else {
                 Method::GET
             };
             let request = Session::request(method, self.kind.path, &headers, "{}");
-            match session.send(request, PATIENCE).await {
+            match session.send(request, TIMEOUT).await {
                 Ok(answer) => {
                     if answer.closes_connection() {
-                        self.next_door(session);
+                        self.use_next_ingress(session);
                     }
-                    return (judge(&answer, name), answer.header(REASON).to_owned());
+                    return (classify(&answer, name), answer.header(REASON).to_owned());
                 }
-                Err(Failure::Refused) => self.next_door(session),
-                Err(Failure::Silent) => return (Told::Silent, String::new()),
+                Err(Failure::Refused) => self.use_next_ingress(session),
+                Err(Failure::Silent) => return (Outcome::Silent, String::new()),
                 Err(Failure::Cut(how)) => {
                     let killed = self.killed.lock().unwrap_or_else(PoisonError::into_inner);
-                    let by_kill = killed.contains(&self.doors[self.door]);
+                    let by_kill = killed.contains(&self.ingresses[self.ingress]);
                     drop(killed);
-                    self.next_door(session);
-                    return (if by_kill { Told::CutByKill } else { Told::Cut }, how);
+                    self.use_next_ingress(session);
+                    return (
+                        if by_kill {
+                            Outcome::CutByKill
+                        } else {
+                            Outcome::Cut
+                        },
+                        how,
+                    );
                 }
             }
         }
-        (Told::NotRun, "no daemon listens".to_owned())
+        (Outcome::NotRun, "no daemon listens".to_owned())
     }
 
-    fn next_door(&mut self, session: &mut Session) {
-        self.door = (self.door + 1) % self.doors.len();
-        session.reconnect_to(self.doors[self.door]);
+    fn use_next_ingress(&mut self, session: &mut Session) {
+        self.ingress = (self.ingress + 1) % self.ingresses.len();
+        session.reconnect_to(self.ingresses[self.ingress]);
     }
 }
 
 /// Reads an answer: whose it is, and what it says.
-fn judge(answer: &Answer, name: &str) -> Told {
+fn classify(answer: &Answer, name: &str) -> Outcome {
     match answer.header(OUTCOME) {
-        "not-run" => Told::NotRun,
-        "unknown" => Told::Unknown,
+        "not-run" => Outcome::NotRun,
+        "unknown" => Outcome::Unknown,
         "answered" => {
             let echo = serde_json::from_slice::<Echo>(&answer.body).ok();
             let own = echo.is_some_and(|echo| echo.request == name && echo.padding.len() == 300);
-            if own { Told::Answered } else { Told::Wrong }
+            if own {
+                Outcome::Answered
+            } else {
+                Outcome::Wrong
+            }
         }
-        _ => Told::Wrong,
+        _ => Outcome::Wrong,
     }
 }
 
--- a/trial/src/calls/inject.rs
+++ b/trial/src/calls/fault_injection.rs
@@ -8,13 +8,13 @@
 use jackdawpulley::units::Millis;
 use rustix::process::Signal;
 
-use crate::calls::history::Leaving;
+use crate::calls::history::Departure;
 use crate::calls::options::{Args, Fault};
 use crate::rig::fleet::{Fleet, wait_until};
 use crate::stand_in::log::{Faults, Mode};
 
 /// Time for a process to stop, or to come back.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Carries out a fault over `length`, with a change of configuration in the middle.
 ///
@@ -29,7 +29,7 @@
     args: &Args,
     length: Duration,
     killed: &Mutex<Vec<SocketAddr>>,
-) -> Vec<Leaving> {
+) -> Vec<Departure> {
     let began = Instant::now();
     tokio::time::sleep(length / 4).await;
     let mut leavings = Vec::new();
@@ -45,7 +45,7 @@
                 })
                 .await;
         }
-        Fault::Leave => leavings = roll(fleet, began + length).await,
+        Fault::Leave => leavings = rolling_restart(fleet, began + length).await,
     }
     tokio::time::sleep((length / 2).saturating_sub(began.elapsed())).await;
     if args.fault == Fault::LogOutage {
@@ -55,7 +55,7 @@
     change(fleet, args).await;
     tokio::time::sleep((length * 3 / 4).saturating_sub(began.elapsed())).await;
     match args.fault {
-        Fault::Kill => revive(fleet),
+        Fault::Kill => restart(fleet),
         Fault::Freeze => freeze(fleet, Signal::CONT),
         _ => {}
     }
@@ -63,14 +63,14 @@
 }
 
 /// The hosts that are injured: one of each service, the last ones.
-fn victims(fleet: &Fleet) -> (usize, usize) {
+fn affected_hosts(fleet: &Fleet) -> (usize, usize) {
     let last = fleet.hosts.len() - 1;
     (1, last)
 }
 
 /// Kills a whole host of the first service and only the target of a host of the second.
 fn kill(fleet: &mut Fleet, killed: &Mutex<Vec<SocketAddr>>) {
-    let (host, target) = victims(fleet);
+    let (host, target) = affected_hosts(fleet);
     let door = fleet.hosts[host].call_address();
     killed
         .lock()
@@ -81,8 +81,8 @@
     fleet.hosts[target].target = None;
 }
 
-fn revive(fleet: &mut Fleet) {
-    let (host, target) = victims(fleet);
+fn restart(fleet: &mut Fleet) {
+    let (host, target) = affected_hosts(fleet);
     fleet.start_daemon(host);
     fleet.start_target(host);
     fleet.start_target(target);
@@ -90,7 +90,7 @@
 
 /// Stops or continues the target of one host and the daemon of another.
 fn freeze(fleet: &Fleet, signal: Signal) {
-    let (daemon, target) = victims(fleet);
+    let (daemon, target) = affected_hosts(fleet);
     fleet.signal_daemon(daemon, signal);
     if let Some(target) = &fleet.hosts[target].target {
         target.signal(signal);
@@ -99,7 +99,7 @@
 
 /// Stops every target and daemon as planned, one host after another while callers call, and starts
 /// it again.
-async fn roll(fleet: &mut Fleet, end: Instant) -> Vec<Leaving> {
+async fn rolling_restart(fleet: &mut Fleet, end: Instant) -> Vec<Departure> {
     let mut leavings = Vec::new();
     for index in 0..fleet.hosts.len() {
         if Instant::now() >= end {
@@ -110,7 +110,7 @@
         stop(fleet.hosts[index].target.take()).await;
         stop(fleet.hosts[index].daemon.take()).await;
         let back_ms = clock::unix_ms();
-        leavings.push(Leaving {
+        leavings.push(Departure {
             target,
             asked_ms,
             back_ms,
@@ -118,7 +118,7 @@
         fleet.start_daemon(index);
         fleet.start_target(index);
         assert!(
-            fleet.wait_for_ready(index, PATIENCE).await,
+            fleet.wait_for_ready(index, TIMEOUT).await,
             "host {index} comes back"
         );
     }
@@ -130,7 +130,7 @@
         return;
     };
     process.signal(Signal::TERM);
-    let ended = wait_until(PATIENCE, || {
+    let ended = wait_until(TIMEOUT, || {
         std::future::ready(process.exit_status().is_some())
     })
     .await;
--- a/trial/src/calls/history.rs
+++ b/trial/src/calls/history.rs
@@ -8,7 +8,7 @@
 
 /// What a caller was told about one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Outcome {
     /// The whole answer to its own request.
     Answered,
     /// Somebody else's answer, or a part of one.
@@ -27,20 +27,20 @@
 
 /// One try of a request.
 #[derive(Debug, Clone)]
-pub struct Try {
+pub struct Attempt {
     /// Name of the request; a repeat has the same.
     pub request: String,
     /// Whether running it twice does harm.
     pub once: bool,
     /// What the caller was told.
-    pub told: Told,
+    pub told: Outcome,
     /// Why there was no answer, in the daemon's words.
     pub reason: String,
 }
 
 /// A target that was asked to leave.
 #[derive(Debug, Clone, Copy)]
-pub struct Leaving {
+pub struct Departure {
     /// Where it took calls.
     pub target: std::net::SocketAddr,
     /// When it was asked, in milliseconds since 1970.
@@ -84,20 +84,20 @@
 impl Counts {
     /// Counts what was told and what was run.
     #[must_use]
-    pub fn of(tries: &[Try], runs: &[Run], leavings: &[Leaving]) -> Self {
+    pub fn of(tries: &[Attempt], runs: &[Run], leavings: &[Departure]) -> Self {
         let mut counts = Self {
             sent: tries.len(),
             ..Self::default()
         };
         for attempt in tries {
             let counter = match attempt.told {
-                Told::Answered => &mut counts.answered,
-                Told::Wrong => &mut counts.wrong_answer,
-                Told::NotRun => &mut counts.not_run,
-                Told::Unknown => &mut counts.unknown,
-                Told::Cut => &mut counts.cut,
-                Told::CutByKill => &mut counts.cut_by_kill,
-                Told::Silent => &mut counts.silent,
+                Outcome::Answered => &mut counts.answered,
+                Outcome::Wrong => &mut counts.wrong_answer,
+                Outcome::NotRun => &mut counts.not_run,
+                Outcome::Unknown => &mut counts.unknown,
+                Outcome::Cut => &mut counts.cut,
+                Outcome::CutByKill => &mut counts.cut_by_kill,
+                Outcome::Silent => &mut counts.silent,
             };
             *counter += 1;
             if !attempt.reason.is_empty() {
@@ -111,7 +111,7 @@
         let mut told: BTreeMap<&str, (bool, bool)> = BTreeMap::new();
         for attempt in tries {
             let entry = told.entry(&attempt.request).or_insert((attempt.once, true));
-            entry.1 &= attempt.told == Told::NotRun;
+            entry.1 &= attempt.told == Outcome::NotRun;
         }
         for (request, (once, never)) in told {
             let times = ran.get(request).copied().unwrap_or(0);
@@ -135,7 +135,7 @@
     }
 }
 
-impl Leaving {
+impl Departure {
     fn late(&self, runs: &[Run]) -> usize {
         let span = self.asked_ms + LEAVE_MS..self.back_ms;
         runs.iter()
--- a/trial/src/calls/mod.rs
+++ b/trial/src/calls/mod.rs
@@ -1,8 +1,8 @@
 //! Calls under faults, checked on one history of callers and targets.
 
 pub mod caller;
+pub mod fault_injection;
 pub mod history;
-pub mod inject;
 pub mod options;
 
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use strum::{Display, EnumString};
 
 use crate::calls::caller::{Caller, Kind, Record, WORK_MS};
-use crate::calls::history::{Counts, Told, Try};
+use crate::calls::history::{Attempt, Counts, Outcome};
 use crate::calls::options::{Args, Fault};
 use crate::rig::deployment::Deployment;
 use crate::rig::fleet::Fleet;
@@ -27,9 +27,9 @@
 /// Sessions for each call that all slots together take in a second.
 const SESSIONS_PER_CALL: f64 = 0.4;
 /// Time for which gates remember keys: longer than any caller here repeats one.
-const KEY_MEMORY_MS: &str = "12000";
+const KEY_RETENTION_MS: &str = "12000";
 /// Time after which the gates' memories are whole.
-const SETTLE: Duration = Duration::from_millis(12_500);
+const WARM_UP: Duration = Duration::from_millis(12_500);
 
 /// Which policies the daemons follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, Serialize)]
@@ -87,12 +87,12 @@
 ///
 /// When the fleet does not come up, or does not come back.
 pub async fn run(program: PathBuf, args: &Args, policy: Policy) -> Report {
-    let mut options = vec!["--key-memory-ms", KEY_MEMORY_MS];
+    let mut options = vec!["--key-memory-ms", KEY_RETENTION_MS];
     if policy == Policy::Baseline {
         options.extend(["--pick", "random", "--limits", "off", "--retries", "fixed"]);
     }
     let mut fleet = Fleet::start(program, &options).await.with_slots(SLOTS);
-    fleet.add_hosts(&args.deployment.places()).await;
+    fleet.add_hosts(&args.deployment.placements()).await;
     assert!(
         fleet
             .wait_for_members(fleet.hosts.len(), Duration::from_secs(30))
@@ -107,7 +107,7 @@
         "the document is in force"
     );
 
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
 
     let kinds = kinds(args);
     let length = Duration::from_secs(args.seconds);
@@ -121,8 +121,8 @@
             let caller = Caller {
                 kind: *kind,
                 kind_index,
-                door: number % doors.len(),
-                doors: Arc::clone(&doors),
+                ingress: number % doors.len(),
+                ingresses: Arc::clone(&doors),
                 record: Arc::clone(&record),
                 killed: Arc::clone(&killed),
                 rng: SmallRng::seed_from_u64((kind_index * 10_000 + number) as u64),
@@ -130,7 +130,7 @@
             callers.push(tokio::spawn(caller.run(length)));
         }
     }
-    let leavings = inject::run(&mut fleet, args, length, &killed).await;
+    let leavings = fault_injection::run(&mut fleet, args, length, &killed).await;
     for caller in callers {
         caller.await.expect("a caller ends");
     }
@@ -186,7 +186,7 @@
     kinds: &[Kind],
     record: &Record,
     counts: Counts,
-    tries: &[Try],
+    tries: &[Attempt],
 ) -> Report {
     let mut classes = Vec::new();
     let (mut interactive, mut inside) = (0, 0);
@@ -210,8 +210,9 @@
         .map(|(_, count)| *count as u64)
         .sum::<u64>();
     let capacity = number(targets * u64::from(SLOTS) * args.seconds) * 1_000.0 / WORK_MS;
-    let lost =
-        |attempt: &&Try| !attempt.once && !matches!(attempt.told, Told::Answered | Told::CutByKill);
+    let lost = |attempt: &&Attempt| {
+        !attempt.once && !matches!(attempt.told, Outcome::Answered | Outcome::CutByKill)
+    };
     Report {
         trial: "calls",
         deployment: args.deployment,
--- a/trial/src/load/kind.rs
+++ b/trial/src/load/kind.rs
@@ -24,7 +24,7 @@
     /// Time within which an answer earns full credit.
     pub aim: Millis,
     /// Time that a caller waits.
-    pub patience: Millis,
+    pub timeout: Millis,
     /// Credit of an answer in time.
     pub worth: f64,
     /// Calls of another kind that a run makes first, all together.
@@ -46,13 +46,13 @@
 pub const LATE_WORTH: f64 = 0.3;
 
 /// Place of the nested kind in the list.
-const INNER: usize = 3;
+const NESTED_KIND: usize = 3;
 
 /// The kinds of a deployment.
 #[must_use]
 pub fn kinds(deployment: Deployment) -> Vec<Kind> {
     let nested = Nested {
-        kind: INNER,
+        kind: NESTED_KIND,
         times: 2,
         share: 0.7,
     };
@@ -65,7 +65,7 @@
         kb: 0.4,
         priority: Priority(priority),
         aim: Millis(aim),
-        patience: Millis(patience),
+        timeout: Millis(patience),
         worth: f64::from(3 - priority),
         calls: None,
     };
--- a/trial/src/load/mod.rs
+++ b/trial/src/load/mod.rs
@@ -7,8 +7,8 @@
 
 pub mod kind;
 pub mod plot;
-pub mod tally;
-pub mod world;
+pub mod simulation;
+pub mod statistics;
 
 use std::path::PathBuf;
 
@@ -17,8 +17,8 @@
 use strum::{Display, EnumString, VariantArray};
 
 use crate::rig::deployment::Deployment;
-use tally::Row;
-use world::World;
+use simulation::Simulation;
+use statistics::Row;
 
 /// How calls are placed and refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, VariantArray, Serialize)]
@@ -88,7 +88,7 @@
 /// Plays the load under one policy.
 #[must_use]
 pub fn run(args: &Args, policy: Policy) -> Report {
-    let mut world = World::new(args, policy);
+    let mut world = Simulation::new(args, policy);
     world.play();
     world.report(policy)
 }
--- a/trial/src/load/world.rs
+++ b/trial/src/load/simulation.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::kind::{Kind, Nested, kinds};
-use super::tally::{End, Tally};
+use super::statistics::{End, Statistics};
 use super::{Args, Policy, Report};
 
 /// Slots of each target.
@@ -23,16 +23,16 @@
 /// Speeds of the targets in turn, as multiples of the time that an ordinary one needs.
 const SPEEDS: [f64; 3] = [0.6, 1.0, 1.4];
 /// Part of the slots from which on a target slows down, and by how much when all are taken.
-const KNEE: (f64, f64) = (0.75, 1.4);
+const SLOWDOWN: (f64, f64) = (0.75, 1.4);
 /// What a kilobyte from another data centre counts, in milliseconds, and the part of it for which a
 /// call waits less there; the settings of the platform's deploy file.
-const FAR: (f64, f64) = (200.0, 0.1);
+const REMOTE_COST: (f64, f64) = (200.0, 0.1);
 /// Gates that may refuse a call before its caller is told.
-const REFUSALS: usize = 3;
+const MAX_REFUSALS: usize = 3;
 /// Times after which refused callers come back, in milliseconds.
-const COME_BACK: std::ops::Range<f64> = 150.0..500.0;
+const RETURN_DELAY_MS: std::ops::Range<f64> = 150.0..500.0;
 /// Longest time of a call at its target, as a multiple of the mean.
-const LONGEST: f64 = 8.0;
+const MAX_WORK_FACTOR: f64 = 8.0;
 
 /// What happens next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,19 +81,19 @@
 
 /// What one host's entry knows.
 #[derive(Debug)]
-struct Entry {
+struct Ingress {
     data_centre: usize,
-    typicals: Vec<Baseline>,
-    patiences: Vec<Estimator>,
-    paces: Vec<Profile>,
+    baselines: Vec<Baseline>,
+    estimators: Vec<Estimator>,
+    profiles: Vec<Profile>,
     own: Vec<u32>,
     /// Times at which own calls were sent to each target, as their sum.
     sent: Vec<u64>,
 }
 
-impl Entry {
+impl Ingress {
     /// Own calls under way at a target.
-    fn underway(&self, target: usize, now: u64) -> Outstanding {
+    fn outstanding(&self, target: usize, now: u64) -> Outstanding {
         let count = self.own[target];
         let mean = self.sent[target].checked_div(u64::from(count));
         Outstanding {
@@ -105,7 +105,7 @@
 
 /// Everything that a run needs.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     policy: Policy,
     kinds: Vec<Kind>,
     load: f64,
@@ -119,15 +119,15 @@
     order: u64,
     calls: Vec<Call>,
     targets: Vec<Target>,
-    entries: Vec<Entry>,
-    tallies: Vec<Tally>,
+    ingresses: Vec<Ingress>,
+    statistics: Vec<Statistics>,
     seconds: Vec<(f64, f64)>,
     refused: u64,
     ran: u64,
     far_kb: f64,
 }
 
-impl World {
+impl Simulation {
     /// The world at its start.
     #[must_use]
     pub fn new(args: &Args, policy: Policy) -> Self {
@@ -147,11 +147,11 @@
                 waiting: Vec::new(),
             })
             .collect();
-        let entries = targets.iter().map(|target| Entry {
+        let entries = targets.iter().map(|target| Ingress {
             data_centre: target.data_centre,
-            typicals: vec![Baseline::default(); kinds.len()],
-            patiences: vec![Estimator::default(); kinds.len()],
-            paces: vec![Profile::new(start); targets.len()],
+            baselines: vec![Baseline::default(); kinds.len()],
+            estimators: vec![Estimator::default(); kinds.len()],
+            profiles: vec![Profile::new(start); targets.len()],
             own: vec![0; targets.len()],
             sent: vec![0; targets.len()],
         });
@@ -159,7 +159,7 @@
         let seconds = vec![(0.0, 0.0); args.seconds as usize];
         Self {
             policy,
-            tallies: vec![Tally::new(); kinds.len()],
+            statistics: vec![Statistics::new(); kinds.len()],
             kinds,
             load: args.load,
             crowd: args.crowd,
@@ -172,7 +172,7 @@
             order: 0,
             calls: Vec::new(),
             targets,
-            entries,
+            ingresses: entries,
             seconds,
             refused: 0,
             ran: 0,
@@ -183,15 +183,15 @@
     /// Plays until every call has ended.
     pub fn play(&mut self) {
         for kind in 0..self.kinds.len() {
-            for host in 0..self.entries.len() {
-                self.expect_caller(kind, host);
+            for host in 0..self.ingresses.len() {
+                self.schedule_arrival(kind, host);
             }
         }
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
             match event {
                 Event::Arrive { kind, host } => {
-                    self.expect_caller(kind, host);
+                    self.schedule_arrival(kind, host);
                     let call = self.begin(kind, host, None);
                     self.place(call);
                 }
@@ -212,12 +212,12 @@
         let (earned, worth) = self.seconds.iter().fold((0.0, 0.0), |sum, second| {
             (sum.0 + second.0, sum.1 + second.1)
         });
-        let answered = self.tallies.iter().map(Tally::answered);
+        let answered = self.statistics.iter().map(Statistics::answered);
         let (served, late) = answered.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let share = |part, whole: u64| {
             crate::measure::converge::as_f64(part) / crate::measure::converge::as_f64(whole.max(1))
         };
-        let rows = self.tallies.iter().zip(&self.kinds);
+        let rows = self.statistics.iter().zip(&self.kinds);
         Report {
             trial: "load",
             policy,
@@ -245,15 +245,15 @@
     }
 
     /// Schedules the next caller of a kind at a host, at a random time.
-    fn expect_caller(&mut self, kind: usize, host: usize) {
-        let weight = |entry: &Entry| {
+    fn schedule_arrival(&mut self, kind: usize, host: usize) {
+        let weight = |entry: &Ingress| {
             if entry.data_centre == 0 {
                 self.crowd
             } else {
                 1.0
             }
         };
-        let share = weight(&self.entries[host]) / self.entries.iter().map(weight).sum::<f64>();
+        let share = weight(&self.ingresses[host]) / self.ingresses.iter().map(weight).sum::<f64>();
         let rate = self.kinds[kind].rate * self.load * share;
         if rate <= 0.0 {
             return;
@@ -284,7 +284,7 @@
             target: 0,
             placed: 0,
             began: 0,
-            work_ms: mean_ms * draw.min(LONGEST),
+            work_ms: mean_ms * draw.min(MAX_WORK_FACTOR),
             ended: false,
         });
         self.calls.len() - 1
@@ -302,23 +302,23 @@
             }
             self.refused += 1;
             refusals += 1;
-            self.learn_refusal(call, target);
+            self.record_refusal(call, target);
             self.calls[call].tried.push(target);
-            if refusals == REFUSALS {
+            if refusals == MAX_REFUSALS {
                 return self.refuse(call);
             }
         }
     }
 
     /// Learns how full a gate is that has refused a call.
-    fn learn_refusal(&mut self, call: usize, target: usize) {
+    fn record_refusal(&mut self, call: usize, target: usize) {
         if self.policy == Policy::ExpectedNear {
             return;
         }
         let now = self.at(self.now);
         let load = self.load_of(target);
-        let entry = &mut self.entries[self.calls[call].host];
-        entry.paces[target].record_load(now, load, entry.own[target]);
+        let entry = &mut self.ingresses[self.calls[call].host];
+        entry.profiles[target].record_load(now, load, entry.own[target]);
     }
 
     /// Calls that run at a target or wait at its gate.
@@ -328,7 +328,7 @@
     }
 
     /// Wait that a call tolerates at a target.
-    fn tolerance(&mut self, call: usize, target: usize) -> Duration {
+    fn max_wait(&mut self, call: usize, target: usize) -> Duration {
         let Call {
             kind,
             host,
@@ -336,19 +336,23 @@
             sent,
             ..
         } = self.calls[call];
-        let Kind { aim, patience, .. } = self.kinds[kind];
-        let entry = &mut self.entries[host];
-        let typical = entry.typicals[kind];
+        let Kind {
+            aim,
+            timeout: patience,
+            ..
+        } = self.kinds[kind];
+        let entry = &mut self.ingresses[host];
+        let typical = entry.baselines[kind];
         let before = Duration::from_micros(sent - came);
         let given = Millis::from(patience.duration().saturating_sub(before));
         let before = if self.policy == Policy::ExpectedAlike {
             Duration::ZERO
         } else {
-            entry.patiences[kind].caller_wait(given)
+            entry.estimators[kind].caller_wait(given)
         };
         let far = entry.data_centre != self.targets[target].data_centre;
         let way_ms = if far {
-            FAR.0 * FAR.1 * typical.response_bytes / 1_024.0
+            REMOTE_COST.0 * REMOTE_COST.1 * typical.response_bytes / 1_024.0
         } else {
             0.0
         };
@@ -377,14 +381,14 @@
                 fresh.iter().map(|t| self.candidate(host, *t)).collect();
             return pick::choose(by, &candidates, &mut self.rng).map(|index| fresh[index]);
         }
-        let entry = &self.entries[host];
-        let typical = entry.typicals[kind];
+        let entry = &self.ingresses[host];
+        let typical = entry.baselines[kind];
         let costs: Vec<Cost> = fresh
             .iter()
             .map(|target| {
-                let expected = entry.paces[*target].expected_ms(
+                let expected = entry.profiles[*target].expected_ms(
                     now,
-                    entry.underway(*target, self.now),
+                    entry.outstanding(*target, self.now),
                     SLOTS,
                     &typical,
                 );
@@ -392,7 +396,7 @@
                 let free =
                     !self.calls[call].tried.is_empty() && self.policy != Policy::ExpectedNear;
                 let way_ms = if far && !free {
-                    FAR.0 * (0.5 + typical.response_bytes / 1_024.0)
+                    REMOTE_COST.0 * (0.5 + typical.response_bytes / 1_024.0)
                 } else {
                     0.0
                 };
@@ -406,7 +410,7 @@
     }
 
     fn candidate(&self, host: usize, target: usize) -> Candidate {
-        let (entry, there) = (&self.entries[host], &self.targets[target]);
+        let (entry, there) = (&self.ingresses[host], &self.targets[target]);
         Candidate {
             local: entry.data_centre == there.data_centre,
             load: entry.own[target].max(there.running),
@@ -420,9 +424,11 @@
     fn enter(&mut self, call: usize, target: usize) -> bool {
         let Call { kind, .. } = self.calls[call];
         let Kind {
-            priority, patience, ..
+            priority,
+            timeout: patience,
+            ..
         } = self.kinds[kind];
-        let tolerance = self.tolerance(call, target);
+        let tolerance = self.max_wait(call, target);
         let expected = !matches!(self.policy, Policy::Random | Policy::TwoChoices);
         let wait = self.targets[target].limit.expected_wait(priority);
         if expected && wait > tolerance {
@@ -435,13 +441,13 @@
             Decision::Shed => return false,
             Decision::Run => {
                 self.calls[call].target = target;
-                self.count_own(call, target);
+                self.track_request(call, target);
                 self.start(call);
             }
             Decision::Wait { shed } => {
                 debug_assert!(queue > 0);
                 self.calls[call].target = target;
-                self.count_own(call, target);
+                self.track_request(call, target);
                 self.targets[target].waiting.push((ticket, call));
                 self.schedule(patience.duration() / 2, Event::GiveUp { call, ticket });
                 if let Some(shed) = shed {
@@ -459,7 +465,7 @@
             .position(|(t, _)| *t == ticket);
         if let Some(place) = place {
             let (_, call) = self.targets[target].waiting.remove(place);
-            self.uncount_own(call);
+            self.untrack_request(call);
             self.refuse(call);
         }
     }
@@ -503,7 +509,7 @@
         } = self.calls[call];
         let there = &self.targets[target];
         let fill = f64::from(there.running) / f64::from(SLOTS);
-        let crowded = 1.0 + (fill - KNEE.0).max(0.0) / (1.0 - KNEE.0) * (KNEE.1 - 1.0);
+        let crowded = 1.0 + (fill - SLOWDOWN.0).max(0.0) / (1.0 - SLOWDOWN.0) * (SLOWDOWN.1 - 1.0);
         let third = self.until / 3;
         let slow = target == 0 && (third..2 * third).contains(&self.now);
         let slow = if slow { self.slow } else { 1.0 };
@@ -528,18 +534,18 @@
             return;
         }
         let now = self.at(self.now);
-        let far = self.entries[host].data_centre != self.targets[target].data_centre;
+        let far = self.ingresses[host].data_centre != self.targets[target].data_centre;
         self.far_kb += if far { self.kinds[kind].kb } else { 0.0 };
         let work = Duration::from_micros(self.now - began);
         let load = self.load_of(target);
-        let entry = &mut self.entries[host];
-        let factor = entry.paces[target].slowdown(now);
-        entry.typicals[kind].record(work, factor, bytes(self.kinds[kind].kb));
-        let typical = entry.typicals[kind];
-        entry.paces[target].record_response(now, work, &typical);
-        entry.paces[target].record_load(now, load, entry.own[target]);
+        let entry = &mut self.ingresses[host];
+        let factor = entry.profiles[target].slowdown(now);
+        entry.baselines[kind].record(work, factor, bytes(self.kinds[kind].kb));
+        let typical = entry.baselines[kind];
+        entry.profiles[target].record_response(now, work, &typical);
+        entry.profiles[target].record_load(now, load, entry.own[target]);
         self.leave(call);
-        let deadline = self.kinds[kind].patience.duration();
+        let deadline = self.kinds[kind].timeout.duration();
         let took = Duration::from_micros(self.now - came);
         let in_time = Duration::from_micros(self.now - sent) <= deadline && took <= deadline;
         let end = if in_time {
@@ -550,21 +556,21 @@
         self.end(call, end);
     }
 
-    fn count_own(&mut self, call: usize, target: usize) {
+    fn track_request(&mut self, call: usize, target: usize) {
         self.calls[call].placed = self.now;
-        let entry = &mut self.entries[self.calls[call].host];
+        let entry = &mut self.ingresses[self.calls[call].host];
         entry.own[target] += 1;
         entry.sent[target] += self.now;
     }
 
-    fn uncount_own(&mut self, call: usize) {
+    fn untrack_request(&mut self, call: usize) {
         let Call {
             host,
             target,
             placed,
             ..
         } = self.calls[call];
-        let entry = &mut self.entries[host];
+        let entry = &mut self.ingresses[host];
         entry.own[target] -= 1;
         entry.sent[target] -= placed;
     }
@@ -572,7 +578,7 @@
     /// Gives the slot of a call back and starts whoever gets it.
     fn leave(&mut self, call: usize) {
         let Call { target, began, .. } = self.calls[call];
-        self.uncount_own(call);
+        self.untrack_request(call);
         let held = Duration::from_micros(self.now - began);
         let there = &mut self.targets[target];
         there.running -= 1;
@@ -594,11 +600,11 @@
             ..
         } = self.calls[call];
         let waited = Duration::from_micros(self.now - came);
-        if parent.is_some() || returned || waited >= self.kinds[kind].patience.duration() {
+        if parent.is_some() || returned || waited >= self.kinds[kind].timeout.duration() {
             return self.end(call, End::Refused);
         }
         self.calls[call].returned = true;
-        let pause = Duration::from_secs_f64(self.rng.random_range(COME_BACK) / 1_000.0);
+        let pause = Duration::from_secs_f64(self.rng.random_range(RETURN_DELAY_MS) / 1_000.0);
         self.schedule(pause, Event::Return { call });
     }
 
@@ -608,19 +614,19 @@
         } = self.calls[call];
         self.calls[call].ended = true;
         let Kind { worth, .. } = self.kinds[kind];
-        let credit = worth * self.tallies[kind].count(&self.kinds[kind], end);
+        let credit = worth * self.statistics[kind].count(&self.kinds[kind], end);
         let second = usize::try_from(came / 1_000_000).unwrap_or(usize::MAX);
         if let Some(sums) = self.seconds.get_mut(second) {
             sums.0 += credit;
             sums.1 += worth;
         }
         if let Some(parent) = parent {
-            self.inner_ended(parent, matches!(end, End::Answered(_)));
+            self.nested_call_ended(parent, matches!(end, End::Answered(_)));
         }
     }
 
     /// A call that a run made has ended: the run goes on, or fails at once.
-    fn inner_ended(&mut self, parent: usize, well: bool) {
+    fn nested_call_ended(&mut self, parent: usize, well: bool) {
         if self.calls[parent].ended {
             return;
         }
--- a/trial/src/load/tally.rs
+++ b/trial/src/load/statistics.rs
@@ -22,7 +22,7 @@
 
 /// The calls of one kind.
 #[derive(Debug, Clone)]
-pub struct Tally {
+pub struct Statistics {
     sent: u64,
     timely: u64,
     late: u64,
@@ -54,7 +54,7 @@
     pub p99_ms: u64,
 }
 
-impl Tally {
+impl Statistics {
     /// Nothing yet.
     ///
     /// # Panics
@@ -120,7 +120,7 @@
     }
 }
 
-impl Default for Tally {
+impl Default for Statistics {
     fn default() -> Self {
         Self::new()
     }
--- a/trial/src/measure/converge.rs
+++ b/trial/src/measure/converge.rs
@@ -10,7 +10,7 @@
 use jackdawpulley::units::{DataCentre, Millis, Version};
 use serde::{Deserialize, Serialize};
 
-use crate::rig::deployment::{Place, sized};
+use crate::rig::deployment::{Placement, document_with_services};
 use crate::rig::fleet::{Fleet, get_json};
 use crate::rig::process::Usage;
 
@@ -101,8 +101,8 @@
 pub async fn run(program: PathBuf, args: &Args, delivery: Delivery) -> Report {
     let option = delivery.to_string();
     let mut fleet = Fleet::start(program, &["--delivery", &option]).await;
-    let places: Vec<Place> = (0..args.daemons)
-        .map(|index| Place {
+    let places: Vec<Placement> = (0..args.daemons)
+        .map(|index| Placement {
             data_centre: DataCentre(format!("dc-{}", index % args.data_centres)),
             service: None,
         })
@@ -112,7 +112,7 @@
         fleet.wait_for_members(args.daemons, PATIENCE * 2).await,
         "all daemons know each other"
     );
-    let mut document = sized(args.services);
+    let mut document = document_with_services(args.services);
     let document_bytes = serde_json::to_vec(&document).map_or(0, |text| text.len());
     let version = fleet.publish_document(0, document.clone()).await;
     assert!(fleet.wait_for_version(version, PATIENCE).await);
--- a/trial/src/measure/overhead.rs
+++ b/trial/src/measure/overhead.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use crate::measure::converge::as_f64;
-use crate::rig::deployment::{Deployment, Place};
+use crate::rig::deployment::{Deployment, Placement};
 use crate::rig::fleet::{Fleet, wait_until};
 use crate::rig::process::Usage;
 use crate::rig::session::{self, Session};
@@ -82,7 +82,7 @@
 /// When the fleet does not come up, or a call is not answered.
 pub async fn run(program: PathBuf, args: &Args) -> Report {
     let mut fleet = Fleet::start(program, &[]).await;
-    let place = |service: Option<&str>| Place {
+    let place = |service: Option<&str>| Placement {
         data_centre: DataCentre::from("eros"),
         service: service.map(Service::from),
     };
--- a/trial/src/measure/scale.rs
+++ b/trial/src/measure/scale.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 use crate::measure::converge::as_f64;
-use crate::rig::deployment::sized;
+use crate::rig::deployment::document_with_services;
 use crate::rig::process::Usage;
 
 /// Periods that are timed.
@@ -93,7 +93,7 @@
         let _ = view.receive(now, &datagram);
         receipts += began.elapsed();
     }
-    let document = sized(args.services);
+    let document = document_with_services(args.services);
     let table = Table::compile(&document);
     let path = document
         .routes
--- a/trial/src/path.rs
+++ b/trial/src/path.rs
@@ -55,7 +55,7 @@
     let began = Instant::now();
     let deployment = Deployment::Hooghly;
     let mut fleet = Fleet::start(program, &[]).await;
-    let places = deployment.places();
+    let places = deployment.placements();
     fleet.add_hosts(&places[..4]).await;
     fleet.add_hosts(&places[9..]).await;
     let daemons = fleet.hosts.len();
--- a/trial/src/rig/deployment.rs
+++ b/trial/src/rig/deployment.rs
@@ -20,7 +20,7 @@
 
 /// One host of a deployment.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     /// Data centre of the host.
     pub data_centre: DataCentre,
     /// Service that the host's target offers, if the host has a target.
@@ -48,10 +48,10 @@
 
     /// Hosts, with each service spread over the data centres.
     #[must_use]
-    pub fn places(self) -> Vec<Place> {
+    pub fn placements(self) -> Vec<Placement> {
         let centres = self.data_centres();
         let all = self.services().iter().flat_map(|(service, count)| {
-            (0..*count).map(|index| Place {
+            (0..*count).map(|index| Placement {
                 data_centre: DataCentre::from(centres[index % centres.len()]),
                 service: Some(Service::from(*service)),
             })
@@ -168,7 +168,7 @@
 
 /// Document with `services` services, each with one group and four routes.
 #[must_use]
-pub fn sized(services: usize) -> Document {
+pub fn document_with_services(services: usize) -> Document {
     let routes = (0..services).flat_map(|service| {
         (0..4).map(move |index| {
             let group = format!("service-{service:03}");
--- a/trial/src/rig/fleet.rs
+++ b/trial/src/rig/fleet.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::rig::deployment::Place;
+use crate::rig::deployment::Placement;
 use crate::rig::host::{
     ANNOUNCE_PORT, CALL_PORT, Host, LOG_PORT, OPERATOR_PORT, PEER_PORT, Process, TARGET_PORT,
 };
@@ -88,7 +88,7 @@
 
     /// Connects the hosts that are added from now on through a simulated network.
     #[must_use]
-    pub fn with_net(mut self) -> Self {
+    pub fn with_network(mut self) -> Self {
         self.net = Some(Arc::new(Network::default()));
         self
     }
@@ -98,7 +98,7 @@
     /// # Panics
     ///
     /// When a host is not ready within one minute.
-    pub async fn add_hosts(&mut self, places: &[Place]) {
+    pub async fn add_hosts(&mut self, places: &[Placement]) {
         let first = self.hosts.len();
         for place in places {
             let index = self.hosts.len();
@@ -118,9 +118,9 @@
                 None => ip,
             };
             self.hosts.push(Host {
-                place: place.clone(),
+                placement: place.clone(),
                 ip,
-                inner,
+                listen_ip: inner,
                 daemon: None,
                 target: None,
             });
@@ -144,12 +144,12 @@
     /// Starts the daemon of a host.
     pub fn start_daemon(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let centre = host.place.data_centre.to_string();
+        let centre = host.placement.data_centre.to_string();
         let address = |port| SocketAddr::new(host.ip, port).to_string();
         let log = self.log_address().to_string();
         let advertise = address(PEER_PORT);
         let (peer, call, target, operator) = (
-            SocketAddr::new(host.inner, PEER_PORT).to_string(),
+            SocketAddr::new(host.listen_ip, PEER_PORT).to_string(),
             address(CALL_PORT),
             address(ANNOUNCE_PORT),
             address(OPERATOR_PORT),
@@ -179,7 +179,7 @@
     /// Starts the target of a host, if the host has a service.
     pub fn start_target(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let Some(service) = host.place.service.as_ref().map(ToString::to_string) else {
+        let Some(service) = host.placement.service.as_ref().map(ToString::to_string) else {
             return;
         };
         let address = |port| SocketAddr::new(host.ip, port).to_string();
--- a/trial/src/rig/host.rs
+++ b/trial/src/rig/host.rs
@@ -5,7 +5,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::rig::deployment::Place;
+use crate::rig::deployment::Placement;
 
 pub(crate) const PEER_PORT: u16 = 7001;
 pub(crate) const CALL_PORT: u16 = 7002;
@@ -63,11 +63,11 @@
 #[derive(Debug)]
 pub struct Host {
     /// Data centre and service.
-    pub place: Place,
+    pub placement: Placement,
     /// Address that the host advertises.
     pub ip: IpAddr,
     /// Address that the daemon listens on for peers: behind the simulated network, if there is one.
-    pub inner: IpAddr,
+    pub listen_ip: IpAddr,
     /// Daemon, until it is killed or taken.
     pub daemon: Option<Process>,
     /// Target, until it is killed or taken.
--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::fake::{Fake, Manner, announce};
+use common::faulty_target::{Behaviour, Target, announce};
 use common::{document, fleet, places};
 use http::{Method, StatusCode};
-use jackdaw_trial::rig::deployment::Place;
+use jackdaw_trial::rig::deployment::Placement;
 use jackdaw_trial::rig::fleet::{Fleet, get_json, wait_until};
 use jackdaw_trial::rig::session::{Answer, Failure, Session};
 use jackdaw_trial::stand_in::target::Echo;
@@ -22,7 +22,7 @@
 /// Starts hosts of which only those in `with_target` run a target.
 async fn hosts(count: usize, with_target: &[usize], document: Document) -> Fleet {
     let mut fleet = fleet(&[]).await;
-    let bare = |index: usize| Place {
+    let bare = |index: usize| Placement {
         data_centre: DataCentre::from("eros"),
         service: places(1, 1)[0]
             .service
@@ -33,7 +33,7 @@
         .add_hosts(&(0..count).map(bare).collect::<Vec<_>>())
         .await;
     for host in &mut fleet.hosts {
-        host.place.service.clone_from(&places(1, 1)[0].service);
+        host.placement.service.clone_from(&places(1, 1)[0].service);
     }
     assert!(fleet.wait_for_members(count, TIMEOUT).await);
     let version = fleet.publish_document(0, document).await;
@@ -75,8 +75,8 @@
 async fn broken_connection_is_not_retried() {
     let fleet = hosts(2, &[], document(1)).await;
     let fakes = [
-        Fake::start(&fleet.hosts[0], Manner::CloseAfterReading).await,
-        Fake::start(&fleet.hosts[1], Manner::CloseAfterReading).await,
+        Target::start(&fleet.hosts[0], Behaviour::CloseAfterReading).await,
+        Target::start(&fleet.hosts[1], Behaviour::CloseAfterReading).await,
     ];
     wait_for_upstreams(&fleet, 0, 2).await;
     let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_is_retried() {
     let fleet = hosts(2, &[1], document(1)).await;
-    let fake = Fake::start(&fleet.hosts[0], Manner::Refuse).await;
+    let fake = Target::start(&fleet.hosts[0], Behaviour::Refuse).await;
     wait_for_upstreams(&fleet, 0, 2).await;
     let all = wait_until(TIMEOUT, || async {
         let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g").await;
@@ -136,7 +136,7 @@
 async fn truncated_response_is_an_error() {
     for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
-        Fake::start(&fleet.hosts[0], Manner::CutShort).await;
+        Target::start(&fleet.hosts[0], Behaviour::CutShort).await;
         wait_for_upstreams(&fleet, ingress, 1).await;
         let answer = call(
             fleet.hosts[ingress].call_address(),
@@ -161,7 +161,7 @@
 async fn truncated_long_response_breaks_connection() {
     for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
-        Fake::start(&fleet.hosts[0], Manner::CutLong).await;
+        Target::start(&fleet.hosts[0], Behaviour::CutLong).await;
         wait_for_upstreams(&fleet, ingress, 1).await;
         let result = call(
             fleet.hosts[ingress].call_address(),
@@ -225,7 +225,7 @@
         route.timeout_ms = Millis(200);
     }
     let fleet = hosts(1, &[], short).await;
-    Fake::start(&fleet.hosts[0], Manner::Late).await;
+    Target::start(&fleet.hosts[0], Behaviour::Late).await;
     wait_for_upstreams(&fleet, 0, 1).await;
     let ingress = fleet.hosts[0].call_address();
     for round in 0..5 {
--- a/trial/tests/common/fake.rs
+++ b/trial/tests/common/faulty_target.rs
@@ -15,7 +15,7 @@
 
 /// What the target does with a request after reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// Closes the connection.
     CloseAfterReading,
     /// Announces a body of 1,000 bytes and closes the connection after 100.
@@ -30,14 +30,14 @@
 
 /// A misbehaving target.
 #[derive(Debug, Clone)]
-pub struct Fake {
+pub struct Target {
     /// Number of requests read.
     pub read: Arc<AtomicUsize>,
 }
 
-impl Fake {
+impl Target {
     /// Listens on the host's address and announces itself to the host's daemon.
-    pub async fn start(host: &Host, manner: Manner) -> Self {
+    pub async fn start(host: &Host, manner: Behaviour) -> Self {
         let address = SocketAddr::new(host.ip, 7_105);
         let listener = TcpListener::bind(address).await.expect("the port is free");
         let fake = Self {
@@ -63,7 +63,11 @@
 /// Announces a target at `address` to the host's daemon.
 pub async fn announce(host: &Host, address: SocketAddr) {
     let announcement = Announcement {
-        service: host.place.service.clone().expect("the host has a service"),
+        service: host
+            .placement
+            .service
+            .clone()
+            .expect("the host has a service"),
         address,
         slots: Slots(20),
         lease_ms: Millis(60_000),
@@ -80,24 +84,24 @@
     );
 }
 
-async fn serve(mut stream: TcpStream, manner: Manner, counter: &AtomicUsize) {
+async fn serve(mut stream: TcpStream, manner: Behaviour, counter: &AtomicUsize) {
     while let Some(name) = read_request(&mut stream).await {
         counter.fetch_add(1, Ordering::AcqRel);
         let answer = match manner {
-            Manner::CloseAfterReading => return,
-            Manner::CutShort => {
+            Behaviour::CloseAfterReading => return,
+            Behaviour::CutShort => {
                 let _ = stream.write_all(part(1_000, 100).as_bytes()).await;
                 return;
             }
-            Manner::CutLong => {
+            Behaviour::CutLong => {
                 let _ = stream.write_all(part(1_000_000, 500_000).as_bytes()).await;
                 return;
             }
-            Manner::Refuse => {
+            Behaviour::Refuse => {
                 "HTTP/1.1 503 Busy\r\nx-jackdaw-refused: busy\r\ncontent-length: 0\r\n\r\n"
                     .to_owned()
             }
-            Manner::Late => {
+            Behaviour::Late => {
                 tokio::time::sleep(Duration::from_millis(if name == "slow" { 600 } else { 0 }))
                     .await;
                 format!(
--- a/trial/tests/common/mod.rs
+++ b/trial/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! Helpers that several test files share.
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
-pub mod fake;
+pub mod faulty_target;
 
 use std::path::PathBuf;
 
-use jackdaw_trial::rig::deployment::{Deployment, Place};
+use jackdaw_trial::rig::deployment::{Deployment, Placement};
 use jackdaw_trial::rig::fleet::Fleet;
 use jackdawpulley::configuration::document::Document;
 use jackdawpulley::units::{DataCentre, Millis, Service};
@@ -16,9 +16,9 @@
 }
 
 /// Hosts of the service `shelf`, spread over data centres named `dc-0`, `dc-1` and so on.
-pub fn places(count: usize, centres: usize) -> Vec<Place> {
+pub fn places(count: usize, centres: usize) -> Vec<Placement> {
     (0..count)
-        .map(|index| Place {
+        .map(|index| Placement {
             data_centre: DataCentre(format!("dc-{}", index % centres)),
             service: Some(Service::from("shelf")),
         })
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -266,7 +266,7 @@
 /// centres while the log is slow, and against separate views after the partition heals.
 #[tokio::test(flavor = "multi_thread")]
 async fn partition_heals() {
-    let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
+    let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_network();
     fleet.add_hosts(&places(6, 2)).await;
     assert!(fleet.wait_for_members(6, RECOVERY_TIMEOUT).await);
     let monitor = Monitor::start(&fleet);
--- a/trial/tests/quarantine.rs
+++ b/trial/tests/quarantine.rs
@@ -8,7 +8,7 @@
 use common::{document, fleet, places};
 use futures_util::future::join_all;
 use http::Method;
-use jackdaw_trial::rig::deployment::Place;
+use jackdaw_trial::rig::deployment::Placement;
 use jackdaw_trial::rig::fleet::{Fleet, get_json, wait_until};
 use jackdaw_trial::rig::session::{Answer, Session};
 use jackdawpulley::calls::outcome::REASON;
@@ -70,7 +70,7 @@
 }
 
 /// Starts the hosts and waits until all of them serve.
-async fn start_serving(mut fleet: Fleet, places: &[Place]) -> Fleet {
+async fn start_serving(mut fleet: Fleet, places: &[Placement]) -> Fleet {
     fleet.add_hosts(places).await;
     assert!(fleet.wait_for_members(places.len(), TIMEOUT).await);
     let version = fleet.publish_document(0, document(1)).await;
@@ -93,7 +93,7 @@
 /// the request: its daemons must learn of the crashes when the partition heals.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_daemons_learn_crashes() {
-    let mut fleet = fleet(&["--suspicion-ms", "1000"]).await.with_net();
+    let mut fleet = fleet(&["--suspicion-ms", "1000"]).await.with_network();
     let net = Arc::clone(fleet.net.as_ref().expect("it has one"));
     let mut places = places(HOST_COUNT + 1, 2);
     places.sort_by(|a, b| a.data_centre.cmp(&b.data_centre));
