--- a/trial/src/calls/caller.rs
+++ b/trial/src/calls/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that call at random times, and what they collect.
+//! Callers that send requests at random times, and the record of their results.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,75 +16,75 @@
 use crate::rig::session::{Answer, Failure, Session};
 use crate::stand_in::target::Echo;
 
-/// Mean time that a target works on a call, in milliseconds.
+/// Mean processing time of a call at its target, in milliseconds.
 pub const WORK_MS: f64 = 200.0;
-/// Longest time that a target works on a call, in milliseconds.
+/// Longest processing time of a call at its target, in milliseconds.
 const MAX_WORK_MS: f64 = 1_600.0;
-/// Time that a caller waits for an answer; above every time-out of a route.
+/// Time that a caller waits for a response; longer than the time-out of every route.
 const TIMEOUT: Duration = Duration::from_secs(8);
-/// Tries of a caller that repeats a key.
+/// Most attempts of a call with an idempotency key.
 const KEY_TRIES: usize = 3;
 
-/// One kind of call that callers make.
+/// Kind of call.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
-    /// Its path.
+    /// Path of the request.
     pub path: &'static str,
-    /// Whether it may run once at most.
+    /// Whether the request must run at most once.
     pub once: bool,
-    /// Whether a person waits for it.
+    /// Whether the route's class is interactive.
     pub interactive: bool,
-    /// Calls a second, over all sessions.
+    /// Calls per second, over all sessions.
     pub rate: f64,
-    /// Sessions that make them.
+    /// Number of sessions that make these calls.
     pub sessions: usize,
 }
 
-/// What callers collect.
+/// Results of all callers.
 #[derive(Debug)]
 pub struct Record {
-    /// Every try.
+    /// All attempts.
     pub tries: Mutex<Vec<Attempt>>,
-    /// By kind.
+    /// Response times of each kind of call.
     pub times: Vec<Mutex<Times>>,
-    /// When callers stop sending.
+    /// Time at which callers stop sending.
     until: Instant,
     names: AtomicU64,
 }
 
-/// The calls of one kind.
+/// Response times of one kind of call.
 #[derive(Debug)]
 pub struct Times {
     /// Calls sent.
     pub sent: u64,
-    /// Times to a whole answer, in microseconds.
+    /// Times to a complete response, in microseconds.
     pub answered: Histogram<u64>,
-    /// Answers that came while callers were sending: what a span of time has room for can only be
-    /// compared with what came in it.
+    /// Number of responses that arrived while callers were still sending. Only these compare with the
+    /// capacity of that time span.
     pub inside: u64,
 }
 
-/// One caller with one session.
+/// Caller with one session.
 #[derive(Debug)]
 pub struct Caller {
-    /// What it calls.
+    /// Kind of call that it makes.
     pub kind: Kind,
-    /// Place of its kind in the record.
+    /// Index of the kind in the record.
     pub kind_index: usize,
-    /// The daemon that it begins with.
+    /// Index of the daemon that it sends to.
     pub ingress: usize,
-    /// All daemons.
+    /// Addresses of all daemons.
     pub ingresses: Arc<Vec<SocketAddr>>,
-    /// What callers collect.
+    /// Results of all callers.
     pub record: Arc<Record>,
-    /// Daemons that were killed.
+    /// Addresses of daemons that the trial has killed.
     pub killed: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Draws times and sizes.
+    /// Random generator of pauses, keys and processing times.
     pub rng: SmallRng,
 }
 
 impl Caller {
-    /// Calls at random times, as fast on average as its kind asks for.
+    /// Makes calls at random times, at the average rate of the kind.
     pub async fn run(mut self, length: Duration) {
         let mean_s = as_f64(self.kind.sessions as u64) / self.kind.rate;
         let mut session = Session::new(self.ingresses[self.ingress]);
@@ -100,10 +100,11 @@
         }
     }
 
-    /// Makes one call; repeats its key elsewhere while its fate is unknown.
+    /// Makes one call; while its outcome is unknown, a call with a key is repeated through another
+    /// daemon.
     async fn call(&mut self, session: &mut Session) {
         let name = format!("r{}", self.record.names.fetch_add(1, Ordering::Relaxed));
-        // Half of the calls that may run once carry a key.
+        // Half of the calls that must run at most once carry a key.
         let keyed = self.kind.once && self.rng.random_bool(0.5);
         let work = (-WORK_MS * self.rng.random_range(f64::EPSILON..1.0).ln()).min(MAX_WORK_MS);
         let work = format!("{work:.0}");
@@ -152,7 +153,7 @@
         if keyed {
             headers.push(("idempotency-key", name));
         }
-        // A daemon that refuses connections has seen nothing; another one is tried.
+        // A daemon that refuses the connection has not received the request, so another one is tried.
         for _ in 0..self.ingresses.len() {
             let method = if self.kind.once {
                 Method::POST
@@ -194,7 +195,7 @@
     }
 }
 
-/// Reads an answer: whose it is, and what it says.
+/// Outcome that a response reports, checked against the request's name.
 fn classify(answer: &Answer, name: &str) -> Outcome {
     match answer.header(OUTCOME) {
         "not-run" => Outcome::NotRun,
@@ -213,7 +214,7 @@
 }
 
 impl Record {
-    /// A record of callers that send until `until`.
+    /// Creates the record of callers that send until `until`.
     ///
     /// # Panics
     ///
--- a/trial/src/calls/fault_injection.rs
+++ b/trial/src/calls/fault_injection.rs
@@ -1,4 +1,4 @@
-//! What is done to a fleet while callers call.
+//! Injects faults into a fleet while callers send requests.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -13,17 +13,17 @@
 use crate::rig::fleet::{Fleet, wait_until};
 use crate::stand_in::log::{Faults, Mode};
 
-/// Time for a process to stop, or to come back.
+/// Time for a process to stop or to become ready again.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Carries out a fault over `length`, with a change of configuration in the middle.
+/// Injects a fault during a run of `length`, with a configuration change in the middle.
 ///
-/// Returns the targets that were asked to leave. Daemons that are killed are named in `killed`
-/// before it happens.
+/// Returns the targets that were shut down gracefully. The addresses of killed daemons are added to
+/// `killed` before they are killed.
 ///
 /// # Panics
 ///
-/// When a process does not stop or come back.
+/// When a process does not stop or does not become ready again.
 pub async fn run(
     fleet: &mut Fleet,
     args: &Args,
@@ -62,7 +62,7 @@
     leavings
 }
 
-/// The hosts that are injured: one of each service, the last ones.
+/// Indices of the hosts that get the faults: the second one and the last one.
 fn affected_hosts(fleet: &Fleet) -> (usize, usize) {
     let last = fleet.hosts.len() - 1;
     (1, last)
@@ -71,11 +71,11 @@
 /// Kills a whole host of the first service and only the target of a host of the second.
 fn kill(fleet: &mut Fleet, killed: &Mutex<Vec<SocketAddr>>) {
     let (host, target) = affected_hosts(fleet);
-    let door = fleet.hosts[host].call_address();
+    let address = fleet.hosts[host].call_address();
     killed
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .push(door);
+        .push(address);
     fleet.hosts[host].daemon = None;
     fleet.hosts[host].target = None;
     fleet.hosts[target].target = None;
@@ -88,7 +88,7 @@
     fleet.start_target(target);
 }
 
-/// Stops or continues the target of one host and the daemon of another.
+/// Sends a stop or continue signal to the target of one host and the daemon of another.
 fn freeze(fleet: &Fleet, signal: Signal) {
     let (daemon, target) = affected_hosts(fleet);
     fleet.signal_daemon(daemon, signal);
@@ -97,8 +97,7 @@
     }
 }
 
-/// Stops every target and daemon as planned, one host after another while callers call, and starts
-/// it again.
+/// Shuts down every target and daemon gracefully, host by host until `end`, and restarts them.
 async fn rolling_restart(fleet: &mut Fleet, end: Instant) -> Vec<Departure> {
     let mut leavings = Vec::new();
     for index in 0..fleet.hosts.len() {
@@ -134,10 +133,10 @@
         std::future::ready(process.exit_status().is_some())
     })
     .await;
-    assert!(ended, "a planned stop ends");
+    assert!(ended, "the graceful shutdown ends");
 }
 
-/// Changes a time-out through a daemon that runs.
+/// Publishes a changed time-out through a running daemon.
 async fn change(fleet: &Fleet, args: &Args) {
     let mut document = args.deployment.document();
     document.routes[0].timeout_ms = Millis(2_100);
--- a/trial/src/calls/history.rs
+++ b/trial/src/calls/history.rs
@@ -1,4 +1,4 @@
-//! The history of a trial: what callers were told, against what targets ran.
+//! Compares the outcomes that callers observed with the requests that targets ran.
 
 use std::collections::BTreeMap;
 
@@ -6,83 +6,83 @@
 
 use crate::stand_in::target::Run;
 
-/// What a caller was told about one try.
+/// Outcome of one attempt, as its caller observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer to its own request.
+    /// Complete response to the request.
     Answered,
-    /// Somebody else's answer, or a part of one.
+    /// Response to another request, or a truncated one.
     Wrong,
-    /// Provably not run.
+    /// Reported as not run.
     NotRun,
-    /// Fate unknown.
+    /// Reported as unknown.
     Unknown,
-    /// The connection broke without an answer.
+    /// The connection broke before a complete response.
     Cut,
-    /// The connection broke because the trial killed the daemon at its other end.
+    /// The connection broke because the trial killed the daemon.
     CutByKill,
-    /// No answer in time.
+    /// No response within the time-out.
     Silent,
 }
 
-/// One try of a request.
+/// Attempt of a caller to get a request served.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Name of the request; a repeat has the same.
+    /// Name of the request, which repeats share.
     pub request: String,
-    /// Whether running it twice does harm.
+    /// Whether the request must run at most once.
     pub once: bool,
-    /// What the caller was told.
+    /// Outcome that the caller observed.
     pub told: Outcome,
-    /// Why there was no answer, in the daemon's words.
+    /// Daemon's reason for the lack of a response, or the error that broke the connection.
     pub reason: String,
 }
 
-/// A target that was asked to leave.
+/// Graceful shutdown of a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Departure {
-    /// Where it took calls.
+    /// Address of the target.
     pub target: std::net::SocketAddr,
-    /// When it was asked, in milliseconds since 1970.
+    /// Time of the shutdown request, in Unix ms.
     pub asked_ms: u64,
-    /// When it was started again, in milliseconds since 1970.
+    /// Time just before the restart, in Unix ms.
     pub back_ms: u64,
 }
 
-/// Counts over a history; the first six must be zero.
+/// Counts over a run; the first six must be zero.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Counts {
-    /// Requests told "not run" in every try, and run all the same.
+    /// Requests that ran although every attempt was reported as not run.
     pub told_not_run_but_ran: usize,
-    /// Requests that may run once, and ran more often.
+    /// Requests that may run at most once and ran more often.
     pub ran_twice: usize,
-    /// Sessions cut, but for those whose daemon was killed.
+    /// Attempts whose connection broke although the trial had not killed the daemon.
     pub cut: usize,
-    /// Answers that belong to another request, or a part of an answer.
+    /// Responses to other requests, and truncated ones.
     pub wrong_answer: usize,
-    /// Runs on a leaving target more than three seconds after it was asked.
+    /// Runs at a target more than three seconds after its shutdown request.
     pub late_work: usize,
-    /// Requests without any answer in time.
+    /// Attempts without a response within the time-out.
     pub silent: usize,
-    /// Tries sent.
+    /// Attempts sent.
     pub sent: usize,
-    /// Tries answered.
+    /// Attempts with the correct response.
     pub answered: usize,
-    /// Tries told "not run".
+    /// Attempts reported as not run.
     pub not_run: usize,
-    /// Tries of unknown fate.
+    /// Attempts reported as unknown.
     pub unknown: usize,
-    /// Sessions cut by the kill of their daemon.
+    /// Attempts whose connection broke because the trial killed the daemon.
     pub cut_by_kill: usize,
-    /// Reasons that callers were given, with their number.
+    /// Numbers of attempts by reason.
     pub reasons: BTreeMap<String, usize>,
 }
 
-/// Time after which a leaving target gets no new work, in milliseconds.
+/// Time after which a target that shuts down must not get new requests, in milliseconds.
 const LEAVE_MS: u64 = 3_000;
 
 impl Counts {
-    /// Counts what was told and what was run.
+    /// Counts the observed outcomes and compares them with the runs.
     #[must_use]
     pub fn of(tries: &[Attempt], runs: &[Run], leavings: &[Departure]) -> Self {
         let mut counts = Self {
@@ -122,7 +122,7 @@
         counts
     }
 
-    /// Whether nothing happened that must not.
+    /// Whether all counts that must be zero are zero.
     #[must_use]
     pub const fn clean(&self) -> bool {
         let forbidden = self.told_not_run_but_ran
--- a/trial/src/calls/mod.rs
+++ b/trial/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls under faults, checked on one history of callers and targets.
+//! Calls under faults, with the callers' outcomes checked against the targets' runs.
 
 pub mod caller;
 pub mod fault_injection;
@@ -24,68 +24,68 @@
 
 /// Slots of each target.
 const SLOTS: u32 = 20;
-/// Sessions for each call that all slots together take in a second.
+/// Sessions for each call per second of a rate.
 const SESSIONS_PER_CALL: f64 = 0.4;
-/// Time for which gates remember keys: longer than any caller here repeats one.
+/// Time for which sidecars remember keys: longer than any caller here repeats one.
 const KEY_RETENTION_MS: &str = "12000";
-/// Time after which the gates' memories are whole.
+/// Time after which the sidecars have been up for longer than they remember keys.
 const WARM_UP: Duration = Duration::from_millis(12_500);
 
-/// Which policies the daemons follow.
+/// Policies of the daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Random choice, fixed retries, no limit.
+    /// Random selection, fixed retries, no concurrency limit.
     Baseline,
     /// The daemon's defaults.
     Default,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Deployment.
+    /// Modelled deployment.
     pub deployment: Deployment,
-    /// What was done to it.
+    /// Injected fault.
     pub fault: Fault,
     /// Policies of the daemons.
     pub policy: Policy,
-    /// What was told and run.
+    /// Outcomes compared with runs.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Reads that were not answered, but for those cut by the kill of their own daemon.
+    /// Reads without a response, except those whose daemon was killed by the trial.
     pub reads_lost: usize,
-    /// Each class of calls.
+    /// Results of each class of calls.
     pub classes: Vec<Class>,
-    /// Interactive calls answered while callers sent, as a share of what all slots had room for.
+    /// Interactive calls answered while callers were sending, as a share of the capacity of all slots.
     pub interactive_of_slots: f64,
-    /// Calls answered while callers sent, as a share of what all slots had room for.
+    /// Calls answered while callers were sending, as a share of the capacity of all slots.
     pub goodput_of_slots: f64,
 }
 
-/// One class of calls.
+/// Class of calls.
 #[derive(Debug, Clone, Serialize)]
 pub struct Class {
-    /// Its path.
+    /// Path of the requests.
     pub path: &'static str,
     /// Calls sent.
     pub sent: u64,
     /// Calls answered.
     pub answered: u64,
-    /// Time to a whole answer, median, in milliseconds.
+    /// Median time to a complete response, in milliseconds.
     pub p50_ms: f64,
-    /// Time to a whole answer, 99 in 100, in milliseconds.
+    /// 99th percentile of the time to a complete response, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// Runs one fault under one policy.
+/// Runs the trial with one fault and one policy.
 ///
 /// # Panics
 ///
-/// When the fleet does not come up, or does not come back.
+/// When the fleet does not start, or does not recover.
 pub async fn run(program: PathBuf, args: &Args, policy: Policy) -> Report {
     let mut options = vec!["--key-memory-ms", KEY_RETENTION_MS];
     if policy == Policy::Baseline {
@@ -97,14 +97,14 @@
         fleet
             .wait_for_members(fleet.hosts.len(), Duration::from_secs(30))
             .await,
-        "all know each other"
+        "all daemons see each other"
     );
     let version = fleet.publish_document(0, args.deployment.document()).await;
     assert!(
         fleet
             .wait_for_version(version, Duration::from_secs(9))
             .await,
-        "the document is in force"
+        "the document is active"
     );
 
     tokio::time::sleep(WARM_UP).await;
@@ -134,7 +134,7 @@
     for caller in callers {
         caller.await.expect("a caller ends");
     }
-    // A request that is told "not run" must not run later either.
+    // A request that was reported as not run must not run later either.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let tries = record
         .tries
@@ -145,7 +145,7 @@
     report(args, policy, &kinds, &record, counts, &tries)
 }
 
-/// The calls of a deployment, so that each service gets its share of what its slots can take.
+/// Kinds of calls of a deployment, with rates in proportion to the capacity of each service.
 fn kinds(args: &Args) -> Vec<Kind> {
     let load = if args.fault == Fault::Surge { 2.0 } else { 0.5 };
     let paths = args.deployment.paths();
@@ -170,7 +170,7 @@
     ]
 }
 
-/// Sessions for a rate of calls: enough that callers keep calling when answers are slow.
+/// Number of sessions for a rate of calls: enough to keep up the rate when responses are slow.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/trial/src/calls/options.rs
+++ b/trial/src/calls/options.rs
@@ -1,4 +1,4 @@
-//! What a trial of calls is asked to do.
+//! Options of the `calls` trial.
 
 use clap::Parser;
 use serde::Serialize;
@@ -6,22 +6,22 @@
 
 use crate::rig::deployment::Deployment;
 
-/// What is done to the fleet.
+/// Fault that is injected into the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing, but for a change of configuration.
+    /// No fault, only the configuration change of every run.
     None,
-    /// One whole host and one target are killed, and come back.
+    /// One whole host and one target are killed and restarted.
     Kill,
-    /// One target and one daemon are stopped for a while.
+    /// One target and one daemon are frozen for a while.
     Freeze,
-    /// The platform log is away for a third of the time.
+    /// The platform's log is unavailable for a third of the time.
     LogOutage,
-    /// Every target and daemon is stopped as planned and started again, one after another.
+    /// Every target and daemon is shut down gracefully and restarted, one after another.
     Leave,
-    /// Callers send twice what the slots can take.
+    /// Callers send twice as much as the slots can serve.
     Surge,
 }
 
@@ -31,13 +31,13 @@
     /// Deployment to model: kalahari or hooghly
     #[arg(long, default_value_t = Deployment::Kalahari)]
     pub deployment: Deployment,
-    /// What is done to it: none, kill, freeze, log-outage, leave or surge
+    /// Fault to inject: none, kill, freeze, log-outage, leave or surge
     #[arg(long, default_value_t = Fault::None)]
     pub fault: Fault,
-    /// Length of each run
+    /// Length of each run, in seconds
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Only the daemon's default policies, without the baseline beside them
+    /// Run only the daemon's default policies, without the baseline for comparison
     #[arg(long)]
     pub no_baseline: bool,
 }
--- a/trial/src/load/kind.rs
+++ b/trial/src/load/kind.rs
@@ -1,54 +1,54 @@
-//! Kinds of calls, as the users' pages describe theirs.
+//! Kinds of calls of each deployment, as the users' pages describe them.
 
 use jackdawpulley::units::{Millis, Priority};
 
 use crate::rig::deployment::Deployment;
 
-/// One kind of call.
+/// Kind of call.
 #[derive(Debug, Clone)]
 pub struct Kind {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// The service that it goes to, by its place in the deployment.
+    /// Index of the service in the deployment.
     pub service: usize,
-    /// Calls a second from callers, over all hosts.
+    /// Calls per second from callers, over all hosts.
     pub rate: f64,
-    /// Mean time at a target of ordinary speed.
+    /// Mean processing time at a target of ordinary speed.
     pub work: Millis,
-    /// Spread of that time, as the deviation of its logarithm.
+    /// Standard deviation of the logarithm of the processing time.
     pub spread: f64,
-    /// Size of an answer, in kilobytes.
+    /// Size of a response, in kilobytes.
     pub kb: f64,
-    /// Its rank.
+    /// Priority in the sidecars' queues.
     pub priority: Priority,
-    /// Time within which an answer earns full credit.
+    /// Time within which a response earns full credit.
     pub aim: Millis,
-    /// Time that a caller waits.
+    /// Time for which a caller waits.
     pub timeout: Millis,
-    /// Credit of an answer in time.
+    /// Credit of a response in time.
     pub worth: f64,
-    /// Calls of another kind that a run makes first, all together.
+    /// Calls of another kind that a run makes first, concurrently.
     pub calls: Option<Nested>,
 }
 
-/// Calls that a target makes while it runs a call.
+/// Nested calls that a target makes while it runs a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Nested {
-    /// Their kind, by its place in the list.
+    /// Index of their kind.
     pub kind: usize,
-    /// How many there are.
+    /// Number of nested calls per run.
     pub times: u32,
-    /// Part of the runs that make them.
+    /// Share of the runs that make them.
     pub share: f64,
 }
 
-/// Credit of a late answer, as a share of one in time.
+/// Credit of a late response, as a share of the credit of one in time.
 pub const LATE_WORTH: f64 = 0.3;
 
-/// Place of the nested kind in the list.
+/// Index of the nested kind.
 const NESTED_KIND: usize = 3;
 
-/// The kinds of a deployment.
+/// Kinds of calls of a deployment.
 #[must_use]
 pub fn kinds(deployment: Deployment) -> Vec<Kind> {
     let nested = Nested {
@@ -56,7 +56,7 @@
         times: 2,
         share: 0.7,
     };
-    let kind = |name, service, rate, work, aim, patience, priority| Kind {
+    let kind = |name, service, rate, work, aim, timeout, priority| Kind {
         name,
         service,
         rate,
@@ -65,7 +65,7 @@
         kb: 0.4,
         priority: Priority(priority),
         aim: Millis(aim),
-        timeout: Millis(patience),
+        timeout: Millis(timeout),
         worth: f64::from(3 - priority),
         calls: None,
     };
--- a/trial/src/load/mod.rs
+++ b/trial/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! Load in virtual time: what callers get from a policy while there is more work than room.
+//! Simulation of overload under each policy, in virtual time.
 //!
-//! Calls of several kinds arrive at random at every host's entry. Targets differ in speed, slow down
-//! when nearly full, and make calls of their own; refused callers come back once. The decisions are
-//! the product's own, with the clock of the [`world`] in place of the real one, so a run of a minute
-//! takes well under a second and repeats exactly.
+//! Calls of several kinds arrive at random at every host's ingress. Targets differ in speed, slow down
+//! when nearly full, and make nested calls; refused callers retry once. The decisions are made by the
+//! product's own code with the clock of the [`simulation`], so a run of one minute takes well under a
+//! second and is deterministic.
 
 pub mod kind;
 pub mod plot;
@@ -20,42 +20,43 @@
 use simulation::Simulation;
 use statistics::Row;
 
-/// How calls are placed and refused.
+/// Policy that selects targets and refuses calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, VariantArray, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// At random, without any limit.
+    /// Random target, without a concurrency limit.
     Random,
-    /// The less loaded of two, with a limit, for as long as the caller waits.
+    /// Less loaded of two targets, with a concurrency limit; calls wait until their callers give up.
     TwoChoices,
-    /// By the time to expect, refused at once where the wait would be too long.
+    /// Least expected time; calls are refused at once if the expected wait is too long.
     Expected,
-    /// The same, without telling callers that come back from new ones.
+    /// Like `Expected`, but the time that a retrying caller has waited already is not estimated.
     ExpectedAlike,
-    /// As expected, but a refusal tells nothing, and the next gate is chosen as the first one was.
+    /// Like `Expected`, but refusals don't report load, and the cost of remote targets stays the same
+    /// after a refusal.
     ExpectedNear,
 }
 
 /// Arguments of the trial.
 #[derive(Debug, Clone, Parser)]
 pub struct Args {
-    /// The deployment: kalahari or hooghly
+    /// Deployment to model: kalahari or hooghly
     #[arg(long, default_value = "hooghly")]
     pub deployment: Deployment,
-    /// Load in relation to the deployment's usual one
+    /// Load as a multiple of the deployment's usual load
     #[arg(long, default_value_t = 1.6)]
     pub load: f64,
     /// Length of the run, in seconds of virtual time
     #[arg(long, default_value_t = 30)]
     pub seconds: u32,
-    /// Draws all that is random
+    /// Seed of the random generator
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// One target of the first service is this many times slower for the middle third
     #[arg(long, default_value_t = 1.0)]
     pub slow: f64,
-    /// Callers come this many times as often to the first data centre as to the others
+    /// Hosts of the first data centre get this many times as many callers as the others
     #[arg(long, default_value_t = 1.0)]
     pub crowd: f64,
     /// File for a plot of the credit over time, as SVG
@@ -63,37 +64,37 @@
     pub plot: Option<PathBuf>,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Policy of the entries and gates.
+    /// Policy of the ingresses and sidecars.
     pub policy: Policy,
-    /// Credit earned, as a share of what all calls were worth.
+    /// Credit earned, as a share of the credit of all calls.
     pub credit: f64,
-    /// Part of the served calls that were late.
+    /// Share of the served calls that were late.
     pub late: f64,
-    /// Answers' bytes between data centres, in kilobytes.
+    /// Size of the responses sent between data centres, in kilobytes.
     pub far_kb: f64,
-    /// Requests that gates refused, for each one that ran.
+    /// Requests refused by sidecars, per request that ran.
     pub refusals: f64,
-    /// Each kind of call.
+    /// Results of each kind of call.
     pub kinds: Vec<Row>,
-    /// Credit of each second, as a share of what its calls were worth.
+    /// Credit earned in each second, as a share of the credit of its calls.
     #[serde(skip)]
     pub seconds: Vec<f64>,
 }
 
-/// Plays the load under one policy.
+/// Simulates the load under one policy.
 #[must_use]
 pub fn run(args: &Args, policy: Policy) -> Report {
-    let mut world = Simulation::new(args, policy);
-    world.play();
-    world.report(policy)
+    let mut simulation = Simulation::new(args, policy);
+    simulation.run();
+    simulation.report(policy)
 }
 
-/// The reports as a table.
+/// Formats reports as a table.
 #[must_use]
 pub fn table(reports: &[Report]) -> String {
     let mut text = format!(
--- a/trial/src/load/plot.rs
+++ b/trial/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of credit over time, one line for each policy.
+//! Plots credit over time, with one line per policy.
 
 use std::path::Path;
 
@@ -11,14 +11,14 @@
 
 /// Size of the plot, in pixels.
 const SIZE: (u32, u32) = (900, 420);
-/// Length of a line in the legend, in pixels.
+/// Length of a legend line, in pixels.
 const LEGEND: i32 = 16;
 
-/// Draws the reports into a file.
+/// Plots the reports into an SVG file.
 ///
 /// # Errors
 ///
-/// What the drawing library found, as text.
+/// When the file can't be drawn or written, with the reason as text.
 pub fn draw(path: &Path, reports: &[Report]) -> Result<(), String> {
     draw_all(path, reports).map_err(|error| format!("can't draw {}: {error}", path.display()))
 }
--- a/trial/src/load/simulation.rs
+++ b/trial/src/load/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of a run: callers, targets, and the product's decisions between them.
+//! Discrete-event simulation of callers and targets, with the product's code making the decisions.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,28 +18,28 @@
 
 /// Slots of each target.
 const SLOTS: u32 = 18;
-/// Places to wait at each gate.
+/// Capacity of each sidecar's queue.
 const QUEUE: u32 = 256;
-/// Speeds of the targets in turn, as multiples of the time that an ordinary one needs.
+/// Processing times of the targets in turn, as multiples of an ordinary target's.
 const SPEEDS: [f64; 3] = [0.6, 1.0, 1.4];
-/// Part of the slots from which on a target slows down, and by how much when all are taken.
+/// Share of occupied slots above which a target slows down, and its slowdown with all slots occupied.
 const SLOWDOWN: (f64, f64) = (0.75, 1.4);
-/// What a kilobyte from another data centre counts, in milliseconds, and the part of it for which a
+/// Cost of a kilobyte from another data centre, in milliseconds, and the share of the cost by which a
 /// call waits less there; the settings of the platform's deploy file.
 const REMOTE_COST: (f64, f64) = (200.0, 0.1);
-/// Gates that may refuse a call before its caller is told.
+/// Most sidecars that may refuse a call before its caller is refused.
 const MAX_REFUSALS: usize = 3;
-/// Times after which refused callers come back, in milliseconds.
+/// Range of the time after which refused callers retry, in milliseconds.
 const RETURN_DELAY_MS: std::ops::Range<f64> = 150.0..500.0;
-/// Longest time of a call at its target, as a multiple of the mean.
+/// Longest processing time of a call, as a multiple of the mean.
 const MAX_WORK_FACTOR: f64 = 8.0;
 
-/// What happens next.
+/// Scheduled event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The next caller of a kind comes to a host.
+    /// The next call of a kind arrives at a host.
     Arrive { kind: usize, host: usize },
-    /// A refused caller comes back.
+    /// A refused caller retries.
     Return { call: usize },
     /// A run ends.
     Finish { call: usize },
@@ -51,17 +51,17 @@
 struct Call {
     kind: usize,
     host: usize,
-    /// When the caller came first, in microseconds, as all times here.
+    /// When the call first arrived, in microseconds, as all times here.
     came: u64,
     /// When this attempt was made.
     sent: u64,
     returned: bool,
     tried: Vec<usize>,
     parent: Option<usize>,
-    /// Calls of its own that have not ended.
+    /// Nested calls that have not ended.
     open: u32,
     target: usize,
-    /// When it was handed to the target's gate.
+    /// When it was forwarded to the target's sidecar.
     placed: u64,
     began: u64,
     work_ms: f64,
@@ -79,7 +79,7 @@
     waiting: Vec<(u64, usize)>,
 }
 
-/// What one host's entry knows.
+/// State of one host's ingress.
 #[derive(Debug)]
 struct Ingress {
     data_centre: usize,
@@ -87,12 +87,12 @@
     estimators: Vec<Estimator>,
     profiles: Vec<Profile>,
     own: Vec<u32>,
-    /// Times at which own calls were sent to each target, as their sum.
+    /// Sum of the times at which the outstanding calls were sent, for each target.
     sent: Vec<u64>,
 }
 
 impl Ingress {
-    /// Own calls under way at a target.
+    /// Own calls outstanding at a target.
     fn outstanding(&self, target: usize, now: u64) -> Outstanding {
         let count = self.own[target];
         let mean = self.sent[target].checked_div(u64::from(count));
@@ -103,7 +103,7 @@
     }
 }
 
-/// Everything that a run needs.
+/// State of a run.
 #[derive(Debug)]
 pub struct Simulation {
     policy: Policy,
@@ -128,7 +128,7 @@
 }
 
 impl Simulation {
-    /// The world at its start.
+    /// Creates the simulation in its initial state.
     #[must_use]
     pub fn new(args: &Args, policy: Policy) -> Self {
         let start = Instant::now();
@@ -147,7 +147,7 @@
                 waiting: Vec::new(),
             })
             .collect();
-        let entries = targets.iter().map(|target| Ingress {
+        let ingresses = targets.iter().map(|target| Ingress {
             data_centre: target.data_centre,
             baselines: vec![Baseline::default(); kinds.len()],
             estimators: vec![Estimator::default(); kinds.len()],
@@ -155,7 +155,7 @@
             own: vec![0; targets.len()],
             sent: vec![0; targets.len()],
         });
-        let entries = entries.collect();
+        let ingresses = ingresses.collect();
         let seconds = vec![(0.0, 0.0); args.seconds as usize];
         Self {
             policy,
@@ -172,7 +172,7 @@
             order: 0,
             calls: Vec::new(),
             targets,
-            ingresses: entries,
+            ingresses,
             seconds,
             refused: 0,
             ran: 0,
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Plays until every call has ended.
-    pub fn play(&mut self) {
+    /// Runs until every call has ended.
+    pub fn run(&mut self) {
         for kind in 0..self.kinds.len() {
             for host in 0..self.ingresses.len() {
                 self.schedule_arrival(kind, host);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// What the run showed.
+    /// Summarizes the run.
     #[must_use]
     pub fn report(&self, policy: Policy) -> Report {
         let (earned, worth) = self.seconds.iter().fold((0.0, 0.0), |sum, second| {
@@ -244,10 +244,10 @@
         self.events.push(Reverse((time, self.order, event)));
     }
 
-    /// Schedules the next caller of a kind at a host, at a random time.
+    /// Schedules the next call of a kind at a host, at a random time.
     fn schedule_arrival(&mut self, kind: usize, host: usize) {
-        let weight = |entry: &Ingress| {
-            if entry.data_centre == 0 {
+        let weight = |ingress: &Ingress| {
+            if ingress.data_centre == 0 {
                 self.crowd
             } else {
                 1.0
@@ -268,7 +268,7 @@
     fn begin(&mut self, kind: usize, host: usize, parent: Option<usize>) -> usize {
         let Kind { work, spread, .. } = self.kinds[kind];
         let mean_ms = work.duration().as_secs_f64() * 1_000.0;
-        // Two uniform draws make a normal one; its exponential has the wanted mean.
+        // Box-Muller transform: two uniform draws give a normal one, whose exponential has the wanted mean.
         let radius = (-2.0 * self.rng.random_range(f64::EPSILON..1.0).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.rng.random_range(0.0..1.0)).cos();
         let draw = (spread * normal - spread * spread / 2.0).exp();
@@ -290,7 +290,7 @@
         self.calls.len() - 1
     }
 
-    /// Finds a gate that takes a call, as an entry does.
+    /// Forwards a call to a sidecar that accepts it, as an ingress does.
     fn place(&mut self, call: usize) {
         let mut refusals = 0;
         loop {
@@ -310,24 +310,24 @@
         }
     }
 
-    /// Learns how full a gate is that has refused a call.
+    /// Records the load that a sidecar reports with a refusal.
     fn record_refusal(&mut self, call: usize, target: usize) {
         if self.policy == Policy::ExpectedNear {
             return;
         }
         let now = self.at(self.now);
         let load = self.load_of(target);
-        let entry = &mut self.ingresses[self.calls[call].host];
-        entry.profiles[target].record_load(now, load, entry.own[target]);
+        let ingress = &mut self.ingresses[self.calls[call].host];
+        ingress.profiles[target].record_load(now, load, ingress.own[target]);
     }
 
-    /// Calls that run at a target or wait at its gate.
+    /// Number of calls that run at a target or wait at its sidecar.
     fn load_of(&self, target: usize) -> u32 {
         let there = &self.targets[target];
         there.running + count(there.waiting.len())
     }
 
-    /// Wait that a call tolerates at a target.
+    /// Longest expected wait for a slot at a target with which a call is admitted.
     fn max_wait(&mut self, call: usize, target: usize) -> Duration {
         let Call {
             kind,
@@ -336,30 +336,26 @@
             sent,
             ..
         } = self.calls[call];
-        let Kind {
-            aim,
-            timeout: patience,
-            ..
-        } = self.kinds[kind];
-        let entry = &mut self.ingresses[host];
-        let typical = entry.baselines[kind];
+        let Kind { aim, timeout, .. } = self.kinds[kind];
+        let ingress = &mut self.ingresses[host];
+        let baseline = ingress.baselines[kind];
         let before = Duration::from_micros(sent - came);
-        let given = Millis::from(patience.duration().saturating_sub(before));
+        let caller_timeout = Millis::from(timeout.duration().saturating_sub(before));
         let before = if self.policy == Policy::ExpectedAlike {
             Duration::ZERO
         } else {
-            entry.estimators[kind].caller_wait(given)
+            ingress.estimators[kind].caller_wait(caller_timeout)
         };
-        let far = entry.data_centre != self.targets[target].data_centre;
-        let way_ms = if far {
-            REMOTE_COST.0 * REMOTE_COST.1 * typical.response_bytes / 1_024.0
+        let remote = ingress.data_centre != self.targets[target].data_centre;
+        let transfer_ms = if remote {
+            REMOTE_COST.0 * REMOTE_COST.1 * baseline.response_bytes / 1_024.0
         } else {
             0.0
         };
         let left = aim.duration().saturating_sub(before);
         wait::max_wait(
             left,
-            typical.processing() + Duration::from_secs_f64(way_ms / 1_000.0),
+            baseline.processing() + Duration::from_secs_f64(transfer_ms / 1_000.0),
         )
     }
 
@@ -381,27 +377,27 @@
                 fresh.iter().map(|t| self.candidate(host, *t)).collect();
             return pick::choose(by, &candidates, &mut self.rng).map(|index| fresh[index]);
         }
-        let entry = &self.ingresses[host];
-        let typical = entry.baselines[kind];
+        let ingress = &self.ingresses[host];
+        let baseline = ingress.baselines[kind];
         let costs: Vec<Cost> = fresh
             .iter()
             .map(|target| {
-                let expected = entry.profiles[*target].expected_ms(
+                let expected = ingress.profiles[*target].expected_ms(
                     now,
-                    entry.outstanding(*target, self.now),
+                    ingress.outstanding(*target, self.now),
                     SLOTS,
-                    &typical,
+                    &baseline,
                 );
-                let far = entry.data_centre != self.targets[*target].data_centre;
+                let remote = ingress.data_centre != self.targets[*target].data_centre;
                 let free =
                     !self.calls[call].tried.is_empty() && self.policy != Policy::ExpectedNear;
-                let way_ms = if far && !free {
-                    REMOTE_COST.0 * (0.5 + typical.response_bytes / 1_024.0)
+                let transfer_ms = if remote && !free {
+                    REMOTE_COST.0 * (0.5 + baseline.response_bytes / 1_024.0)
                 } else {
                     0.0
                 };
                 Cost {
-                    ms: expected + way_ms,
+                    ms: expected + transfer_ms,
                     ejected: false,
                 }
             })
@@ -410,23 +406,21 @@
     }
 
     fn candidate(&self, host: usize, target: usize) -> Candidate {
-        let (entry, there) = (&self.ingresses[host], &self.targets[target]);
+        let (ingress, there) = (&self.ingresses[host], &self.targets[target]);
         Candidate {
-            local: entry.data_centre == there.data_centre,
-            load: entry.own[target].max(there.running),
+            local: ingress.data_centre == there.data_centre,
+            load: ingress.own[target].max(there.running),
             slots: SLOTS,
             share: 1.0,
             ejected: false,
         }
     }
 
-    /// Asks a gate for a slot; `false` when it has no room.
+    /// Requests a slot from a sidecar; returns `false` if the sidecar refuses.
     fn enter(&mut self, call: usize, target: usize) -> bool {
         let Call { kind, .. } = self.calls[call];
         let Kind {
-            priority,
-            timeout: patience,
-            ..
+            priority, timeout, ..
         } = self.kinds[kind];
         let tolerance = self.max_wait(call, target);
         let expected = !matches!(self.policy, Policy::Random | Policy::TwoChoices);
@@ -449,7 +443,7 @@
                 self.calls[call].target = target;
                 self.track_request(call, target);
                 self.targets[target].waiting.push((ticket, call));
-                self.schedule(patience.duration() / 2, Event::GiveUp { call, ticket });
+                self.schedule(timeout.duration() / 2, Event::GiveUp { call, ticket });
                 if let Some(shed) = shed {
                     self.drop_waiting(target, shed);
                 }
@@ -481,7 +475,7 @@
         }
     }
 
-    /// Runs a call: its own calls first, then its work.
+    /// Runs a call: first its nested calls, then its own processing.
     fn start(&mut self, call: usize) {
         self.ran += 1;
         let Call { kind, target, .. } = self.calls[call];
@@ -493,7 +487,7 @@
             return self.work(call);
         };
         self.calls[call].open = times;
-        // The host of a target is the entry beside it.
+        // Hosts and targets have the same indices: the nested calls use the co-located ingress.
         for _ in 0..times {
             if self.calls[call].ended {
                 return;
@@ -534,16 +528,16 @@
             return;
         }
         let now = self.at(self.now);
-        let far = self.ingresses[host].data_centre != self.targets[target].data_centre;
-        self.far_kb += if far { self.kinds[kind].kb } else { 0.0 };
+        let remote = self.ingresses[host].data_centre != self.targets[target].data_centre;
+        self.far_kb += if remote { self.kinds[kind].kb } else { 0.0 };
         let work = Duration::from_micros(self.now - began);
         let load = self.load_of(target);
-        let entry = &mut self.ingresses[host];
-        let factor = entry.profiles[target].slowdown(now);
-        entry.baselines[kind].record(work, factor, bytes(self.kinds[kind].kb));
-        let typical = entry.baselines[kind];
-        entry.profiles[target].record_response(now, work, &typical);
-        entry.profiles[target].record_load(now, load, entry.own[target]);
+        let ingress = &mut self.ingresses[host];
+        let factor = ingress.profiles[target].slowdown(now);
+        ingress.baselines[kind].record(work, factor, bytes(self.kinds[kind].kb));
+        let baseline = ingress.baselines[kind];
+        ingress.profiles[target].record_response(now, work, &baseline);
+        ingress.profiles[target].record_load(now, load, ingress.own[target]);
         self.leave(call);
         let deadline = self.kinds[kind].timeout.duration();
         let took = Duration::from_micros(self.now - came);
@@ -558,9 +552,9 @@
 
     fn track_request(&mut self, call: usize, target: usize) {
         self.calls[call].placed = self.now;
-        let entry = &mut self.ingresses[self.calls[call].host];
-        entry.own[target] += 1;
-        entry.sent[target] += self.now;
+        let ingress = &mut self.ingresses[self.calls[call].host];
+        ingress.own[target] += 1;
+        ingress.sent[target] += self.now;
     }
 
     fn untrack_request(&mut self, call: usize) {
@@ -570,12 +564,12 @@
             placed,
             ..
         } = self.calls[call];
-        let entry = &mut self.ingresses[host];
-        entry.own[target] -= 1;
-        entry.sent[target] -= placed;
+        let ingress = &mut self.ingresses[host];
+        ingress.own[target] -= 1;
+        ingress.sent[target] -= placed;
     }
 
-    /// Gives the slot of a call back and starts whoever gets it.
+    /// Releases the slot of a call and starts the call that gets it next.
     fn leave(&mut self, call: usize) {
         let Call { target, began, .. } = self.calls[call];
         self.untrack_request(call);
@@ -625,7 +619,7 @@
         }
     }
 
-    /// A call that a run made has ended: the run goes on, or fails at once.
+    /// Handles the end of a nested call: its parent continues, or fails at once.
     fn nested_call_ended(&mut self, parent: usize, well: bool) {
         if self.calls[parent].ended {
             return;
@@ -641,7 +635,7 @@
     }
 }
 
-/// Slots and places to wait under a policy; without a limit the target's own queue is endless.
+/// Slots and queue capacity under a policy; without a limit the target's own queue is unbounded.
 const fn limit_of(policy: Policy) -> (u32, u32) {
     match policy {
         Policy::Random => (SLOTS, u32::MAX),
--- a/trial/src/load/statistics.rs
+++ b/trial/src/load/statistics.rs
@@ -1,4 +1,4 @@
-//! What became of the calls of a run.
+//! Statistics of the calls of a run.
 
 use std::fmt;
 
@@ -9,18 +9,18 @@
 
 use super::kind::{Kind, LATE_WORTH};
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Answered after this many milliseconds.
     Answered(u64),
-    /// Refused, and not served when it came back either.
+    /// Refused, also when it was retried.
     Refused,
-    /// A call that it needed was refused, or its time was over.
+    /// Failed because a nested call failed or the time-out had passed.
     Failed,
 }
 
-/// The calls of one kind.
+/// Statistics of one kind of call.
 #[derive(Debug, Clone)]
 pub struct Statistics {
     sent: u64,
@@ -31,31 +31,31 @@
     times: Histogram<u64>,
 }
 
-/// A tally for people and machines.
+/// Statistics of one kind of call, as reported.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
     /// Name of the kind.
     pub kind: &'static str,
     /// Calls sent.
     pub sent: u64,
-    /// Answers in time.
+    /// Responses in time.
     pub timely: u64,
-    /// Late answers.
+    /// Late responses.
     pub late: u64,
-    /// Calls refused for good.
+    /// Calls refused in the end.
     pub refused: u64,
     /// Calls that failed.
     pub failed: u64,
-    /// Credit earned, as a share of what they were worth.
+    /// Credit earned, as a share of the credit of all calls.
     pub credit: f64,
-    /// Time to an answer, median, in milliseconds.
+    /// Median time to a response, in milliseconds.
     pub p50_ms: u64,
-    /// Time to an answer, 99 in 100, in milliseconds.
+    /// 99th percentile of the time to a response, in milliseconds.
     pub p99_ms: u64,
 }
 
 impl Statistics {
-    /// Nothing yet.
+    /// Creates empty statistics.
     ///
     /// # Panics
     ///
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Counts a call; its credit, as a share of its worth.
+    /// Counts a call and returns its credit, as a share of the full credit.
     pub fn count(&mut self, kind: &Kind, end: End) -> f64 {
         self.sent += 1;
         match end {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Calls that were answered, and how many of them late.
+    /// Numbers of answered calls and of late ones among them.
     #[must_use]
     pub const fn answered(&self) -> (u64, u64) {
         (self.timely + self.late, self.late)
     }
 
-    /// The tally as a row.
+    /// Summarizes the statistics for a report.
     #[must_use]
     pub fn row(&self, kind: &Kind) -> Row {
         let earned = as_f64(self.timely) + LATE_WORTH * as_f64(self.late);
--- a/trial/src/main.rs
+++ b/trial/src/main.rs
@@ -1,4 +1,4 @@
-//! `jackdaw-trial`: starts real processes on loopback, injures them, and prints what it saw.
+//! `jackdaw-trial`: runs trials and measurements on loopback, and prints their reports.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -23,29 +23,29 @@
 
 #[derive(Debug, Subcommand)]
 enum Verb {
-    /// The thin path, end to end
+    /// Smoke trial, end to end
     Path,
-    /// Convergence time and control bytes of each way of delivery
+    /// Convergence time and control traffic of each delivery mode
     Converge(converge::Args),
-    /// Calls under a fault, the simple policies beside the default ones
+    /// Calls under a fault, with the baseline policies and the default ones
     Calls(options::Args),
-    /// Latency that daemons add, and calls a second for each core
+    /// Latency added by daemons, and calls per second and core
     Overhead(overhead::Args),
-    /// What callers get under load from each policy, in virtual time
+    /// Simulation of overload under each policy, in virtual time
     Load(load::Args),
-    /// Time and memory of a large view and document
+    /// CPU time and memory for a large view and document
     Scale(scale::Args),
-    /// Be the stand-in for the platform's log
+    /// Run the stand-in for the platform's log
     Log(log::Args),
-    /// Be a stand-in target
+    /// Run a stand-in target
     Target(target::Args),
-    /// Be a daemon; takes its flags
+    /// Run a daemon; takes its flags
     #[command(disable_help_flag = true)]
     Daemon {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<OsString>,
     },
-    /// Be the operator's command; takes its flags
+    /// Run the operator's command; takes its flags
     #[command(disable_help_flag = true)]
     Ctl {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -128,7 +128,8 @@
     }
 }
 
-/// Plays the same load under every policy: a table, a line of JSON each, and a plot if wanted.
+/// Simulates the same load under every policy; prints a table and a line of JSON for each, and draws a
+/// plot if requested.
 fn compare(args: &load::Args) -> ExitCode {
     let policies = load::Policy::VARIANTS.iter();
     let reports: Vec<load::Report> = policies.map(|policy| load::run(args, *policy)).collect();
--- a/trial/src/measure/converge.rs
+++ b/trial/src/measure/converge.rs
@@ -1,4 +1,4 @@
-//! Convergence time and control bytes, for each way of delivery on the same edits.
+//! Convergence time and control traffic of each delivery mode, on the same edits.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -14,66 +14,66 @@
 use crate::rig::fleet::{Fleet, get_json};
 use crate::rig::process::Usage;
 
-/// Ways of delivery that are compared, the baseline first.
+/// Delivery modes to compare, the baseline first.
 pub const DELIVERIES: [Delivery; 3] = [Delivery::Poll, Delivery::Whole, Delivery::Delta];
-/// Time over which an idle fleet is measured.
+/// Time for which an idle fleet is measured.
 const IDLE: Duration = Duration::from_secs(8);
-/// Longest time for one change.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time-out of one change.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Arguments of the trial.
 #[derive(Debug, Clone, Parser)]
 pub struct Args {
-    /// Daemons to start
+    /// Number of daemons to start
     #[arg(long, default_value_t = 60)]
     pub daemons: usize,
-    /// Changes to publish, one after another
+    /// Number of changes to publish, one after another
     #[arg(long, default_value_t = 30)]
     pub changes: usize,
-    /// Services in the document
+    /// Number of services in the document
     #[arg(long, default_value_t = 100)]
     pub services: usize,
-    /// Data centres
+    /// Number of data centres
     #[arg(long, default_value_t = 3)]
     pub data_centres: usize,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Way of delivery.
+    /// Delivery mode.
     pub delivery: Delivery,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Services in the document.
+    /// Number of services in the document.
     pub services: usize,
     /// Size of the document as JSON, in bytes.
     pub document_bytes: usize,
-    /// Changes made.
+    /// Number of changes.
     pub changes: usize,
-    /// Time from acceptance until the last daemon runs a change, median, in milliseconds.
+    /// Median time from acceptance until a change is active on the last daemon, in milliseconds.
     pub converge_p50_ms: f64,
-    /// The same, 99 in 100.
+    /// 99th percentile of that time.
     pub converge_p99_ms: f64,
-    /// The same, the longest.
+    /// Maximum of that time.
     pub converge_max_ms: f64,
-    /// Control bytes sent for a change, for each daemon, idle traffic taken off.
+    /// Control bytes per daemon and change, without the idle traffic.
     pub change_bytes: f64,
-    /// Control bytes an idle daemon sends in a second, the log's answers to it included.
+    /// Control bytes that an idle daemon sends per second, with the log's responses to it.
     pub idle_bytes_per_s: f64,
-    /// Requests for records that the log served for a change.
+    /// Page reads that the log served, per change.
     pub log_reads_per_change: f64,
-    /// Bytes of records that the log sent for a change.
+    /// Bytes of records that the log sent, per change.
     pub log_bytes_per_change: f64,
-    /// Largest memory of a daemon at the end, in KiB.
+    /// Largest resident memory of a daemon at the end, in KiB.
     pub rss_max_kib: u64,
-    /// Processor time of an idle daemon, as a share of one core, in percent.
+    /// CPU time of an idle daemon, in percent of one core.
     pub idle_cpu_percent: f64,
-    /// Processor time of a daemon for a change, idle time taken off, in milliseconds.
+    /// CPU time of a daemon per change, without the idle CPU time, in milliseconds.
     pub change_cpu_ms: f64,
 }
 
@@ -84,7 +84,7 @@
     control: telemetry::Reading,
 }
 
-/// A reading of the whole fleet.
+/// Usage of the whole fleet at one time.
 #[derive(Debug, Clone, Copy)]
 struct Reading {
     at: Instant,
@@ -93,7 +93,7 @@
     rss_max_kib: u64,
 }
 
-/// Runs the changes over one way of delivery.
+/// Runs the changes with one delivery mode.
 ///
 /// # Panics
 ///
@@ -109,14 +109,14 @@
         .collect();
     fleet.add_hosts(&places).await;
     assert!(
-        fleet.wait_for_members(args.daemons, PATIENCE * 2).await,
-        "all daemons know each other"
+        fleet.wait_for_members(args.daemons, TIMEOUT * 2).await,
+        "all daemons see each other"
     );
     let mut document = document_with_services(args.services);
     let document_bytes = serde_json::to_vec(&document).map_or(0, |text| text.len());
     let version = fleet.publish_document(0, document.clone()).await;
-    assert!(fleet.wait_for_version(version, PATIENCE).await);
-    // Reads that were begun before the daemons knew each other end meanwhile.
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
+    // Lets the reads end that were started before the daemons knew each other.
     tokio::time::sleep(IDLE).await;
 
     let resting = read(&fleet).await;
@@ -161,18 +161,19 @@
     }
 }
 
-/// One small edit, as operators make most of them.
+/// Makes a small edit, as most edits of operators are.
 fn edit(document: &mut Document, change: usize) {
     let index = change * 7 % document.routes.len();
     document.routes[index].timeout_ms = Millis(1_000 + change as u64);
 }
 
-/// Publishes a change; the time from acceptance until the last daemon runs it, in milliseconds.
+/// Publishes a change and returns the time from acceptance until it is active on the last daemon, in
+/// milliseconds.
 async fn converge(fleet: &Fleet, index: usize, document: &Document) -> f64 {
     let version = fleet.publish_document(index, document.clone()).await;
     let accepted_us = fleet.log_stats().await.appended_us;
     assert!(
-        fleet.wait_for_version(version, PATIENCE).await,
+        fleet.wait_for_version(version, TIMEOUT).await,
         "version {version} converges"
     );
     let mut last_us = accepted_us;
@@ -210,7 +211,7 @@
     reading
 }
 
-/// The value below which a share of sorted values lies.
+/// Quantile of sorted values; 0 if there are none.
 #[must_use]
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
@@ -224,7 +225,7 @@
     sorted.get(index).copied().unwrap_or(0.0)
 }
 
-/// A count as a number to calculate with.
+/// Converts a count to a floating-point number.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts of a trial are far below 2^52"
--- a/trial/src/measure/overhead.rs
+++ b/trial/src/measure/overhead.rs
@@ -1,4 +1,4 @@
-//! Latency that daemons add to a call, pairwise in one run.
+//! Latency that daemons add to a call, with all paths measured in the same run.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,18 +18,18 @@
 use crate::rig::process::Usage;
 use crate::rig::session::{self, Session};
 
-/// Time for one answer.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Sessions that saturate a daemon.
-const CROWD: usize = 32;
+/// Time-out of a call.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Most sessions that saturate a daemon.
+const MAX_SESSIONS: usize = 32;
 
 /// Arguments of the trial.
 #[derive(Debug, Clone, Parser)]
 pub struct Args {
-    /// Rounds; each calls over every way in turn
+    /// Number of rounds; each calls over every path in turn
     #[arg(long, default_value_t = 4_000)]
     pub rounds: usize,
-    /// Sessions that call at the same time
+    /// Number of concurrent sessions
     #[arg(long, default_value_t = 4)]
     pub sessions: usize,
     /// Pause of a session between two rounds, in milliseconds
@@ -40,46 +40,46 @@
     pub saturate_s: u64,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Calls over each way.
+    /// Number of calls over each path.
     pub calls: u64,
-    /// Straight to the target, median, in milliseconds.
+    /// Median latency directly to the target, in milliseconds as all latencies here.
     pub direct_p50_ms: f64,
-    /// Straight to the target, 99 in 100.
+    /// 99th percentile directly to the target.
     pub direct_p99_ms: f64,
-    /// Through the target's own daemon, median.
+    /// Median latency through the target's own daemon.
     pub one_p50_ms: f64,
-    /// Through the target's own daemon, 99 in 100.
+    /// 99th percentile through the target's own daemon.
     pub one_p99_ms: f64,
-    /// Through another daemon and the target's, median.
+    /// Median latency through another daemon and the target's.
     pub two_p50_ms: f64,
-    /// Through another daemon and the target's, 99 in 100.
+    /// 99th percentile through another daemon and the target's.
     pub two_p99_ms: f64,
-    /// Added at the median by one daemon.
+    /// Latency that one daemon adds at the median.
     pub one_added_p50_ms: f64,
-    /// Added at 99 in 100 by one daemon.
+    /// Latency that one daemon adds at the 99th percentile.
     pub one_added_p99_ms: f64,
-    /// Added at the median by two daemons.
+    /// Latency that two daemons add at the median.
     pub two_added_p50_ms: f64,
-    /// Added at 99 in 100 by two daemons.
+    /// Latency that two daemons add at the 99th percentile.
     pub two_added_p99_ms: f64,
-    /// Calls through one daemon in a second of its processor time.
+    /// Calls through one daemon per second of its CPU time.
     pub one_calls_per_core_s: f64,
-    /// Calls through two daemons in a second of the entry's processor time.
+    /// Calls through two daemons per second of the ingress's CPU time.
     pub entry_calls_per_core_s: f64,
-    /// Calls through two daemons in a second of the gate's processor time.
+    /// Calls through two daemons per second of the sidecar's CPU time.
     pub gate_calls_per_core_s: f64,
 }
 
-/// Measures the three ways.
+/// Measures the three paths.
 ///
 /// # Panics
 ///
-/// When the fleet does not come up, or a call is not answered.
+/// When the fleet does not start, or a call fails.
 pub async fn run(program: PathBuf, args: &Args) -> Report {
     let mut fleet = Fleet::start(program, &[]).await;
     let place = |service: Option<&str>| Placement {
@@ -88,34 +88,34 @@
     };
     fleet.add_hosts(&[place(Some("shelf")), place(None)]).await;
     assert!(
-        fleet.wait_for_members(2, PATIENCE * 4).await,
-        "both know each other"
+        fleet.wait_for_members(2, TIMEOUT * 4).await,
+        "both daemons see each other"
     );
     let version = fleet
         .publish_document(0, Deployment::Kalahari.document())
         .await;
     assert!(
-        fleet.wait_for_version(version, PATIENCE).await,
-        "the document is in force"
+        fleet.wait_for_version(version, TIMEOUT).await,
+        "the document is active"
     );
-    let ways = [
+    let addresses = [
         fleet.hosts[0].target_address(),
         fleet.hosts[0].call_address(),
         fleet.hosts[1].call_address(),
     ];
-    // The target announces itself when it is up; until then there is nobody to call.
-    for way in ways {
+    // No call can succeed until the target has started and announced itself.
+    for address in addresses {
         let answers = || async move {
             let read = Deployment::Kalahari.paths().read;
-            let answer = session::send_once(way, Method::GET, read, "").await;
+            let answer = session::send_once(address, Method::GET, read, "").await;
             answer.is_ok_and(|answer| answer.status.is_success())
         };
-        assert!(wait_until(PATIENCE * 4, answers).await, "{way} answers");
+        assert!(wait_until(TIMEOUT * 4, answers).await, "{address} answers");
     }
-    let times = latencies(args, ways).await;
+    let times = latencies(args, addresses).await;
     let [direct, one, two] = &times;
-    let one_usage = saturate(&fleet, ways[1], args).await;
-    let two_usage = saturate(&fleet, ways[2], args).await;
+    let one_usage = saturate(&fleet, addresses[1], args).await;
+    let two_usage = saturate(&fleet, addresses[2], args).await;
     let ms = |times: &Histogram<u64>, share| as_f64(times.value_at_quantile(share)) / 1_000_000.0;
     Report {
         trial: "overhead",
@@ -136,10 +136,16 @@
     }
 }
 
-/// Calls over all ways in turn, so that whatever else the machine does hits all alike.
-async fn latencies(args: &Args, ways: [SocketAddr; 3]) -> [Histogram<u64>; 3] {
+/// Calls over all paths in turn, so that other load on the machine affects all of them alike.
+async fn latencies(args: &Args, addresses: [SocketAddr; 3]) -> [Histogram<u64>; 3] {
     let workers: Vec<_> = (0..args.sessions)
-        .map(|_| tokio::spawn(worker(ways, args.rounds / args.sessions, args.pause_ms)))
+        .map(|_| {
+            tokio::spawn(worker(
+                addresses,
+                args.rounds / args.sessions,
+                args.pause_ms,
+            ))
+        })
         .collect();
     let mut total = [(); 3].map(|()| Histogram::new(3).expect("three digits are valid"));
     for worker in workers {
@@ -151,14 +157,14 @@
     total
 }
 
-async fn worker(ways: [SocketAddr; 3], rounds: usize, pause_ms: u64) -> [Histogram<u64>; 3] {
-    let mut sessions = ways.map(Session::new);
+async fn worker(addresses: [SocketAddr; 3], rounds: usize, pause_ms: u64) -> [Histogram<u64>; 3] {
+    let mut sessions = addresses.map(Session::new);
     let mut times = [(); 3].map(|()| Histogram::new(3).expect("three digits are valid"));
     for round in 0..rounds + rounds / 10 {
         for (session, times) in sessions.iter_mut().zip(&mut times) {
             let began = Instant::now();
             call(session).await;
-            // The first tenth warms connections and caches up.
+            // The first tenth warms up connections and caches.
             if round >= rounds / 10 {
                 let took = u64::try_from(began.elapsed().as_nanos()).unwrap_or(u64::MAX);
                 times.record(took).expect("the histogram resizes");
@@ -173,21 +179,21 @@
     let headers = [("x-request", "o"), ("x-size", "300")];
     let request = Session::request(Method::GET, Deployment::Kalahari.paths().read, &headers, "");
     let answer = session
-        .send(request, PATIENCE)
+        .send(request, TIMEOUT)
         .await
-        .expect("a whole answer");
+        .expect("a complete response");
     assert!(answer.status.is_success(), "{answer:?}");
 }
 
-/// What a saturated daemon did.
+/// Calls and CPU time of saturated daemons.
 #[derive(Debug)]
 struct Load {
     calls: f64,
-    /// Processor time of the two daemons, in seconds.
+    /// CPU time of the two daemons, in seconds.
     cpu_s: [f64; 2],
 }
 
-async fn saturate(fleet: &Fleet, way: SocketAddr, args: &Args) -> Load {
+async fn saturate(fleet: &Fleet, address: SocketAddr, args: &Args) -> Load {
     let usage = || {
         [0, 1].map(|i| {
             fleet.hosts[i]
@@ -201,12 +207,12 @@
         Arc::new(AtomicU64::new(0)),
     );
     let before = usage();
-    // Only as many sessions as the target has slots get answers; the others would be refused.
-    let crowd: Vec<_> = (0..CROWD.min(16))
+    // Fewer sessions than the target has slots: calls beyond the slots could be refused.
+    let crowd: Vec<_> = (0..MAX_SESSIONS.min(16))
         .map(|_| {
             let (stop, count) = (Arc::clone(&stop), Arc::clone(&count));
             tokio::spawn(async move {
-                let mut session = Session::new(way);
+                let mut session = Session::new(address);
                 while !stop.load(Ordering::Acquire) {
                     call(&mut session).await;
                     count.fetch_add(1, Ordering::Relaxed);
--- a/trial/src/measure/scale.rs
+++ b/trial/src/measure/scale.rs
@@ -1,4 +1,4 @@
-//! What a view of many members costs: time and memory, for the capacity page.
+//! CPU time and memory for a view of many members and a large document, for the capacity page.
 
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,50 +19,50 @@
 use crate::rig::deployment::document_with_services;
 use crate::rig::process::Usage;
 
-/// Periods that are timed.
+/// Number of probe periods to measure.
 const ROUNDS: u32 = 200;
 
 /// Arguments of the measurement.
 #[derive(Debug, Clone, Parser)]
 pub struct Args {
-    /// Members of the view
+    /// Number of members in the view
     #[arg(long, default_value_t = 4_000)]
     pub members: usize,
-    /// Services in the document
+    /// Number of services in the document
     #[arg(long, default_value_t = 100)]
     pub services: usize,
 }
 
-/// What it showed.
+/// Results of the measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which measurement this is.
+    /// Name of the measurement.
     pub trial: &'static str,
-    /// Members of the view.
+    /// Number of members in the view.
     pub members: usize,
     /// Memory of the view, in KiB.
     pub view_kib: u64,
-    /// Time of a tick, in microseconds.
+    /// Mean time of a tick, in microseconds.
     pub tick_us: f64,
-    /// Time to take a datagram in and answer it, in microseconds.
+    /// Mean time to handle a received datagram, in microseconds.
     pub receive_us: f64,
-    /// Largest datagram that was sent, in bytes.
+    /// Size of the largest datagram sent, in bytes.
     pub datagram_bytes: usize,
-    /// The whole view in one message, in bytes.
+    /// Size of the encoded view, in bytes.
     pub welcome_bytes: usize,
-    /// Services in the document.
+    /// Number of services in the document.
     pub services: usize,
-    /// The whole document in one message, in bytes.
+    /// Size of the encoded document, in bytes.
     pub document_bytes: usize,
-    /// Time to hash the document, in microseconds.
+    /// Mean time to hash the document, in microseconds.
     pub hash_us: f64,
-    /// Time to compile its routes, in microseconds.
+    /// Mean time to compile the route table, in microseconds.
     pub compile_us: f64,
-    /// Time to find a route, in nanoseconds.
+    /// Mean time to find a route, in nanoseconds.
     pub find_ns: f64,
 }
 
-/// Measures in this process.
+/// Runs the measurement in this process.
 #[must_use]
 pub fn run(args: &Args) -> Report {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -142,7 +142,7 @@
     }
 }
 
-/// Mean time of a piece of work, in microseconds.
+/// Mean time of an operation, in microseconds.
 fn time(times: u32, mut work: impl FnMut()) -> f64 {
     let began = Instant::now();
     for _ in 0..times {
--- a/trial/src/path.rs
+++ b/trial/src/path.rs
@@ -1,4 +1,4 @@
-//! The thin path, end to end, with real processes.
+//! End-to-end smoke trial with real processes.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,28 +17,28 @@
 use crate::rig::session::{Failure, Session};
 use crate::stand_in::target::Echo;
 
-/// What the thin path showed.
+/// Results of the trial.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Daemons that served.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Time until all served, in milliseconds.
+    /// Time until all daemons know all targets, in milliseconds.
     pub start_ms: u128,
-    /// Time from publishing to in force everywhere, in milliseconds.
+    /// Time from publishing a version until it is active on all daemons, in milliseconds.
     pub apply_ms: u128,
-    /// Calls answered while the configuration changed and a daemon stopped.
+    /// Calls answered during the configuration change and the shutdown of a daemon.
     pub answered: usize,
-    /// Calls that got no whole answer, or a wrong one.
+    /// Calls with a wrong response.
     pub failed: usize,
-    /// Sessions that were cut.
+    /// Calls that got no complete response, because the connection broke or the time-out passed.
     pub cut: usize,
-    /// Whether every step held.
+    /// Whether every call was answered correctly.
     pub passed: bool,
 }
 
-/// What a session under load came to.
+/// Counts of calls by result.
 #[derive(Debug, Default)]
 struct Tally {
     answered: usize,
@@ -46,11 +46,11 @@
     cut: usize,
 }
 
-/// Runs the thin path.
+/// Runs the trial.
 ///
 /// # Panics
 ///
-/// When a step does not hold.
+/// When a step fails.
 pub async fn run(program: PathBuf) -> Report {
     let began = Instant::now();
     let deployment = Deployment::Hooghly;
@@ -65,7 +65,7 @@
             .await,
         "all daemons know each other"
     );
-    // A target is a process of its own and may be up later than its daemon.
+    // A target is a separate process that may start later than its daemon.
     assert!(
         fleet
             .wait_for_upstreams(daemons, Duration::from_secs(20))
@@ -90,7 +90,7 @@
     }
 }
 
-/// Publishes through the operator's command and waits until all daemons run it.
+/// Publishes with the operator's command and waits until the version is active on all daemons.
 async fn apply(fleet: &Fleet, deployment: Deployment) -> (Version, u128) {
     let file = fleet.logs().join("document.json");
     let text = serde_json::to_vec(&deployment.document()).expect("a document is JSON");
@@ -109,7 +109,7 @@
     (Version(version), began.elapsed().as_millis())
 }
 
-/// A call enters at a host whose own target is of another service.
+/// Sends a call through a host whose own target offers another service.
 async fn call_elsewhere(fleet: &Fleet, deployment: Deployment) {
     let paths = deployment.paths();
     let headers = [("x-request", "first"), ("x-size", "20000")];
@@ -118,9 +118,9 @@
     let answer = session
         .send(call, Duration::from_secs(5))
         .await
-        .expect("a whole answer");
+        .expect("a complete response");
     assert_eq!(answer.header(OUTCOME), "answered", "{answer:?}");
-    let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's own answer");
+    let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's response");
     assert_eq!(
         (echo.request.as_str(), echo.padding.len()),
         ("first", 20_000)
@@ -137,7 +137,7 @@
     assert_eq!(state["stage"], "serving");
 }
 
-/// Changes the configuration and stops a daemon while sessions are open at all of them.
+/// Changes the configuration and shuts down a daemon while sessions are open at all daemons.
 async fn change_under_load(fleet: &mut Fleet, deployment: Deployment) -> Tally {
     let stop = Arc::new(AtomicBool::new(false));
     let mut sessions = Vec::new();
@@ -157,7 +157,7 @@
         fleet
             .wait_for_version(version, Duration::from_secs(9))
             .await,
-        "in force everywhere"
+        "the version is active on all daemons"
     );
     tokio::time::sleep(Duration::from_millis(500)).await;
 
@@ -168,7 +168,7 @@
         std::future::ready(daemon.exit_status().is_some())
     })
     .await;
-    assert!(ended, "a planned stop ends");
+    assert!(ended, "the graceful shutdown ends");
     assert_eq!(
         daemon.exit_status().and_then(|status| status.code()),
         Some(0),
@@ -185,7 +185,8 @@
     total
 }
 
-/// Calls over one session until told to stop; moves on when its daemon says good-bye.
+/// Sends calls over one session until `stop` is set; moves to another daemon when its connection
+/// closes.
 async fn load(
     mut session: Session,
     other: std::net::SocketAddr,
--- a/trial/src/stand_in/log.rs
+++ b/trial/src/stand_in/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's append-only log, with switches for its failures.
+//! Stand-in for the platform's append-only log, with configurable faults.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -29,30 +29,30 @@
     listen: SocketAddr,
 }
 
-/// How the log fails.
+/// Failure mode of the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Not at all.
+    /// No failure.
     #[default]
     Well,
-    /// It answers 503 and does nothing.
+    /// The log responds with 503 and does nothing.
     Refuse,
-    /// It never answers and does nothing.
+    /// The log never responds and does nothing.
     Hang,
-    /// It appends, and its answers are cut off.
+    /// The log appends, and its responses break off.
     LoseAnswers,
 }
 
-/// Switches of the stand-in.
+/// Faults of the stand-in.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// How it fails.
+    /// Failure mode.
     pub mode: Mode,
-    /// Time by which each answer is delayed, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
-    /// Records that each stream retains.
+    /// Number of records that each stream retains.
     pub retain: usize,
 }
 
@@ -66,18 +66,18 @@
     }
 }
 
-/// What the stand-in has done.
+/// Counters of the stand-in.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Requests for records.
+    /// Number of page reads.
     pub reads: u64,
-    /// Appends that took effect.
+    /// Number of appended records.
     pub appends: u64,
-    /// Bytes of records sent.
+    /// Bytes of records read.
     pub bytes: u64,
-    /// When the last append took effect, in microseconds since 1970.
+    /// Time of the last append, in Unix microseconds.
     pub appended_us: u64,
-    /// Reads that wait for a record now.
+    /// Number of reads that are waiting for a record.
     pub waiting: u64,
 }
 
@@ -96,14 +96,14 @@
     stats: Stats,
 }
 
-/// The stand-in's state, shared by its handlers.
+/// State of the stand-in, shared by its handlers.
 #[derive(Debug, Default)]
 struct Platform {
     state: Mutex<State>,
     appended: Notify,
 }
 
-/// What a read asks for.
+/// Query of a read.
 #[derive(Debug, Clone, Copy, Deserialize)]
 struct Wanted {
     from: u64,
@@ -115,7 +115,7 @@
 ///
 /// # Panics
 ///
-/// When the address can't be had.
+/// When the address can't be bound.
 pub async fn run(args: Args) {
     let platform = Arc::new(Platform::default());
     let (reader, writer) = (Arc::clone(&platform), Arc::clone(&platform));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Waits for an append; `false` when none came in time.
+    /// Waits for an append; returns `false` on a time-out.
     async fn wait(&self, deadline: Instant, appended: impl Future<Output = ()>) -> bool {
         self.state().stats.waiting += 1;
         let waiting = Waiting { platform: self };
@@ -253,7 +253,7 @@
     }
 }
 
-/// Counts a waiting read, also when its client goes away.
+/// Counts a waiting read until it is dropped, also when its client disconnects.
 struct Waiting<'a> {
     platform: &'a Platform,
 }
@@ -289,9 +289,9 @@
     response
 }
 
-/// An answer whose body breaks off: the client can't know what became of its request.
+/// Response whose body breaks off, so that the client can't know the outcome of its request.
 fn cut_off() -> Response<Body> {
-    let frame: Result<http_body::Frame<Bytes>, _> = Err("the answer is lost".into());
+    let frame: Result<http_body::Frame<Bytes>, _> = Err("the response is lost".into());
     let mut response = Response::new(Body::from_stream(stream::iter([frame])));
     *response.status_mut() = StatusCode::CREATED;
     response
--- a/trial/src/stand_in/mod.rs
+++ b/trial/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what is outside: the platform's append-only log, and targets.
+//! Stand-ins for external systems: the platform's append-only log, and targets.
 
 pub mod log;
 pub mod target;
--- a/trial/src/stand_in/target.rs
+++ b/trial/src/stand_in/target.rs
@@ -1,7 +1,8 @@
-//! A stand-in target that records every run.
+//! Stand-in target that records every run.
 //!
-//! A request's headers say how long it works (`x-work-ms`) and how large its answer is
-//! (`x-size`). The target announces itself to its daemon, renews, and leaves when it is stopped.
+//! Request headers set the processing time (`x-work-ms`) and the size of the response's padding
+//! (`x-size`). The target announces itself to its daemon, renews its lease, and sends `/leave` when
+//! it is shut down.
 
 use std::fs::File;
 use std::io::Write;
@@ -30,50 +31,50 @@
 /// Arguments of the stand-in.
 #[derive(Debug, Clone, Parser)]
 pub struct Args {
-    /// Address to take calls on
+    /// Address to accept calls on
     #[arg(long)]
     pub listen: SocketAddr,
-    /// File that records what was run, one JSON object a line
+    /// File that records every run, one JSON object per line
     #[arg(long)]
     pub runs: PathBuf,
-    /// Where to announce
+    /// Address of the daemon to announce to
     #[arg(long)]
     pub daemon: SocketAddr,
     /// Service to offer
     #[arg(long)]
     pub service: Service,
-    /// Calls at the same time
+    /// Number of concurrent calls
     #[arg(long, default_value_t = Slots(20))]
     pub slots: Slots,
-    /// Lease of the announcement
+    /// Lease of the announcement, in milliseconds
     #[arg(long, default_value_t = Millis(3_000))]
     pub lease_ms: Millis,
-    /// Time for which every run takes twice as long, after the start
+    /// Time after the start during which every run takes twice as long, in milliseconds
     #[arg(long, default_value_t = Millis(0))]
     pub cold_ms: Millis,
 }
 
-/// One run, as the target saw it.
+/// Run of a request at a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// The caller's name for the request, from `x-request`.
     pub request: String,
-    /// When it began, in milliseconds since 1970.
+    /// Time at which the run began, in Unix ms.
     pub began_ms: u64,
-    /// The target that ran it.
+    /// Address of the target that ran the request.
     pub target: SocketAddr,
 }
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// The caller's name for the request.
     pub request: String,
-    /// The target that ran it.
+    /// Address of the target that ran the request.
     pub target: SocketAddr,
-    /// Bytes of the request's body.
+    /// Size of the request's body, in bytes.
     pub received: usize,
-    /// As much padding as the request asked for.
+    /// Padding of the size that the request asked for.
     pub padding: String,
 }
 
@@ -82,17 +83,17 @@
     args: Args,
     began: std::time::Instant,
     born: StartTime,
-    /// Written before a run begins, so that the record outlives a kill.
+    /// Each run is written before it begins, so that it is recorded even if the process is killed.
     runs: Mutex<File>,
     in_flight: AtomicU64,
     leaving: AtomicBool,
 }
 
-/// Runs the stand-in until it is stopped.
+/// Runs the stand-in until it gets SIGTERM.
 ///
 /// # Panics
 ///
-/// When an address can't be had.
+/// When the file can't be opened.
 pub async fn run(args: Args) {
     let file = File::options().create(true).append(true).open(&args.runs);
     let file = file.expect("the record can be written");
@@ -202,12 +203,12 @@
         while self.in_flight.load(Ordering::Acquire) > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        // The answers have been handed to the connections; give them time to be written.
+        // The responses have been passed to the connections, which need time to write them.
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
 }
 
-/// A slot in use, given back also when the caller cancels its call.
+/// Occupied slot that is released when dropped, also when the caller cancels the call.
 struct Slot<'a> {
     target: &'a Target,
 }
--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -65,8 +65,8 @@
     Session::new(ingress).send(request, TIMEOUT).await
 }
 
-fn outcome_and_reason(answer: &Answer) -> (&str, &str) {
-    (answer.header(OUTCOME), answer.header(REASON))
+fn outcome_and_reason(response: &Answer) -> (&str, &str) {
+    (response.header(OUTCOME), response.header(REASON))
 }
 
 /// Guards against retrying a non-repeatable request that may have run: the target reads it and
@@ -74,26 +74,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_connection_is_not_retried() {
     let fleet = hosts(2, &[], document(1)).await;
-    let fakes = [
+    let targets = [
         Target::start(&fleet.hosts[0], Behaviour::CloseAfterReading).await,
         Target::start(&fleet.hosts[1], Behaviour::CloseAfterReading).await,
     ];
     wait_for_upstreams(&fleet, 0, 2).await;
-    let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
+    let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
-        .expect("whole");
-    assert_eq!(outcome_and_reason(&answer), ("unknown", "broken"));
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-    assert_eq!(fakes[0].count() + fakes[1].count(), 1);
-    let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t")
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("unknown", "broken"));
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+    assert_eq!(targets[0].count() + targets[1].count(), 1);
+    let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t")
         .await
-        .expect("whole");
+        .expect("a complete response");
     assert_eq!(
-        outcome_and_reason(&answer),
+        outcome_and_reason(&response),
         ("unknown", "broken"),
         "a read is retried at the other target, which fails as well"
     );
-    assert_eq!(fakes[0].count() + fakes[1].count(), 3);
+    assert_eq!(targets[0].count() + targets[1].count(), 3);
 }
 
 /// Guards against failing a request that a target refused before running it: even a non-repeatable
@@ -101,12 +101,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_is_retried() {
     let fleet = hosts(2, &[1], document(1)).await;
-    let fake = Target::start(&fleet.hosts[0], Behaviour::Refuse).await;
+    let target = Target::start(&fleet.hosts[0], Behaviour::Refuse).await;
     wait_for_upstreams(&fleet, 0, 2).await;
     let all = wait_until(TIMEOUT, || async {
-        let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g").await;
-        assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
-        fake.count() > 0
+        let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g").await;
+        assert_eq!(
+            response.expect("a complete response").header(OUTCOME),
+            "answered"
+        );
+        target.count() > 0
     });
     assert!(all.await, "the refusing target received a request");
 }
@@ -119,15 +122,15 @@
     announce(&fleet.hosts[0], SocketAddr::new(fleet.hosts[0].ip, 7_199)).await;
     wait_for_upstreams(&fleet, 0, 1).await;
     let began = Instant::now();
-    let answer = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
+    let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
-        .expect("whole");
-    assert_eq!(outcome_and_reason(&answer), ("not-run", "unreachable"));
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("not-run", "unreachable"));
     assert!(
         began.elapsed() < Duration::from_millis(500),
         "the refusal comes before the deadline"
     );
-    assert!(!answer.header("retry-after").is_empty());
+    assert!(!response.header("retry-after").is_empty());
 }
 
 /// Guards against passing on a truncated response as a complete one. A short response is buffered
@@ -138,20 +141,20 @@
         let fleet = hosts(2, &[], document(1)).await;
         Target::start(&fleet.hosts[0], Behaviour::CutShort).await;
         wait_for_upstreams(&fleet, ingress, 1).await;
-        let answer = call(
+        let response = call(
             fleet.hosts[ingress].call_address(),
             Method::GET,
             "/titles",
             "t",
         )
         .await;
-        let answer = answer.expect("a complete response from the daemon");
+        let response = response.expect("a complete response from the daemon");
         assert_eq!(
-            outcome_and_reason(&answer),
+            outcome_and_reason(&response),
             ("unknown", "broken"),
             "through host {ingress}"
         );
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     }
 }
 
@@ -190,8 +193,11 @@
     // Gossip about the targets is piggybacked on the probes, which are slow here.
     assert!(fleet.wait_for_upstreams(3, Duration::from_secs(30)).await);
     for _ in 0..12 {
-        let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
-        assert_eq!(answer.expect("whole").status, StatusCode::OK);
+        let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
+        assert_eq!(
+            response.expect("a complete response").status,
+            StatusCode::OK
+        );
     }
     fleet.hosts[2]
         .daemon
@@ -201,8 +207,11 @@
     let mut slow = 0;
     for _ in 0..40 {
         let began = Instant::now();
-        let answer = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
-        assert_eq!(answer.expect("whole").status, StatusCode::OK);
+        let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
+        assert_eq!(
+            response.expect("a complete response").status,
+            StatusCode::OK
+        );
         slow += u32::from(began.elapsed() > Duration::from_millis(500));
     }
     fleet.hosts[2]
@@ -231,20 +240,20 @@
     for round in 0..5 {
         let slow = call(ingress, Method::POST, "/grants", "slow")
             .await
-            .expect("whole");
+            .expect("a complete response");
         assert_eq!(outcome_and_reason(&slow), ("unknown", "timed-out"));
         for next in 0..10 {
             let name = format!("{round}-{next}");
-            let answer = call(ingress, Method::POST, "/grants", &name)
+            let response = call(ingress, Method::POST, "/grants", &name)
                 .await
-                .expect("whole");
-            assert_eq!(answer.body, name.as_bytes());
+                .expect("a complete response");
+            assert_eq!(response.body, name.as_bytes());
         }
     }
 }
 
 /// Guards against running a request after its deadline: the sidecar is frozen while the request
-/// waits for a slot, and continues when the caller has already been told of the time-out.
+/// waits for a slot, and continues when its caller has already got a time-out.
 #[tokio::test(flavor = "multi_thread")]
 async fn expired_request_does_not_run() {
     let mut narrow = document(1);
@@ -270,15 +279,15 @@
     let second = request("second", "0", "1500");
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.signal_daemon(0, Signal::STOP);
-    let answer = second.await.expect("it ends").expect("whole");
-    assert_eq!(outcome_and_reason(&answer), ("unknown", "timed-out"));
+    let response = second.await.expect("it ends").expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("unknown", "timed-out"));
     fleet.signal_daemon(0, Signal::CONT);
     let _ = first.await;
-    let answer = call(ingress, Method::POST, "/grants", "third")
+    let response = call(ingress, Method::POST, "/grants", "third")
         .await
-        .expect("whole");
+        .expect("a complete response");
     assert_eq!(
-        answer.header(OUTCOME),
+        response.header(OUTCOME),
         "answered",
         "the sidecar works again"
     );
@@ -304,8 +313,8 @@
     assert!(running);
     fleet.signal_daemon(0, Signal::TERM);
     for call in calls {
-        let answer = call.await.expect("it ends").expect("whole");
-        assert_eq!(answer.header(OUTCOME), "answered");
+        let response = call.await.expect("it ends").expect("a complete response");
+        assert_eq!(response.header(OUTCOME), "answered");
     }
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
     let ended = wait_until(TIMEOUT, || {
@@ -328,21 +337,24 @@
         .expect("it runs")
         .signal(Signal::STOP);
     let left = jackdaw_trial::rig::session::send_once(leaving, Method::POST, "/leave", "").await;
-    assert!(left.is_ok_and(|answer| answer.status.is_success()));
+    assert!(left.is_ok_and(|response| response.status.is_success()));
     let before = fleet
         .runs()
         .iter()
         .filter(|run| run.target == fleet.hosts[0].target_address())
         .count();
     for number in 0..40 {
-        let answer = call(
+        let response = call(
             fleet.hosts[1].call_address(),
             Method::POST,
             "/grants",
             &format!("{number}"),
         )
         .await;
-        assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
+        assert_eq!(
+            response.expect("a complete response").header(OUTCOME),
+            "answered"
+        );
     }
     let after = fleet
         .runs()
@@ -362,8 +374,11 @@
     for ingress in [0, 1] {
         let request = Session::request(Method::POST, "/grants", &headers, &body);
         let mut session = Session::new(fleet.hosts[ingress].call_address());
-        let answer = session.send(request, TIMEOUT).await.expect("whole");
-        let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's response");
+        let response = session
+            .send(request, TIMEOUT)
+            .await
+            .expect("a complete response");
+        let echo: Echo = serde_json::from_slice(&response.body).expect("the target's response");
         assert_eq!((echo.received, echo.padding.len()), (3 << 20, 3_000_000));
     }
 }
@@ -371,12 +386,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_path_is_rejected() {
     let fleet = hosts(1, &[0], document(1)).await;
-    let answer = call(fleet.hosts[0].call_address(), Method::GET, "/nowhere", "n")
+    let response = call(fleet.hosts[0].call_address(), Method::GET, "/nowhere", "n")
         .await
-        .expect("whole");
-    assert_eq!(outcome_and_reason(&answer), ("not-run", "no-route"));
-    assert_eq!(answer.status, StatusCode::NOT_FOUND);
-    let report: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("not-run", "no-route"));
+    assert_eq!(response.status, StatusCode::NOT_FOUND);
+    let report: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     assert_eq!(report["outcome"], "not-run");
 }
 
@@ -402,7 +417,7 @@
     assert!(wait_until(TIMEOUT, || std::future::ready(!fleet.runs().is_empty())).await);
     let refused = call(ingress, Method::POST, "/grants", "refused").await;
     assert_eq!(
-        outcome_and_reason(&refused.expect("whole")),
+        outcome_and_reason(&refused.expect("a complete response")),
         ("not-run", "overloaded")
     );
     let state: Option<serde_json::Value> = get_json(operator, "/state").await;
@@ -441,9 +456,9 @@
     far[0].data_centre = DataCentre::from("far");
     fleet.add_hosts(&far).await;
     wait_for_upstreams(&fleet, 0, 5).await;
-    let answer = call(ingress, Method::POST, "/grants", "far")
+    let response = call(ingress, Method::POST, "/grants", "far")
         .await
-        .expect("whole");
-    assert_eq!(outcome_and_reason(&answer), ("answered", ""));
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("answered", ""));
     near.shutdown().await;
 }
--- a/trial/tests/common/faulty_target.rs
+++ b/trial/tests/common/faulty_target.rs
@@ -37,21 +37,21 @@
 
 impl Target {
     /// Listens on the host's address and announces itself to the host's daemon.
-    pub async fn start(host: &Host, manner: Behaviour) -> Self {
+    pub async fn start(host: &Host, behaviour: Behaviour) -> Self {
         let address = SocketAddr::new(host.ip, 7_105);
         let listener = TcpListener::bind(address).await.expect("the port is free");
-        let fake = Self {
+        let target = Self {
             read: Arc::default(),
         };
-        let counter = Arc::clone(&fake.read);
+        let counter = Arc::clone(&target.read);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let counter = Arc::clone(&counter);
-                tokio::spawn(async move { serve(stream, manner, &counter).await });
+                tokio::spawn(async move { serve(stream, behaviour, &counter).await });
             }
         });
         announce(host, address).await;
-        fake
+        target
     }
 
     /// Number of requests read so far.
@@ -77,17 +77,17 @@
     };
     let body = serde_json::to_string(&announcement).expect("plain data is JSON");
     let daemon = SocketAddr::new(host.ip, 7_003);
-    let answer = session::send_once(daemon, Method::POST, "/announce", &body).await;
+    let response = session::send_once(daemon, Method::POST, "/announce", &body).await;
     assert!(
-        answer.is_ok_and(|answer| answer.status.is_success()),
+        response.is_ok_and(|response| response.status.is_success()),
         "the daemon accepts the announcement"
     );
 }
 
-async fn serve(mut stream: TcpStream, manner: Behaviour, counter: &AtomicUsize) {
+async fn serve(mut stream: TcpStream, behaviour: Behaviour, counter: &AtomicUsize) {
     while let Some(name) = read_request(&mut stream).await {
         counter.fetch_add(1, Ordering::AcqRel);
-        let answer = match manner {
+        let response = match behaviour {
             Behaviour::CloseAfterReading => return,
             Behaviour::CutShort => {
                 let _ = stream.write_all(part(1_000, 100).as_bytes()).await;
@@ -110,7 +110,7 @@
                 )
             }
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -138,9 +138,9 @@
         base,
         document: document(1),
     };
-    let (status, first) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, first) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!((status, first["outcome"].as_str()), (200, Some("accepted")));
-    let (status, again) = fleet.publish(1, &edit).await.expect("an answer");
+    let (status, again) = fleet.publish(1, &edit).await.expect("a response");
     assert_eq!(status, 200);
     assert_eq!(first["version"], again["version"]);
     fleet.set_log_faults(Faults::default()).await;
@@ -172,9 +172,9 @@
             document: document(number),
         };
         let index = usize::try_from(number % 4).expect("small");
-        let (status, answer) = fleet.publish(index, &edit).await.expect("an answer");
-        assert_eq!(status, 200, "{answer}");
-        base = Version(answer["version"].as_u64().expect("a version"));
+        let (status, response) = fleet.publish(index, &edit).await.expect("a response");
+        assert_eq!(status, 200, "{response}");
+        base = Version(response["version"].as_u64().expect("a version"));
     }
 }
 
@@ -196,11 +196,11 @@
         base,
         document: document(1),
     };
-    let (status, answer) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, response) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!(
-        (status, answer["outcome"].as_str()),
+        (status, response["outcome"].as_str()),
         (503, Some("unknown")),
-        "{answer}"
+        "{response}"
     );
     fleet
         .set_log_faults(Faults {
@@ -208,11 +208,11 @@
             ..Faults::default()
         })
         .await;
-    let (status, answer) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, response) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!(
-        (status, answer["outcome"].as_str()),
+        (status, response["outcome"].as_str()),
         (200, Some("accepted")),
-        "{answer}"
+        "{response}"
     );
 }
 
--- a/trial/tests/hostile.rs
+++ b/trial/tests/hostile.rs
@@ -29,10 +29,13 @@
 /// Checks that the daemon still serves a call and still sees its peer.
 async fn assert_healthy(fleet: &Fleet) {
     let request = Session::request(Method::GET, "/titles", &[("x-request", "r")], "");
-    let answer = Session::new(fleet.hosts[0].call_address())
+    let response = Session::new(fleet.hosts[0].call_address())
         .send(request, TIMEOUT)
         .await;
-    assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
+    assert_eq!(
+        response.expect("a complete response").header(OUTCOME),
+        "answered"
+    );
     assert!(fleet.wait_for_members(2, TIMEOUT).await);
 }
 
@@ -40,9 +43,13 @@
 async fn exchange(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     stream.write_all(bytes).await.expect("the bytes are sent");
-    let mut answer = Vec::new();
-    let _ = tokio::time::timeout(Duration::from_millis(500), stream.read_to_end(&mut answer)).await;
-    answer
+    let mut response = Vec::new();
+    let _ = tokio::time::timeout(
+        Duration::from_millis(500),
+        stream.read_to_end(&mut response),
+    )
+    .await;
+    response
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -148,11 +155,11 @@
         ),
     ];
     for (address, path, body, status) in cases {
-        let answer = send_once(address, Method::POST, path, body)
+        let response = send_once(address, Method::POST, path, body)
             .await
-            .expect("whole");
-        assert_eq!(answer.status, status, "{path}");
-        assert!(!answer.body.is_empty(), "{path} explains the rejection");
+            .expect("a complete response");
+        assert_eq!(response.status, status, "{path}");
+        assert!(!response.body.is_empty(), "{path} explains the rejection");
     }
     assert_healthy(&fleet).await;
 }
--- a/trial/tests/idempotency.rs
+++ b/trial/tests/idempotency.rs
@@ -51,7 +51,7 @@
     Session::new(ingress)
         .send(request, TIMEOUT)
         .await
-        .expect("a whole answer")
+        .expect("a complete response")
 }
 
 fn run_count(fleet: &Fleet, key: &str) -> usize {
@@ -78,16 +78,16 @@
                     tokio::spawn(async move { send_with_key(ingress, &key, "200").await })
                 })
                 .collect();
-            let mut answers = Vec::new();
-            for answer in early {
-                answers.push(answer.await.expect("it ends"));
+            let mut responses = Vec::new();
+            for response in early {
+                responses.push(response.await.expect("it ends"));
             }
             for ingress in ingresses {
-                answers.push(send_with_key(ingress, &key, "0").await);
+                responses.push(send_with_key(ingress, &key, "0").await);
             }
-            for answer in &answers {
-                assert_eq!(answer.header(OUTCOME), "answered", "{answer:?}");
-                assert_eq!(answer.body, answers[0].body);
+            for response in &responses {
+                assert_eq!(response.header(OUTCOME), "answered", "{response:?}");
+                assert_eq!(response.body, responses[0].body);
             }
             assert_eq!(run_count(&fleet, &key), 1);
         }
@@ -125,16 +125,16 @@
             "the other daemons see it as gone"
         );
         for index in (0..4).filter(|index| *index != holder) {
-            let answer = send_with_key(fleet.hosts[index].call_address(), "k", "0").await;
-            assert_eq!(answer.header(OUTCOME), "unknown", "{answer:?}");
+            let response = send_with_key(fleet.hosts[index].call_address(), "k", "0").await;
+            assert_eq!(response.header(OUTCOME), "unknown", "{response:?}");
         }
         fleet.start_daemon(holder);
         assert!(
             fleet.wait_for_ready(holder, TIMEOUT).await && fleet.wait_for_members(4, TIMEOUT).await
         );
         for host in &fleet.hosts {
-            let answer = send_with_key(host.call_address(), "k", "0").await;
-            assert_ne!(answer.header(OUTCOME), "answered", "{answer:?}");
+            let response = send_with_key(host.call_address(), "k", "0").await;
+            assert_ne!(response.header(OUTCOME), "answered", "{response:?}");
         }
         assert_eq!(run_count(&fleet, "k"), 1);
         let fresh = send_with_key(fleet.hosts[0].call_address(), "other", "0").await;
@@ -160,9 +160,9 @@
         })
         .await;
     let began = Instant::now();
-    let answer = send_with_key(fleet.hosts[0].call_address(), "k", "0").await;
+    let response = send_with_key(fleet.hosts[0].call_address(), "k", "0").await;
     assert_eq!(
-        (answer.header(OUTCOME), answer.header(REASON)),
+        (response.header(OUTCOME), response.header(REASON)),
         ("not-run", "log-away")
     );
     assert!(began.elapsed() < Duration::from_secs(1));
@@ -196,13 +196,13 @@
         })
         .await;
     for number in 0..5 {
-        let answer = send_with_key(
+        let response = send_with_key(
             fleet.hosts[number % 2].call_address(),
             &format!("k{number}"),
             "0",
         )
         .await;
-        assert_eq!(answer.header(OUTCOME), "not-run", "{answer:?}");
+        assert_eq!(response.header(OUTCOME), "not-run", "{response:?}");
     }
     fleet.set_log_faults(Faults::default()).await;
     for number in 0..5 {
--- a/trial/tests/load.rs
+++ b/trial/tests/load.rs
@@ -66,8 +66,8 @@
             report.kinds[0].credit
         })
     };
-    let (alike, told) = (timely(Policy::ExpectedAlike), timely(Policy::Expected));
-    assert!(told > alike + 0.01, "{alike} {told}");
+    let (alike, expected) = (timely(Policy::ExpectedAlike), timely(Policy::Expected));
+    assert!(expected > alike + 0.01, "{alike} {expected}");
 }
 
 /// Guards against forwarding to a target that is twelve times slower for a third of the run: its
@@ -108,6 +108,6 @@
         });
         crowded.map(|args| run(&args, policy).credit).sum::<f64>() / 5.0
     };
-    let (near, told) = (credit(Policy::ExpectedNear), credit(Policy::Expected));
-    assert!(told > near + 0.01, "{near} {told}");
+    let (near, expected) = (credit(Policy::ExpectedNear), credit(Policy::Expected));
+    assert!(expected > near + 0.01, "{near} {expected}");
 }
--- a/trial/tests/operators.rs
+++ b/trial/tests/operators.rs
@@ -155,11 +155,11 @@
         .chain(["--readers", "0", "--fanout", "0"])
         .collect();
     let output = run_program(&wrong).await;
-    let told = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        told.contains("--readers") && told.contains("--fanout"),
-        "{told}"
+        stderr.contains("--readers") && stderr.contains("--fanout"),
+        "{stderr}"
     );
 }
 
@@ -182,7 +182,8 @@
         "/metrics",
         "",
     );
-    let text = String::from_utf8_lossy(&metrics.await.expect("whole").body).into_owned();
+    let text =
+        String::from_utf8_lossy(&metrics.await.expect("a complete response").body).into_owned();
     let page = include_str!("../../docs/OPERATORS.md");
     let names: Vec<&str> = text
         .lines()
--- a/trial/tests/quarantine.rs
+++ b/trial/tests/quarantine.rs
@@ -27,8 +27,8 @@
     let headers = [("x-request", name), ("x-work-ms", "1000")];
     let request = Session::request(Method::POST, "/grants", &headers, "a studio");
     let mut session = Session::new(fleet.hosts[index].call_address());
-    let answer = session.send(request, TIMEOUT).await;
-    answer.expect("a whole answer")
+    let response = session.send(request, TIMEOUT).await;
+    response.expect("a complete response")
 }
 
 /// Kills the target that runs the request, and restarts it.
@@ -39,7 +39,7 @@
 /// Kills and restarts the target, in a network part with `targets` targets.
 async fn crash_target_of(fleet: &mut Fleet, name: &str, targets: usize) {
     let runs = || fleet.runs().into_iter().find(|run| run.request == name);
-    let (answer, target) = tokio::join!(send_request(fleet, 0, name), async {
+    let (response, target) = tokio::join!(send_request(fleet, 0, name), async {
         assert!(wait_until(TIMEOUT, || std::future::ready(runs().is_some())).await);
         tokio::time::sleep(RUN_TIME).await;
         let target = runs().expect("it runs").target;
@@ -51,7 +51,7 @@
         target.signal(Signal::KILL);
         index
     });
-    assert_eq!(answer.header(REASON), "broken");
+    assert_eq!(response.header(REASON), "broken");
     fleet.start_target(target);
     assert!(fleet.wait_for_upstreams(targets, TIMEOUT).await);
 }
@@ -114,10 +114,10 @@
 
 async fn assert_quarantined(fleet: &Fleet, name: &str) {
     for index in 0..fleet.hosts.len() {
-        let answer = send_request(fleet, index, name).await;
-        assert_eq!(answer.header(REASON), "quarantined", "{answer:?}");
-        assert_eq!(answer.status, 503);
-        let wait: u64 = answer.header("retry-after").parse().expect("a number");
+        let response = send_request(fleet, index, name).await;
+        assert_eq!(response.header(REASON), "quarantined", "{response:?}");
+        assert_eq!(response.status, 503);
+        let wait: u64 = response.header("retry-after").parse().expect("a number");
         assert!(
             (3_500..=3_600).contains(&wait),
             "about one hour, in seconds: {wait}"
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -79,17 +79,17 @@
             document: document(number),
         };
         record(Action::Call(Operation::Pending));
-        let answer = fleet.publish((daemon + 1) % fleet.hosts.len(), &edit).await;
-        let (status, answer) = answer.unwrap_or((0, Value::Null));
-        let told = |name: &str| answer[name].as_u64().unwrap_or_default();
+        let response = fleet.publish((daemon + 1) % fleet.hosts.len(), &edit).await;
+        let (status, response) = response.unwrap_or((0, Value::Null));
+        let field = |name: &str| response[name].as_u64().unwrap_or_default();
         match status {
             200 => record(Action::Response(Operation::Accepted {
                 base,
-                version: told("version"),
+                version: field("version"),
             })),
             409 => record(Action::Response(Operation::Conflict {
                 base,
-                current: told("current"),
+                current: field("current"),
             })),
             _ => {
                 undecided.push((id, base));
@@ -103,14 +103,14 @@
 
 /// Looks up the result of an edit whose outcome was unknown.
 async fn look_up(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
-    let answer: Option<Value> = get_json(
+    let response: Option<Value> = get_json(
         fleet.hosts[0].operator_address(),
         &format!("/config/edits/{id}"),
     )
     .await;
-    let answer = answer.unwrap_or_default();
-    let told = |name: &str| answer[name].as_u64();
-    match (told("version"), told("current")) {
+    let response = response.unwrap_or_default();
+    let field = |name: &str| response[name].as_u64();
+    match (field("version"), field("current")) {
         (Some(version), _) => Operation::Accepted { base, version },
         (None, Some(current)) => Operation::Conflict { base, current },
         (None, None) => Operation::Pending,
