--- a/trial/src/calls/fault_injection.rs
+++ b/trial/src/calls/fault_injection.rs
@@ -62,7 +62,7 @@
     leavings
 }
 
-/// Indices of the hosts that get the faults: the second one and the last one.
+/// Indices of the hosts that get the faults, one of each service.
 fn affected_hosts(fleet: &Fleet) -> (usize, usize) {
     let last = fleet.hosts.len() - 1;
     (1, last)
