--- a/trial/src/calls/caller.rs
+++ b/trial/src/calls/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that call at random times, and what they collect.
+//! Callers that send requests at random times, and the record of their results.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,83 +11,83 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::calls::history::{Told, Try};
+use crate::calls::history::{Attempt, Outcome};
 use crate::measure::converge::as_f64;
 use crate::rig::session::{Answer, Failure, Session};
 use crate::stand_in::target::Echo;
 
-/// Mean time that a target works on a call, in milliseconds.
+/// Mean processing time of a call at its target, in milliseconds.
 pub const WORK_MS: f64 = 200.0;
-/// Longest time that a target works on a call, in milliseconds.
+/// Longest processing time of a call at its target, in milliseconds.
 const MAX_WORK_MS: f64 = 1_600.0;
-/// Time that a caller waits for an answer; above every time-out of a route.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Tries of a caller that repeats a key.
+/// Time that a caller waits for a response; longer than the time-out of every route.
+const TIMEOUT: Duration = Duration::from_secs(8);
+/// Most attempts of a call with an idempotency key.
 const KEY_TRIES: usize = 3;
 
-/// One kind of call that callers make.
+/// Kind of call.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
-    /// Its path.
+    /// Path of the request.
     pub path: &'static str,
-    /// Whether it may run once at most.
+    /// Whether the request must run at most once.
     pub once: bool,
-    /// Whether a person waits for it.
+    /// Whether the route's class is interactive.
     pub interactive: bool,
-    /// Calls a second, over all sessions.
+    /// Calls per second, over all sessions.
     pub rate: f64,
-    /// Sessions that make them.
+    /// Number of sessions that make these calls.
     pub sessions: usize,
 }
 
-/// What callers collect.
+/// Results of all callers.
 #[derive(Debug)]
 pub struct Record {
-    /// Every try.
-    pub tries: Mutex<Vec<Try>>,
-    /// By kind.
+    /// All attempts.
+    pub tries: Mutex<Vec<Attempt>>,
+    /// Response times of each kind of call.
     pub times: Vec<Mutex<Times>>,
-    /// When callers stop sending.
+    /// Time at which callers stop sending.
     until: Instant,
     names: AtomicU64,
 }
 
-/// The calls of one kind.
+/// Response times of one kind of call.
 #[derive(Debug)]
 pub struct Times {
     /// Calls sent.
     pub sent: u64,
-    /// Times to a whole answer, in microseconds.
+    /// Times to a complete response, in microseconds.
     pub answered: Histogram<u64>,
-    /// Answers that came while callers were sending: what a span of time has room for can only be
-    /// compared with what came in it.
+    /// Number of responses that arrived while callers were still sending. Only these compare with the
+    /// capacity of that time span.
     pub inside: u64,
 }
 
-/// One caller with one session.
+/// Caller with one session.
 #[derive(Debug)]
 pub struct Caller {
-    /// What it calls.
+    /// Kind of call that it makes.
     pub kind: Kind,
-    /// Place of its kind in the record.
+    /// Index of the kind in the record.
     pub kind_index: usize,
-    /// The daemon that it begins with.
-    pub door: usize,
-    /// All daemons.
-    pub doors: Arc<Vec<SocketAddr>>,
-    /// What callers collect.
+    /// Index of the daemon that it sends to.
+    pub ingress: usize,
+    /// Addresses of all daemons.
+    pub ingresses: Arc<Vec<SocketAddr>>,
+    /// Results of all callers.
     pub record: Arc<Record>,
-    /// Daemons that were killed.
+    /// Addresses of daemons that the trial has killed.
     pub killed: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Draws times and sizes.
+    /// Random generator of pauses, keys and processing times.
     pub rng: SmallRng,
 }
 
 impl Caller {
-    /// Calls at random times, as fast on average as its kind asks for.
+    /// Makes calls at random times, at the average rate of the kind.
     pub async fn run(mut self, length: Duration) {
         let mean_s = as_f64(self.kind.sessions as u64) / self.kind.rate;
-        let mut session = Session::new(self.doors[self.door]);
+        let mut session = Session::new(self.ingresses[self.ingress]);
         let began = Instant::now();
         let mut due = began;
         loop {
@@ -100,10 +100,11 @@
         }
     }
 
-    /// Makes one call; repeats its key elsewhere while its fate is unknown.
+    /// Makes one call; while its outcome is unknown, a call with a key is repeated through another
+    /// daemon.
     async fn call(&mut self, session: &mut Session) {
         let name = format!("r{}", self.record.names.fetch_add(1, Ordering::Relaxed));
-        // Half of the calls that may run once carry a key.
+        // Half of the calls that must run at most once carry a key.
         let keyed = self.kind.once && self.rng.random_bool(0.5);
         let work = (-WORK_MS * self.rng.random_range(f64::EPSILON..1.0).ln()).min(MAX_WORK_MS);
         let work = format!("{work:.0}");
@@ -113,7 +114,7 @@
         times.lock().unwrap_or_else(PoisonError::into_inner).sent += 1;
         for _ in 0..if keyed { KEY_TRIES } else { 1 } {
             let (told, reason) = self.attempt(session, &name, &work, keyed).await;
-            let attempt = Try {
+            let attempt = Attempt {
                 request: name.clone(),
                 once: self.kind.once,
                 told,
@@ -125,16 +126,16 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(attempt);
             match told {
-                Told::Answered => {
+                Outcome::Answered => {
                     let took = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
                     let mut times = times.lock().unwrap_or_else(PoisonError::into_inner);
                     times.inside += u64::from(Instant::now() < record.until);
                     let _ = times.answered.record(took);
                     return;
                 }
-                Told::Unknown | Told::Cut | Told::CutByKill => {
+                Outcome::Unknown | Outcome::Cut | Outcome::CutByKill => {
                     tokio::time::sleep(Duration::from_millis(100)).await;
-                    self.next_door(session);
+                    self.use_next_ingress(session);
                 }
                 _ => return,
             }
@@ -147,62 +148,73 @@
         name: &str,
         work: &str,
         keyed: bool,
-    ) -> (Told, String) {
+    ) -> (Outcome, String) {
         let mut headers = vec![("x-request", name), ("x-work-ms", work), ("x-size", "300")];
         if keyed {
             headers.push(("idempotency-key", name));
         }
-        // A daemon that refuses connections has seen nothing; another one is tried.
-        for _ in 0..self.doors.len() {
+        // A daemon that refuses the connection has not received the request, so another one is tried.
+        for _ in 0..self.ingresses.len() {
             let method = if self.kind.once {
                 Method::POST
             } else {
                 Method::GET
             };
             let request = Session::request(method, self.kind.path, &headers, "{}");
-            match session.send(request, PATIENCE).await {
+            match session.send(request, TIMEOUT).await {
                 Ok(answer) => {
-                    if answer.closes() {
-                        self.next_door(session);
+                    if answer.closes_connection() {
+                        self.use_next_ingress(session);
                     }
-                    return (judge(&answer, name), answer.header(REASON).to_owned());
+                    return (classify(&answer, name), answer.header(REASON).to_owned());
                 }
-                Err(Failure::Refused) => self.next_door(session),
-                Err(Failure::Silent) => return (Told::Silent, String::new()),
+                Err(Failure::Refused) => self.use_next_ingress(session),
+                Err(Failure::Silent) => return (Outcome::Silent, String::new()),
                 Err(Failure::Cut(how)) => {
                     let killed = self.killed.lock().unwrap_or_else(PoisonError::into_inner);
-                    let by_kill = killed.contains(&self.doors[self.door]);
+                    let by_kill = killed.contains(&self.ingresses[self.ingress]);
                     drop(killed);
-                    self.next_door(session);
-                    return (if by_kill { Told::CutByKill } else { Told::Cut }, how);
+                    self.use_next_ingress(session);
+                    return (
+                        if by_kill {
+                            Outcome::CutByKill
+                        } else {
+                            Outcome::Cut
+                        },
+                        how,
+                    );
                 }
             }
         }
-        (Told::NotRun, "no daemon listens".to_owned())
+        (Outcome::NotRun, "no daemon listens".to_owned())
     }
 
-    fn next_door(&mut self, session: &mut Session) {
-        self.door = (self.door + 1) % self.doors.len();
-        session.move_to(self.doors[self.door]);
+    fn use_next_ingress(&mut self, session: &mut Session) {
+        self.ingress = (self.ingress + 1) % self.ingresses.len();
+        session.reconnect_to(self.ingresses[self.ingress]);
     }
 }
 
-/// Reads an answer: whose it is, and what it says.
-fn judge(answer: &Answer, name: &str) -> Told {
+/// Outcome that a response reports, checked against the request's name.
+fn classify(answer: &Answer, name: &str) -> Outcome {
     match answer.header(OUTCOME) {
-        "not-run" => Told::NotRun,
-        "unknown" => Told::Unknown,
+        "not-run" => Outcome::NotRun,
+        "unknown" => Outcome::Unknown,
         "answered" => {
             let echo = serde_json::from_slice::<Echo>(&answer.body).ok();
             let own = echo.is_some_and(|echo| echo.request == name && echo.padding.len() == 300);
-            if own { Told::Answered } else { Told::Wrong }
+            if own {
+                Outcome::Answered
+            } else {
+                Outcome::Wrong
+            }
         }
-        _ => Told::Wrong,
+        _ => Outcome::Wrong,
     }
 }
 
 impl Record {
-    /// A record of callers that send until `until`.
+    /// Creates the record of callers that send until `until`.
     ///
     /// # Panics
     ///
--- a/trial/src/calls/mod.rs
+++ b/trial/src/calls/mod.rs
@@ -1,8 +1,8 @@
-//! Calls under faults, checked on one history of callers and targets.
+//! Calls under faults, with the callers' outcomes checked against the targets' runs.
 
 pub mod caller;
+pub mod fault_injection;
 pub mod history;
-pub mod inject;
 pub mod options;
 
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use strum::{Display, EnumString};
 
 use crate::calls::caller::{Caller, Kind, Record, WORK_MS};
-use crate::calls::history::{Counts, Told, Try};
+use crate::calls::history::{Attempt, Counts, Outcome};
 use crate::calls::options::{Args, Fault};
 use crate::rig::deployment::Deployment;
 use crate::rig::fleet::Fleet;
@@ -24,93 +24,96 @@
 
 /// Slots of each target.
 const SLOTS: u32 = 20;
-/// Sessions for each call that all slots together take in a second.
+/// Sessions for each call per second of a rate.
 const SESSIONS_PER_CALL: f64 = 0.4;
-/// Time for which gates remember keys: longer than any caller here repeats one.
-const KEY_MEMORY_MS: &str = "12000";
-/// Time after which the gates' memories are whole.
-const SETTLE: Duration = Duration::from_millis(12_500);
+/// Time for which sidecars remember keys: longer than any caller here repeats one.
+const KEY_RETENTION_MS: &str = "12000";
+/// Time after which the sidecars have been up for longer than they remember keys.
+const WARM_UP: Duration = Duration::from_millis(12_500);
 
-/// Which policies the daemons follow.
+/// Policies of the daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Random choice, fixed retries, no limit.
+    /// Random selection, fixed retries, no concurrency limit.
     Baseline,
     /// The daemon's defaults.
     Default,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Which trial this is.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Deployment.
+    /// Modelled deployment.
     pub deployment: Deployment,
-    /// What was done to it.
+    /// Injected fault.
     pub fault: Fault,
     /// Policies of the daemons.
     pub policy: Policy,
-    /// What was told and run.
+    /// Outcomes compared with runs.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Reads that were not answered, but for those cut by the kill of their own daemon.
+    /// Reads without a response, except those whose daemon was killed by the trial.
     pub reads_lost: usize,
-    /// Each class of calls.
+    /// Results of each class of calls.
     pub classes: Vec<Class>,
-    /// Interactive calls answered while callers sent, as a share of what all slots had room for.
+    /// Interactive calls answered while callers were sending, as a share of the capacity of all slots.
     pub interactive_of_slots: f64,
-    /// Calls answered while callers sent, as a share of what all slots had room for.
+    /// Calls answered while callers were sending, as a share of the capacity of all slots.
     pub goodput_of_slots: f64,
 }
 
-/// One class of calls.
+/// Class of calls.
 #[derive(Debug, Clone, Serialize)]
 pub struct Class {
-    /// Its path.
+    /// Path of the requests.
     pub path: &'static str,
     /// Calls sent.
     pub sent: u64,
     /// Calls answered.
     pub answered: u64,
-    /// Time to a whole answer, median, in milliseconds.
+    /// Median time to a complete response, in milliseconds.
     pub p50_ms: f64,
-    /// Time to a whole answer, 99 in 100, in milliseconds.
+    /// 99th percentile of the time to a complete response, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// Runs one fault under one policy.
+/// Runs the trial with one fault and one policy.
 ///
 /// # Panics
 ///
-/// When the fleet does not come up, or does not come back.
+/// When the fleet does not start, or does not recover.
 pub async fn run(program: PathBuf, args: &Args, policy: Policy) -> Report {
-    let mut options = vec!["--key-memory-ms", KEY_MEMORY_MS];
+    let mut options = vec!["--key-memory-ms", KEY_RETENTION_MS];
     if policy == Policy::Baseline {
         options.extend(["--pick", "random", "--limits", "off", "--retries", "fixed"]);
     }
     let mut fleet = Fleet::start(program, &options).await.with_slots(SLOTS);
-    fleet.add(&args.deployment.places()).await;
+    fleet.add_hosts(&args.deployment.placements()).await;
     assert!(
         fleet
-            .meets(fleet.hosts.len(), Duration::from_secs(30))
+            .wait_for_members(fleet.hosts.len(), Duration::from_secs(30))
             .await,
-        "all know each other"
+        "all daemons see each other"
     );
-    let version = fleet.put(0, args.deployment.document()).await;
+    let version = fleet.publish_document(0, args.deployment.document()).await;
     assert!(
-        fleet.converges(version, Duration::from_secs(9)).await,
-        "the document is in force"
+        fleet
+            .wait_for_version(version, Duration::from_secs(9))
+            .await,
+        "the document is active"
     );
 
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
 
     let kinds = kinds(args);
     let length = Duration::from_secs(args.seconds);
     let record = Arc::new(Record::new(&kinds, Instant::now() + length));
-    let doors: Arc<Vec<SocketAddr>> = Arc::new(fleet.hosts.iter().map(Host::calls).collect());
+    let doors: Arc<Vec<SocketAddr>> =
+        Arc::new(fleet.hosts.iter().map(Host::call_address).collect());
     let killed = Arc::new(Mutex::new(Vec::new()));
     let mut callers = Vec::new();
     for (kind_index, kind) in kinds.iter().enumerate() {
@@ -118,8 +121,8 @@
             let caller = Caller {
                 kind: *kind,
                 kind_index,
-                door: number % doors.len(),
-                doors: Arc::clone(&doors),
+                ingress: number % doors.len(),
+                ingresses: Arc::clone(&doors),
                 record: Arc::clone(&record),
                 killed: Arc::clone(&killed),
                 rng: SmallRng::seed_from_u64((kind_index * 10_000 + number) as u64),
@@ -127,11 +130,11 @@
             callers.push(tokio::spawn(caller.run(length)));
         }
     }
-    let leavings = inject::run(&mut fleet, args, length, &killed).await;
+    let leavings = fault_injection::run(&mut fleet, args, length, &killed).await;
     for caller in callers {
         caller.await.expect("a caller ends");
     }
-    // A request that is told "not run" must not run later either.
+    // A request that was reported as not run must not run later either.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let tries = record
         .tries
@@ -142,7 +145,7 @@
     report(args, policy, &kinds, &record, counts, &tries)
 }
 
-/// The calls of a deployment, so that each service gets its share of what its slots can take.
+/// Kinds of calls of a deployment, with rates in proportion to the capacity of each service.
 fn kinds(args: &Args) -> Vec<Kind> {
     let load = if args.fault == Fault::Surge { 2.0 } else { 0.5 };
     let paths = args.deployment.paths();
@@ -167,7 +170,7 @@
     ]
 }
 
-/// Sessions for a rate of calls: enough that callers keep calling when answers are slow.
+/// Number of sessions for a rate of calls: enough to keep up the rate when responses are slow.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -183,7 +186,7 @@
     kinds: &[Kind],
     record: &Record,
     counts: Counts,
-    tries: &[Try],
+    tries: &[Attempt],
 ) -> Report {
     let mut classes = Vec::new();
     let (mut interactive, mut inside) = (0, 0);
@@ -207,8 +210,9 @@
         .map(|(_, count)| *count as u64)
         .sum::<u64>();
     let capacity = number(targets * u64::from(SLOTS) * args.seconds) * 1_000.0 / WORK_MS;
-    let lost =
-        |attempt: &&Try| !attempt.once && !matches!(attempt.told, Told::Answered | Told::CutByKill);
+    let lost = |attempt: &&Attempt| {
+        !attempt.once && !matches!(attempt.told, Outcome::Answered | Outcome::CutByKill)
+    };
     Report {
         trial: "calls",
         deployment: args.deployment,
--- a/trial/src/load/world.rs
+++ b/trial/src/load/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of a run: callers, targets, and the product's decisions between them.
+//! Discrete-event simulation of callers and targets, with the product's code making the decisions.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,33 +13,33 @@
 use rand::{RngExt, SeedableRng};
 
 use super::kind::{Kind, Nested, kinds};
-use super::tally::{End, Tally};
+use super::statistics::{End, Statistics};
 use super::{Args, Policy, Report};
 
 /// Slots of each target.
 const SLOTS: u32 = 18;
-/// Places to wait at each gate.
+/// Capacity of each sidecar's queue.
 const QUEUE: u32 = 256;
-/// Speeds of the targets in turn, as multiples of the time that an ordinary one needs.
+/// Processing times of the targets in turn, as multiples of an ordinary target's.
 const SPEEDS: [f64; 3] = [0.6, 1.0, 1.4];
-/// Part of the slots from which on a target slows down, and by how much when all are taken.
-const KNEE: (f64, f64) = (0.75, 1.4);
-/// What a kilobyte from another data centre counts, in milliseconds, and the part of it for which a
+/// Share of occupied slots above which a target slows down, and its slowdown with all slots occupied.
+const SLOWDOWN: (f64, f64) = (0.75, 1.4);
+/// Cost of a kilobyte from another data centre, in milliseconds, and the share of the cost by which a
 /// call waits less there; the settings of the platform's deploy file.
-const FAR: (f64, f64) = (200.0, 0.1);
-/// Gates that may refuse a call before its caller is told.
-const REFUSALS: usize = 3;
-/// Times after which refused callers come back, in milliseconds.
-const COME_BACK: std::ops::Range<f64> = 150.0..500.0;
-/// Longest time of a call at its target, as a multiple of the mean.
-const LONGEST: f64 = 8.0;
-
-/// What happens next.
+const REMOTE_COST: (f64, f64) = (200.0, 0.1);
+/// Most sidecars that may refuse a call before its caller is refused.
+const MAX_REFUSALS: usize = 3;
+/// Range of the time after which refused callers retry, in milliseconds.
+const RETURN_DELAY_MS: std::ops::Range<f64> = 150.0..500.0;
+/// Longest processing time of a call, as a multiple of the mean.
+const MAX_WORK_FACTOR: f64 = 8.0;
+
+/// Scheduled event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The next caller of a kind comes to a host.
+    /// The next call of a kind arrives at a host.
     Arrive { kind: usize, host: usize },
-    /// A refused caller comes back.
+    /// A refused caller retries.
     Return { call: usize },
     /// A run ends.
     Finish { call: usize },
@@ -51,17 +51,17 @@
 struct Call {
     kind: usize,
     host: usize,
-    /// When the caller came first, in microseconds, as all times here.
+    /// When the call first arrived, in microseconds, as all times here.
     came: u64,
     /// When this attempt was made.
     sent: u64,
     returned: bool,
     tried: Vec<usize>,
     parent: Option<usize>,
-    /// Calls of its own that have not ended.
+    /// Nested calls that have not ended.
     open: u32,
     target: usize,
-    /// When it was handed to the target's gate.
+    /// When it was forwarded to the target's sidecar.
     placed: u64,
     began: u64,
     work_ms: f64,
@@ -79,21 +79,21 @@
     waiting: Vec<(u64, usize)>,
 }
 
-/// What one host's entry knows.
+/// State of one host's ingress.
 #[derive(Debug)]
-struct Entry {
+struct Ingress {
     data_centre: usize,
-    typicals: Vec<Baseline>,
-    patiences: Vec<Estimator>,
-    paces: Vec<Profile>,
+    baselines: Vec<Baseline>,
+    estimators: Vec<Estimator>,
+    profiles: Vec<Profile>,
     own: Vec<u32>,
-    /// Times at which own calls were sent to each target, as their sum.
+    /// Sum of the times at which the outstanding calls were sent, for each target.
     sent: Vec<u64>,
 }
 
-impl Entry {
-    /// Own calls under way at a target.
-    fn underway(&self, target: usize, now: u64) -> Outstanding {
+impl Ingress {
+    /// Own calls outstanding at a target.
+    fn outstanding(&self, target: usize, now: u64) -> Outstanding {
         let count = self.own[target];
         let mean = self.sent[target].checked_div(u64::from(count));
         Outstanding {
@@ -103,9 +103,9 @@
     }
 }
 
-/// Everything that a run needs.
+/// State of a run.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     policy: Policy,
     kinds: Vec<Kind>,
     load: f64,
@@ -119,16 +119,16 @@
     order: u64,
     calls: Vec<Call>,
     targets: Vec<Target>,
-    entries: Vec<Entry>,
-    tallies: Vec<Tally>,
+    ingresses: Vec<Ingress>,
+    statistics: Vec<Statistics>,
     seconds: Vec<(f64, f64)>,
     refused: u64,
     ran: u64,
     far_kb: f64,
 }
 
-impl World {
-    /// The world at its start.
+impl Simulation {
+    /// Creates the simulation in its initial state.
     #[must_use]
     pub fn new(args: &Args, policy: Policy) -> Self {
         let start = Instant::now();
@@ -147,19 +147,19 @@
                 waiting: Vec::new(),
             })
             .collect();
-        let entries = targets.iter().map(|target| Entry {
+        let ingresses = targets.iter().map(|target| Ingress {
             data_centre: target.data_centre,
-            typicals: vec![Baseline::default(); kinds.len()],
-            patiences: vec![Estimator::default(); kinds.len()],
-            paces: vec![Profile::new(start); targets.len()],
+            baselines: vec![Baseline::default(); kinds.len()],
+            estimators: vec![Estimator::default(); kinds.len()],
+            profiles: vec![Profile::new(start); targets.len()],
             own: vec![0; targets.len()],
             sent: vec![0; targets.len()],
         });
-        let entries = entries.collect();
+        let ingresses = ingresses.collect();
         let seconds = vec![(0.0, 0.0); args.seconds as usize];
         Self {
             policy,
-            tallies: vec![Tally::new(); kinds.len()],
+            statistics: vec![Statistics::new(); kinds.len()],
             kinds,
             load: args.load,
             crowd: args.crowd,
@@ -172,7 +172,7 @@
             order: 0,
             calls: Vec::new(),
             targets,
-            entries,
+            ingresses,
             seconds,
             refused: 0,
             ran: 0,
@@ -180,18 +180,18 @@
         }
     }
 
-    /// Plays until every call has ended.
-    pub fn play(&mut self) {
+    /// Runs until every call has ended.
+    pub fn run(&mut self) {
         for kind in 0..self.kinds.len() {
-            for host in 0..self.entries.len() {
-                self.expect_caller(kind, host);
+            for host in 0..self.ingresses.len() {
+                self.schedule_arrival(kind, host);
             }
         }
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
             match event {
                 Event::Arrive { kind, host } => {
-                    self.expect_caller(kind, host);
+                    self.schedule_arrival(kind, host);
                     let call = self.begin(kind, host, None);
                     self.place(call);
                 }
@@ -206,18 +206,18 @@
         }
     }
 
-    /// What the run showed.
+    /// Summarizes the run.
     #[must_use]
     pub fn report(&self, policy: Policy) -> Report {
         let (earned, worth) = self.seconds.iter().fold((0.0, 0.0), |sum, second| {
             (sum.0 + second.0, sum.1 + second.1)
         });
-        let answered = self.tallies.iter().map(Tally::answered);
+        let answered = self.statistics.iter().map(Statistics::answered);
         let (served, late) = answered.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let share = |part, whole: u64| {
             crate::measure::converge::as_f64(part) / crate::measure::converge::as_f64(whole.max(1))
         };
-        let rows = self.tallies.iter().zip(&self.kinds);
+        let rows = self.statistics.iter().zip(&self.kinds);
         Report {
             trial: "load",
             policy,
@@ -244,16 +244,16 @@
         self.events.push(Reverse((time, self.order, event)));
     }
 
-    /// Schedules the next caller of a kind at a host, at a random time.
-    fn expect_caller(&mut self, kind: usize, host: usize) {
-        let weight = |entry: &Entry| {
-            if entry.data_centre == 0 {
+    /// Schedules the next call of a kind at a host, at a random time.
+    fn schedule_arrival(&mut self, kind: usize, host: usize) {
+        let weight = |ingress: &Ingress| {
+            if ingress.data_centre == 0 {
                 self.crowd
             } else {
                 1.0
             }
         };
-        let share = weight(&self.entries[host]) / self.entries.iter().map(weight).sum::<f64>();
+        let share = weight(&self.ingresses[host]) / self.ingresses.iter().map(weight).sum::<f64>();
         let rate = self.kinds[kind].rate * self.load * share;
         if rate <= 0.0 {
             return;
@@ -268,7 +268,7 @@
     fn begin(&mut self, kind: usize, host: usize, parent: Option<usize>) -> usize {
         let Kind { work, spread, .. } = self.kinds[kind];
         let mean_ms = work.duration().as_secs_f64() * 1_000.0;
-        // Two uniform draws make a normal one; its exponential has the wanted mean.
+        // Box-Muller transform: two uniform draws give a normal one, whose exponential has the wanted mean.
         let radius = (-2.0 * self.rng.random_range(f64::EPSILON..1.0).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.rng.random_range(0.0..1.0)).cos();
         let draw = (spread * normal - spread * spread / 2.0).exp();
@@ -284,13 +284,13 @@
             target: 0,
             placed: 0,
             began: 0,
-            work_ms: mean_ms * draw.min(LONGEST),
+            work_ms: mean_ms * draw.min(MAX_WORK_FACTOR),
             ended: false,
         });
         self.calls.len() - 1
     }
 
-    /// Finds a gate that takes a call, as an entry does.
+    /// Forwards a call to a sidecar that accepts it, as an ingress does.
     fn place(&mut self, call: usize) {
         let mut refusals = 0;
         loop {
@@ -302,33 +302,33 @@
             }
             self.refused += 1;
             refusals += 1;
-            self.learn_refusal(call, target);
+            self.record_refusal(call, target);
             self.calls[call].tried.push(target);
-            if refusals == REFUSALS {
+            if refusals == MAX_REFUSALS {
                 return self.refuse(call);
             }
         }
     }
 
-    /// Learns how full a gate is that has refused a call.
-    fn learn_refusal(&mut self, call: usize, target: usize) {
+    /// Records the load that a sidecar reports with a refusal.
+    fn record_refusal(&mut self, call: usize, target: usize) {
         if self.policy == Policy::ExpectedNear {
             return;
         }
         let now = self.at(self.now);
         let load = self.load_of(target);
-        let entry = &mut self.entries[self.calls[call].host];
-        entry.paces[target].record_load(now, load, entry.own[target]);
+        let ingress = &mut self.ingresses[self.calls[call].host];
+        ingress.profiles[target].record_load(now, load, ingress.own[target]);
     }
 
-    /// Calls that run at a target or wait at its gate.
+    /// Number of calls that run at a target or wait at its sidecar.
     fn load_of(&self, target: usize) -> u32 {
         let there = &self.targets[target];
         there.running + count(there.waiting.len())
     }
 
-    /// Wait that a call tolerates at a target.
-    fn tolerance(&mut self, call: usize, target: usize) -> Duration {
+    /// Longest expected wait for a slot at a target with which a call is admitted.
+    fn max_wait(&mut self, call: usize, target: usize) -> Duration {
         let Call {
             kind,
             host,
@@ -336,26 +336,26 @@
             sent,
             ..
         } = self.calls[call];
-        let Kind { aim, patience, .. } = self.kinds[kind];
-        let entry = &mut self.entries[host];
-        let typical = entry.typicals[kind];
+        let Kind { aim, timeout, .. } = self.kinds[kind];
+        let ingress = &mut self.ingresses[host];
+        let baseline = ingress.baselines[kind];
         let before = Duration::from_micros(sent - came);
-        let given = Millis::from(patience.duration().saturating_sub(before));
+        let caller_timeout = Millis::from(timeout.duration().saturating_sub(before));
         let before = if self.policy == Policy::ExpectedAlike {
             Duration::ZERO
         } else {
-            entry.patiences[kind].caller_wait(given)
+            ingress.estimators[kind].caller_wait(caller_timeout)
         };
-        let far = entry.data_centre != self.targets[target].data_centre;
-        let way_ms = if far {
-            FAR.0 * FAR.1 * typical.response_bytes / 1_024.0
+        let remote = ingress.data_centre != self.targets[target].data_centre;
+        let transfer_ms = if remote {
+            REMOTE_COST.0 * REMOTE_COST.1 * baseline.response_bytes / 1_024.0
         } else {
             0.0
         };
         let left = aim.duration().saturating_sub(before);
         wait::max_wait(
             left,
-            typical.processing() + Duration::from_secs_f64(way_ms / 1_000.0),
+            baseline.processing() + Duration::from_secs_f64(transfer_ms / 1_000.0),
         )
     }
 
@@ -377,27 +377,27 @@
                 fresh.iter().map(|t| self.candidate(host, *t)).collect();
             return pick::choose(by, &candidates, &mut self.rng).map(|index| fresh[index]);
         }
-        let entry = &self.entries[host];
-        let typical = entry.typicals[kind];
+        let ingress = &self.ingresses[host];
+        let baseline = ingress.baselines[kind];
         let costs: Vec<Cost> = fresh
             .iter()
             .map(|target| {
-                let expected = entry.paces[*target].expected_ms(
+                let expected = ingress.profiles[*target].expected_ms(
                     now,
-                    entry.underway(*target, self.now),
+                    ingress.outstanding(*target, self.now),
                     SLOTS,
-                    &typical,
+                    &baseline,
                 );
-                let far = entry.data_centre != self.targets[*target].data_centre;
+                let remote = ingress.data_centre != self.targets[*target].data_centre;
                 let free =
                     !self.calls[call].tried.is_empty() && self.policy != Policy::ExpectedNear;
-                let way_ms = if far && !free {
-                    FAR.0 * (0.5 + typical.response_bytes / 1_024.0)
+                let transfer_ms = if remote && !free {
+                    REMOTE_COST.0 * (0.5 + baseline.response_bytes / 1_024.0)
                 } else {
                     0.0
                 };
                 Cost {
-                    ms: expected + way_ms,
+                    ms: expected + transfer_ms,
                     ejected: false,
                 }
             })
@@ -406,23 +406,23 @@
     }
 
     fn candidate(&self, host: usize, target: usize) -> Candidate {
-        let (entry, there) = (&self.entries[host], &self.targets[target]);
+        let (ingress, there) = (&self.ingresses[host], &self.targets[target]);
         Candidate {
-            local: entry.data_centre == there.data_centre,
-            load: entry.own[target].max(there.running),
+            local: ingress.data_centre == there.data_centre,
+            load: ingress.own[target].max(there.running),
             slots: SLOTS,
             share: 1.0,
             ejected: false,
         }
     }
 
-    /// Asks a gate for a slot; `false` when it has no room.
+    /// Requests a slot from a sidecar; returns `false` if the sidecar refuses.
     fn enter(&mut self, call: usize, target: usize) -> bool {
         let Call { kind, .. } = self.calls[call];
         let Kind {
-            priority, patience, ..
+            priority, timeout, ..
         } = self.kinds[kind];
-        let tolerance = self.tolerance(call, target);
+        let tolerance = self.max_wait(call, target);
         let expected = !matches!(self.policy, Policy::Random | Policy::TwoChoices);
         let wait = self.targets[target].limit.expected_wait(priority);
         if expected && wait > tolerance {
@@ -435,15 +435,15 @@
             Decision::Shed => return false,
             Decision::Run => {
                 self.calls[call].target = target;
-                self.count_own(call, target);
+                self.track_request(call, target);
                 self.start(call);
             }
             Decision::Wait { shed } => {
                 debug_assert!(queue > 0);
                 self.calls[call].target = target;
-                self.count_own(call, target);
+                self.track_request(call, target);
                 self.targets[target].waiting.push((ticket, call));
-                self.schedule(patience.duration() / 2, Event::GiveUp { call, ticket });
+                self.schedule(timeout.duration() / 2, Event::GiveUp { call, ticket });
                 if let Some(shed) = shed {
                     self.drop_waiting(target, shed);
                 }
@@ -459,7 +459,7 @@
             .position(|(t, _)| *t == ticket);
         if let Some(place) = place {
             let (_, call) = self.targets[target].waiting.remove(place);
-            self.uncount_own(call);
+            self.untrack_request(call);
             self.refuse(call);
         }
     }
@@ -475,7 +475,7 @@
         }
     }
 
-    /// Runs a call: its own calls first, then its work.
+    /// Runs a call: first its nested calls, then its own processing.
     fn start(&mut self, call: usize) {
         self.ran += 1;
         let Call { kind, target, .. } = self.calls[call];
@@ -487,7 +487,7 @@
             return self.work(call);
         };
         self.calls[call].open = times;
-        // The host of a target is the entry beside it.
+        // Hosts and targets have the same indices: the nested calls use the co-located ingress.
         for _ in 0..times {
             if self.calls[call].ended {
                 return;
@@ -503,7 +503,7 @@
         } = self.calls[call];
         let there = &self.targets[target];
         let fill = f64::from(there.running) / f64::from(SLOTS);
-        let crowded = 1.0 + (fill - KNEE.0).max(0.0) / (1.0 - KNEE.0) * (KNEE.1 - 1.0);
+        let crowded = 1.0 + (fill - SLOWDOWN.0).max(0.0) / (1.0 - SLOWDOWN.0) * (SLOWDOWN.1 - 1.0);
         let third = self.until / 3;
         let slow = target == 0 && (third..2 * third).contains(&self.now);
         let slow = if slow { self.slow } else { 1.0 };
@@ -528,18 +528,18 @@
             return;
         }
         let now = self.at(self.now);
-        let far = self.entries[host].data_centre != self.targets[target].data_centre;
-        self.far_kb += if far { self.kinds[kind].kb } else { 0.0 };
+        let remote = self.ingresses[host].data_centre != self.targets[target].data_centre;
+        self.far_kb += if remote { self.kinds[kind].kb } else { 0.0 };
         let work = Duration::from_micros(self.now - began);
         let load = self.load_of(target);
-        let entry = &mut self.entries[host];
-        let factor = entry.paces[target].slowdown(now);
-        entry.typicals[kind].record(work, factor, bytes(self.kinds[kind].kb));
-        let typical = entry.typicals[kind];
-        entry.paces[target].record_response(now, work, &typical);
-        entry.paces[target].record_load(now, load, entry.own[target]);
+        let ingress = &mut self.ingresses[host];
+        let factor = ingress.profiles[target].slowdown(now);
+        ingress.baselines[kind].record(work, factor, bytes(self.kinds[kind].kb));
+        let baseline = ingress.baselines[kind];
+        ingress.profiles[target].record_response(now, work, &baseline);
+        ingress.profiles[target].record_load(now, load, ingress.own[target]);
         self.leave(call);
-        let deadline = self.kinds[kind].patience.duration();
+        let deadline = self.kinds[kind].timeout.duration();
         let took = Duration::from_micros(self.now - came);
         let in_time = Duration::from_micros(self.now - sent) <= deadline && took <= deadline;
         let end = if in_time {
@@ -550,29 +550,29 @@
         self.end(call, end);
     }
 
-    fn count_own(&mut self, call: usize, target: usize) {
+    fn track_request(&mut self, call: usize, target: usize) {
         self.calls[call].placed = self.now;
-        let entry = &mut self.entries[self.calls[call].host];
-        entry.own[target] += 1;
-        entry.sent[target] += self.now;
+        let ingress = &mut self.ingresses[self.calls[call].host];
+        ingress.own[target] += 1;
+        ingress.sent[target] += self.now;
     }
 
-    fn uncount_own(&mut self, call: usize) {
+    fn untrack_request(&mut self, call: usize) {
         let Call {
             host,
             target,
             placed,
             ..
         } = self.calls[call];
-        let entry = &mut self.entries[host];
-        entry.own[target] -= 1;
-        entry.sent[target] -= placed;
+        let ingress = &mut self.ingresses[host];
+        ingress.own[target] -= 1;
+        ingress.sent[target] -= placed;
     }
 
-    /// Gives the slot of a call back and starts whoever gets it.
+    /// Releases the slot of a call and starts the call that gets it next.
     fn leave(&mut self, call: usize) {
         let Call { target, began, .. } = self.calls[call];
-        self.uncount_own(call);
+        self.untrack_request(call);
         let held = Duration::from_micros(self.now - began);
         let there = &mut self.targets[target];
         there.running -= 1;
@@ -594,11 +594,11 @@
             ..
         } = self.calls[call];
         let waited = Duration::from_micros(self.now - came);
-        if parent.is_some() || returned || waited >= self.kinds[kind].patience.duration() {
+        if parent.is_some() || returned || waited >= self.kinds[kind].timeout.duration() {
             return self.end(call, End::Refused);
         }
         self.calls[call].returned = true;
-        let pause = Duration::from_secs_f64(self.rng.random_range(COME_BACK) / 1_000.0);
+        let pause = Duration::from_secs_f64(self.rng.random_range(RETURN_DELAY_MS) / 1_000.0);
         self.schedule(pause, Event::Return { call });
     }
 
@@ -608,19 +608,19 @@
         } = self.calls[call];
         self.calls[call].ended = true;
         let Kind { worth, .. } = self.kinds[kind];
-        let credit = worth * self.tallies[kind].count(&self.kinds[kind], end);
+        let credit = worth * self.statistics[kind].count(&self.kinds[kind], end);
         let second = usize::try_from(came / 1_000_000).unwrap_or(usize::MAX);
         if let Some(sums) = self.seconds.get_mut(second) {
             sums.0 += credit;
             sums.1 += worth;
         }
         if let Some(parent) = parent {
-            self.inner_ended(parent, matches!(end, End::Answered(_)));
+            self.nested_call_ended(parent, matches!(end, End::Answered(_)));
         }
     }
 
-    /// A call that a run made has ended: the run goes on, or fails at once.
-    fn inner_ended(&mut self, parent: usize, well: bool) {
+    /// Handles the end of a nested call: its parent continues, or fails at once.
+    fn nested_call_ended(&mut self, parent: usize, well: bool) {
         if self.calls[parent].ended {
             return;
         }
@@ -635,7 +635,7 @@
     }
 }
 
-/// Slots and places to wait under a policy; without a limit the target's own queue is endless.
+/// Slots and queue capacity under a policy; without a limit the target's own queue is unbounded.
 const fn limit_of(policy: Policy) -> (u32, u32) {
     match policy {
         Policy::Random => (SLOTS, u32::MAX),
--- a/trial/src/rig/fleet.rs
+++ b/trial/src/rig/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting, injuring and asking real processes on loopback.
+//! Starts real processes on loopback, injects faults into them and queries them.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,42 +13,44 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::rig::deployment::Place;
-use crate::rig::host::{CALL, Host, LOG, OPERATOR, PEER, Process, TARGET, WORK};
-use crate::rig::loopback::free_network;
-use crate::rig::net::Net;
+use crate::rig::deployment::Placement;
+use crate::rig::host::{
+    ANNOUNCE_PORT, CALL_PORT, Host, LOG_PORT, OPERATOR_PORT, PEER_PORT, Process, TARGET_PORT,
+};
+use crate::rig::loopback::allocate_network;
+use crate::rig::network::Network;
 use crate::rig::session::{self, Answer};
 use crate::stand_in::log::{Faults, Stats};
 use crate::stand_in::target::Run;
 
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything that a trial runs.
+/// All processes of a trial.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) program: PathBuf,
     network: u8,
     logs: PathBuf,
     options: Vec<String>,
-    /// Slots of each target.
+    /// Slots of each target that is started.
     slots: String,
-    /// The network between the hosts, when trials want to cut it.
-    pub net: Option<Arc<Net>>,
-    /// The platform log.
+    /// Simulated network between the daemons, if the trial needs one.
+    pub net: Option<Arc<Network>>,
+    /// Stand-in for the platform's log.
     pub log: Option<Process>,
-    /// The hosts.
+    /// Hosts in the order of their indices.
     pub hosts: Vec<Host>,
 }
 
 impl Fleet {
-    /// Starts the log; `options` are passed to every daemon.
+    /// Starts the log. Every daemon gets `options` on its command line.
     ///
     /// # Panics
     ///
-    /// When no part of the loopback network is free or the log does not come up.
+    /// When no loopback network is free or the log does not start within 10 s.
     pub async fn start(program: PathBuf, options: &[&str]) -> Self {
-        let network = free_network();
+        let network = allocate_network();
         let logs =
             std::env::temp_dir().join(format!("jackdaw-trial-{}-{network}", std::process::id()));
         std::fs::create_dir_all(&logs).expect("the temporary folder can be written");
@@ -65,34 +67,38 @@
         };
         fleet.start_log();
         let log = fleet.log_address();
-        let up = || async move { session::once(log, Method::GET, "/stats", "").await.is_ok() };
+        let up = || async move {
+            session::send_once(log, Method::GET, "/stats", "")
+                .await
+                .is_ok()
+        };
         assert!(
-            until(Duration::from_secs(10), up).await,
-            "the log did not come up"
+            wait_until(Duration::from_secs(10), up).await,
+            "the log did not start"
         );
         fleet
     }
 
-    /// Gives the targets that are started from now on other slots.
+    /// Sets the slots of targets that are started from now on.
     #[must_use]
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots.to_string();
         self
     }
 
-    /// Puts a network that can be cut between the hosts that are added from now on.
+    /// Connects the hosts that are added from now on through a simulated network.
     #[must_use]
-    pub fn with_net(mut self) -> Self {
-        self.net = Some(Arc::new(Net::default()));
+    pub fn with_network(mut self) -> Self {
+        self.net = Some(Arc::new(Network::default()));
         self
     }
 
-    /// Starts hosts and waits until all of them serve.
+    /// Starts hosts and waits until all of them are ready.
     ///
     /// # Panics
     ///
-    /// When they do not within a minute.
-    pub async fn add(&mut self, places: &[Place]) {
+    /// When a host is not ready within one minute.
+    pub async fn add_hosts(&mut self, places: &[Placement]) {
         let first = self.hosts.len();
         for place in places {
             let index = self.hosts.len();
@@ -102,16 +108,19 @@
             let inner = match &self.net {
                 Some(net) => {
                     let inner = IpAddr::V4(Ipv4Addr::new(127, self.network, 100 + rack, host));
-                    let (outer, inner) = (SocketAddr::new(ip, PEER), SocketAddr::new(inner, PEER));
+                    let (outer, inner) = (
+                        SocketAddr::new(ip, PEER_PORT),
+                        SocketAddr::new(inner, PEER_PORT),
+                    );
                     net.attach(outer, inner, place.data_centre.clone()).await;
                     inner.ip()
                 }
                 None => ip,
             };
             self.hosts.push(Host {
-                place: place.clone(),
+                placement: place.clone(),
                 ip,
-                inner,
+                listen_ip: inner,
                 daemon: None,
                 target: None,
             });
@@ -120,13 +129,13 @@
         }
         for index in first..self.hosts.len() {
             assert!(
-                self.serves(index, Duration::from_mins(1)).await,
+                self.wait_for_ready(index, Duration::from_mins(1)).await,
                 "host {index} is not ready"
             );
         }
     }
 
-    /// Starts the platform log.
+    /// Starts the stand-in for the platform's log.
     pub fn start_log(&mut self) {
         let listen = self.log_address().to_string();
         self.log = Some(self.spawn("log", &["log", "--listen", &listen]));
@@ -135,15 +144,15 @@
     /// Starts the daemon of a host.
     pub fn start_daemon(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let centre = host.place.data_centre.to_string();
+        let centre = host.placement.data_centre.to_string();
         let address = |port| SocketAddr::new(host.ip, port).to_string();
         let log = self.log_address().to_string();
-        let advertise = address(PEER);
+        let advertise = address(PEER_PORT);
         let (peer, call, target, operator) = (
-            SocketAddr::new(host.inner, PEER).to_string(),
-            address(CALL),
-            address(TARGET),
-            address(OPERATOR),
+            SocketAddr::new(host.listen_ip, PEER_PORT).to_string(),
+            address(CALL_PORT),
+            address(ANNOUNCE_PORT),
+            address(OPERATOR_PORT),
         );
         let mut args = vec![
             "daemon",
@@ -167,14 +176,14 @@
         self.hosts[index].daemon = Some(process);
     }
 
-    /// Starts the target of a host, when it has a service.
+    /// Starts the target of a host, if the host has a service.
     pub fn start_target(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let Some(service) = host.place.service.as_ref().map(ToString::to_string) else {
+        let Some(service) = host.placement.service.as_ref().map(ToString::to_string) else {
             return;
         };
         let address = |port| SocketAddr::new(host.ip, port).to_string();
-        let (listen, daemon) = (address(WORK), address(TARGET));
+        let (listen, daemon) = (address(TARGET_PORT), address(ANNOUNCE_PORT));
         let runs = self.runs_file(index).to_string_lossy().into_owned();
         let args = [
             "target",
@@ -193,61 +202,64 @@
         self.hosts[index].target = Some(process);
     }
 
-    /// Address of the platform log.
+    /// Address of the stand-in for the platform's log.
     #[must_use]
     pub const fn log_address(&self) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.network, 0, 1)), LOG)
+        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.network, 0, 1)), LOG_PORT)
     }
 
-    /// Sets the switches of the log.
+    /// Sets the faults of the log.
     ///
     /// # Panics
     ///
-    /// When the log does not take them.
-    pub async fn fail_log(&self, faults: Faults) {
+    /// When the log does not accept them.
+    pub async fn set_log_faults(&self, faults: Faults) {
         let body = serde_json::to_string(&faults).expect("plain data is JSON");
-        let answer = session::once(self.log_address(), Method::POST, "/faults", &body).await;
+        let answer = session::send_once(self.log_address(), Method::POST, "/faults", &body).await;
         assert!(
             answer.is_ok_and(|answer| answer.status.is_success()),
-            "the log takes faults"
+            "the log accepts the faults"
         );
     }
 
-    /// What the log has done.
+    /// Counters of the log.
     pub async fn log_stats(&self) -> Stats {
-        get(self.log_address(), "/stats").await.unwrap_or_default()
+        get_json(self.log_address(), "/stats")
+            .await
+            .unwrap_or_default()
     }
 
-    /// Whether a daemon serves before `patience` ends.
-    pub async fn serves(&self, index: usize, patience: Duration) -> bool {
-        let operator = self.hosts[index].operator();
-        until(patience, || async move {
-            let answer = session::once(operator, Method::GET, "/health/ready", "").await;
+    /// Waits until a daemon is ready; returns `false` on a time-out.
+    pub async fn wait_for_ready(&self, index: usize, timeout: Duration) -> bool {
+        let operator = self.hosts[index].operator_address();
+        wait_until(timeout, || async move {
+            let answer = session::send_once(operator, Method::GET, "/health/ready", "").await;
             answer.is_ok_and(|answer| answer.status.is_success())
         })
         .await
     }
 
-    /// Version in force on a daemon.
+    /// Active version of a daemon.
     pub async fn version(&self, index: usize) -> Option<Version> {
-        let state: Value = get(self.hosts[index].operator(), "/health/ready").await?;
+        let state: Value = get_json(self.hosts[index].operator_address(), "/health/ready").await?;
         state["version"].as_u64().map(Version)
     }
 
-    /// Hosts whose daemon runs.
+    /// Indices of the hosts whose daemon runs.
     #[must_use]
-    pub fn running(&self) -> Vec<usize> {
+    pub fn running_hosts(&self) -> Vec<usize> {
         (0..self.hosts.len())
             .filter(|&index| self.hosts[index].daemon.is_some())
             .collect()
     }
 
-    /// Whether all running daemons have `version` or a later one before `patience` ends.
-    pub async fn converges(&self, version: Version, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
-        for index in self.running() {
+    /// Waits until `version` or a later one is active on all running daemons; returns `false` on a
+    /// time-out.
+    pub async fn wait_for_version(&self, version: Version, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        for index in self.running_hosts() {
             let left = deadline.saturating_duration_since(Instant::now());
-            let there = until(left, || async move {
+            let there = wait_until(left, || async move {
                 self.version(index)
                     .await
                     .is_some_and(|have| have >= version)
@@ -259,14 +271,14 @@
         true
     }
 
-    /// Whether all running daemons see `count` members before `patience` ends.
-    pub async fn meets(&self, count: usize, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
-        for index in self.running() {
-            let operator = self.hosts[index].operator();
+    /// Waits until all running daemons see `count` members; returns `false` on a time-out.
+    pub async fn wait_for_members(&self, count: usize, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        for index in self.running_hosts() {
+            let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
-            let met = until(left, || async move {
-                let members: Option<Vec<Value>> = get(operator, "/members").await;
+            let met = wait_until(left, || async move {
+                let members: Option<Vec<Value>> = get_json(operator, "/members").await;
                 members.is_some_and(|members| members.len() == count)
             });
             if !met.await {
@@ -276,14 +288,14 @@
         true
     }
 
-    /// Waits until every daemon that runs knows `count` upstreams.
-    pub async fn offers(&self, count: usize, patience: Duration) -> bool {
-        let deadline = Instant::now() + patience;
-        for index in self.running() {
-            let operator = self.hosts[index].operator();
+    /// Waits until all running daemons know `count` upstreams; returns `false` on a time-out.
+    pub async fn wait_for_upstreams(&self, count: usize, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        for index in self.running_hosts() {
+            let operator = self.hosts[index].operator_address();
             let left = deadline.saturating_duration_since(Instant::now());
-            let known = until(left, || async move {
-                let state: Option<Value> = get(operator, "/state").await;
+            let known = wait_until(left, || async move {
+                let state: Option<Value> = get_json(operator, "/state").await;
                 let all = state.and_then(|state| Some(state["upstreams"].as_array()?.len()));
                 all == Some(count)
             });
@@ -294,7 +306,7 @@
         true
     }
 
-    /// What all targets have run, across their restarts.
+    /// Runs that all targets have recorded, across their restarts.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         let files = (0..self.hosts.len()).map(|index| self.runs_file(index));
@@ -322,7 +334,7 @@
         }
     }
 
-    /// Folder with what the processes wrote to standard error.
+    /// Folder with the output of the processes and the runs of the targets.
     #[must_use]
     pub const fn logs(&self) -> &PathBuf {
         &self.logs
@@ -352,19 +364,21 @@
     }
 }
 
-/// Fetches JSON.
-pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
-    let answer: Answer = session::once(address, Method::GET, path, "").await.ok()?;
+/// Fetches and parses JSON; `None` on any failure.
+pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
+    let answer: Answer = session::send_once(address, Method::GET, path, "")
+        .await
+        .ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// Waits until `condition` holds; `false` when it does not before `patience` ends.
-pub async fn until<F, C>(patience: Duration, mut condition: C) -> bool
+/// Waits until `condition` holds; returns `false` on a time-out.
+pub async fn wait_until<F, C>(timeout: Duration, mut condition: C) -> bool
 where
     F: Future<Output = bool>,
     C: FnMut() -> F,
 {
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + timeout;
     loop {
         if condition().await {
             return true;
@@ -372,7 +386,7 @@
         if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/trial/src/rig/host.rs
+++ b/trial/src/rig/host.rs
@@ -1,40 +1,39 @@
-//! One host of a trial and its processes.
+//! Hosts of a trial and their processes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::process::{Child, ExitStatus};
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::rig::deployment::Place;
+use crate::rig::deployment::Placement;
 
-pub(crate) const PEER: u16 = 7001;
-pub(crate) const CALL: u16 = 7002;
-pub(crate) const TARGET: u16 = 7003;
-pub(crate) const OPERATOR: u16 = 7004;
-pub(crate) const WORK: u16 = 7005;
-pub(crate) const LOG: u16 = 7000;
+pub(crate) const PEER_PORT: u16 = 7001;
+pub(crate) const CALL_PORT: u16 = 7002;
+pub(crate) const ANNOUNCE_PORT: u16 = 7003;
+pub(crate) const OPERATOR_PORT: u16 = 7004;
+pub(crate) const TARGET_PORT: u16 = 7005;
+pub(crate) const LOG_PORT: u16 = 7000;
 
-/// A process of a trial; killed when dropped.
+/// Child process that is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// The process as the system knows it.
     child: Child,
 }
 
 impl Process {
-    /// Takes charge of a started process.
+    /// Takes ownership of a started process.
     #[must_use]
     pub const fn new(child: Child) -> Self {
         Self { child }
     }
 
-    /// Its identifier.
+    /// Process identifier.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid {
@@ -42,14 +41,14 @@
         }
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its exit status, once it has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Exit status, once the process has ended.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
@@ -60,43 +59,43 @@
     }
 }
 
-/// One host: a daemon and, mostly, a target.
+/// Host with a daemon and usually a target.
 #[derive(Debug)]
 pub struct Host {
-    /// Where it is and what it offers.
-    pub place: Place,
-    /// Its address.
+    /// Data centre and service.
+    pub placement: Placement,
+    /// Address that the host advertises.
     pub ip: IpAddr,
-    /// Address behind the stand-in network, when there is one.
-    pub inner: IpAddr,
-    /// Its daemon, while it runs.
+    /// Address that the daemon listens on for peers: behind the simulated network, if there is one.
+    pub listen_ip: IpAddr,
+    /// Daemon, until it is killed or taken.
     pub daemon: Option<Process>,
-    /// Its target, while it runs.
+    /// Target, until it is killed or taken.
     pub target: Option<Process>,
 }
 
 impl Host {
     /// Address for other daemons.
     #[must_use]
-    pub const fn peer(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, PEER)
+    pub const fn peer_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, PEER_PORT)
     }
 
     /// Address for callers.
     #[must_use]
-    pub const fn calls(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, CALL)
+    pub const fn call_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, CALL_PORT)
     }
 
     /// Address for operators.
     #[must_use]
-    pub const fn operator(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, OPERATOR)
+    pub const fn operator_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, OPERATOR_PORT)
     }
 
-    /// Address where the target takes calls.
+    /// Address where the target accepts requests.
     #[must_use]
-    pub const fn work(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, WORK)
+    pub const fn target_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, TARGET_PORT)
     }
 }
--- a/trial/src/rig/net.rs
+++ b/trial/src/rig/network.rs
@@ -1,8 +1,8 @@
-//! A network between daemons that can be cut, between data centres or around a host, slowed and reset.
+//! Simulated network between daemons, with partitions, isolated hosts, delays and resets.
 //!
-//! Each daemon listens on an inner address and advertises an outer one; this module forwards from
-//! the outer to the inner, and drops what crosses a cut. Who sends is told by the source address,
-//! which is the sender's inner one.
+//! Each daemon listens on an inner address and advertises an outer one. This module forwards traffic
+//! from the outer to the inner address; across a partition it drops datagrams and holds back streams.
+//! It identifies the sender by the source address, which is the sender's inner one.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,53 +13,53 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// Pause between two looks at a cut link.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks of a blocked connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Forwards between daemons.
+/// Simulated network.
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct Network {
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     /// Data centre of each inner address.
-    places: Vec<(IpAddr, DataCentre)>,
-    /// Pairs of data centres that can't reach each other.
-    cuts: Vec<(DataCentre, DataCentre)>,
-    /// Hosts that are cut off, each by the ways that are.
-    muted: Vec<(IpAddr, Way)>,
-    /// Hosts to and from which everything takes longer.
+    data_centres: Vec<(IpAddr, DataCentre)>,
+    /// Pairs of partitioned data centres.
+    partitions: Vec<(DataCentre, DataCentre)>,
+    /// Isolated hosts, with the direction that is blocked.
+    isolated: Vec<(IpAddr, Direction)>,
+    /// Hosts whose traffic is delayed, both ways.
     slowed: Vec<(IpAddr, Duration)>,
-    /// Times that all connections were reset.
+    /// Number of resets of all connections.
     resets: u64,
 }
 
-/// Ways to or from a host.
+/// Direction of traffic, as seen from a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// To the host.
+pub enum Direction {
+    /// Traffic to the host.
     In,
-    /// From the host.
+    /// Traffic from the host.
     Out,
-    /// Both.
+    /// Traffic in both directions.
     Both,
 }
 
-impl Net {
-    /// Forwards from `outer` to `inner`, which is in `data_centre`.
+impl Network {
+    /// Starts to forward from `outer` to `inner`, an address in `data_centre`.
     ///
     /// # Panics
     ///
-    /// When the outer address can't be had.
+    /// When the outer address can't be bound.
     pub async fn attach(
         self: &Arc<Self>,
         outer: SocketAddr,
         inner: SocketAddr,
         data_centre: DataCentre,
     ) {
-        self.state().places.push((inner.ip(), data_centre));
+        self.state().data_centres.push((inner.ip(), data_centre));
         let tcp = TcpListener::bind(outer)
             .await
             .expect("the outer address is free");
@@ -71,38 +71,38 @@
         tokio::spawn(async move { datagrams.forward_datagrams(udp, inner).await });
     }
 
-    /// Parts two data centres.
-    pub fn cut(&self, one: &str, other: &str) {
-        self.state().cuts.push((one.into(), other.into()));
+    /// Partitions two data centres.
+    pub fn partition(&self, one: &str, other: &str) {
+        self.state().partitions.push((one.into(), other.into()));
     }
 
-    /// Joins everything again.
+    /// Removes all partitions, isolations and delays.
     pub fn heal(&self) {
         let mut state = self.state();
-        state.cuts.clear();
-        state.muted.clear();
+        state.partitions.clear();
+        state.isolated.clear();
         state.slowed.clear();
     }
 
-    /// Cuts a host off, by its inner address.
-    pub fn mute(&self, host: IpAddr, way: Way) {
-        self.state().muted.push((host, way));
+    /// Isolates the host with this inner address, in one direction or both.
+    pub fn isolate(&self, host: IpAddr, way: Direction) {
+        self.state().isolated.push((host, way));
     }
 
-    /// Has everything to and from a host take so much longer.
+    /// Delays all traffic to and from the host with this inner address.
     pub fn slow(&self, host: IpAddr, delay: Duration) {
         self.state().slowed.push((host, delay));
     }
 
-    /// Joins a host again.
+    /// Removes the isolation and the delay of a host.
     pub fn heal_host(&self, host: IpAddr) {
         let mut state = self.state();
-        state.muted.retain(|(muted, _)| *muted != host);
+        state.isolated.retain(|(muted, _)| *muted != host);
         state.slowed.retain(|(slowed, _)| *slowed != host);
     }
 
-    /// Resets all connections.
-    pub fn reset(&self) {
+    /// Closes all connections.
+    pub fn reset_connections(&self) {
         self.state().resets += 1;
     }
 
@@ -113,20 +113,20 @@
         slowed.map(|(_, delay)| *delay)
     }
 
-    /// Whether what `one` sends does not reach `other`.
-    fn parted(&self, one: IpAddr, other: IpAddr) -> bool {
+    /// Whether traffic from `one` to `other` is blocked.
+    fn is_blocked(&self, one: IpAddr, other: IpAddr) -> bool {
         let state = self.state();
-        let stops = |host: IpAddr, way: Way| match way {
-            Way::In => host == other,
-            Way::Out => host == one,
-            Way::Both => host == one || host == other,
+        let stops = |host: IpAddr, way: Direction| match way {
+            Direction::In => host == other,
+            Direction::Out => host == one,
+            Direction::Both => host == one || host == other,
         };
-        if state.muted.iter().any(|(host, way)| stops(*host, *way)) {
+        if state.isolated.iter().any(|(host, way)| stops(*host, *way)) {
             return true;
         }
         let place = |ip| {
             state
-                .places
+                .data_centres
                 .iter()
                 .find(|(inner, _)| *inner == ip)
                 .map(|(_, dc)| dc)
@@ -136,7 +136,7 @@
         };
         let matches = |a: &DataCentre, b: &DataCentre| a == one && b == other;
         state
-            .cuts
+            .partitions
             .iter()
             .any(|(a, b)| matches(a, b) || matches(b, a))
     }
@@ -148,7 +148,7 @@
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            if self.parted(sender.ip(), inner.ip()) {
+            if self.is_blocked(sender.ip(), inner.ip()) {
                 continue;
             }
             if let Some(delay) = self.delay(sender.ip(), inner.ip()) {
@@ -187,7 +187,7 @@
         forth.abort();
     }
 
-    /// Copies one direction; holds everything back while the ends are parted.
+    /// Copies one direction; holds data back while the direction is blocked.
     async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, ends: (IpAddr, IpAddr)) {
         let began = self.state().resets;
         let mut buffer = vec![0; 16 << 10];
@@ -197,10 +197,10 @@
                     Ok(0) | Err(_) => break,
                     Ok(length) => length,
                 },
-                () = self.until_reset(began) => return,
+                () = self.wait_for_reset(began) => return,
             };
-            while self.parted(ends.0, ends.1) {
-                tokio::time::sleep(LOOK).await;
+            while self.is_blocked(ends.0, ends.1) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             if let Some(delay) = self.delay(ends.0, ends.1) {
                 tokio::time::sleep(delay).await;
@@ -212,10 +212,10 @@
         let _ = to.shutdown().await;
     }
 
-    /// Waits until all connections that are as old as `began` are reset.
-    async fn until_reset(&self, began: u64) {
+    /// Waits until the connections that were opened after `began` resets are reset.
+    async fn wait_for_reset(&self, began: u64) {
         while self.state().resets == began {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/trial/tests/calls.rs
+++ b/trial/tests/calls.rs
@@ -1,15 +1,15 @@
-//! What callers get while targets and daemons misbehave, with real daemons.
+//! Responses to callers while targets and daemons fail, with real daemons.
 
 mod common;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::fake::{Fake, Manner, announce};
+use common::faulty_target::{Behaviour, Target, announce};
 use common::{document, fleet, places};
 use http::{Method, StatusCode};
-use jackdaw_trial::rig::deployment::Place;
-use jackdaw_trial::rig::fleet::{Fleet, get, until};
+use jackdaw_trial::rig::deployment::Placement;
+use jackdaw_trial::rig::fleet::{Fleet, get_json, wait_until};
 use jackdaw_trial::rig::session::{Answer, Failure, Session};
 use jackdaw_trial::stand_in::target::Echo;
 use jackdawpulley::calls::outcome::{OUTCOME, REASON};
@@ -17,158 +17,187 @@
 use jackdawpulley::units::{DataCentre, Millis, Slots};
 use rustix::process::Signal;
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A fleet of hosts without targets of their own, but for the hosts named in `with_target`.
+/// Starts hosts of which only those in `with_target` run a target.
 async fn hosts(count: usize, with_target: &[usize], document: Document) -> Fleet {
     let mut fleet = fleet(&[]).await;
-    let bare = |index: usize| Place {
+    let bare = |index: usize| Placement {
         data_centre: DataCentre::from("eros"),
         service: places(1, 1)[0]
             .service
             .clone()
             .filter(|_| with_target.contains(&index)),
     };
-    fleet.add(&(0..count).map(bare).collect::<Vec<_>>()).await;
+    fleet
+        .add_hosts(&(0..count).map(bare).collect::<Vec<_>>())
+        .await;
     for host in &mut fleet.hosts {
-        host.place.service.clone_from(&places(1, 1)[0].service);
+        host.placement.service.clone_from(&places(1, 1)[0].service);
     }
-    assert!(fleet.meets(count, PATIENCE).await);
-    let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    assert!(fleet.wait_for_members(count, TIMEOUT).await);
+    let version = fleet.publish_document(0, document).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     fleet
 }
 
-/// Waits until a daemon sees `count` upstreams.
-async fn sees(fleet: &Fleet, index: usize, count: usize) {
-    let operator = fleet.hosts[index].operator();
-    let seen = until(PATIENCE, || async move {
-        let state: Option<serde_json::Value> = get(operator, "/state").await;
+/// Waits until a daemon knows `count` upstreams.
+async fn wait_for_upstreams(fleet: &Fleet, index: usize, count: usize) {
+    let operator = fleet.hosts[index].operator_address();
+    let seen = wait_until(TIMEOUT, || async move {
+        let state: Option<serde_json::Value> = get_json(operator, "/state").await;
         state.is_some_and(|s| {
             s["upstreams"]
                 .as_array()
                 .is_some_and(|all| all.len() == count)
         })
     });
-    assert!(seen.await, "host {index} sees {count} upstreams");
+    assert!(seen.await, "host {index} knows {count} upstreams");
 }
 
-async fn call(door: SocketAddr, method: Method, path: &str, name: &str) -> Result<Answer, Failure> {
+async fn call(
+    ingress: SocketAddr,
+    method: Method,
+    path: &str,
+    name: &str,
+) -> Result<Answer, Failure> {
     let request = Session::request(method, path, &[("x-request", name)], "");
-    Session::new(door).send(request, PATIENCE).await
+    Session::new(ingress).send(request, TIMEOUT).await
 }
 
-fn told(answer: &Answer) -> (&str, &str) {
-    (answer.header(OUTCOME), answer.header(REASON))
+fn outcome_and_reason(response: &Answer) -> (&str, &str) {
+    (response.header(OUTCOME), response.header(REASON))
 }
 
-/// A target reads a rental and its connection breaks before the answer. The rental may have been
-/// charged: the caller is told so, and no other target gets it.
+/// Guards against retrying a non-repeatable request that may have run: the target reads it and
+/// closes the connection before it responds.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_rental_is_unknown_and_not_repeated() {
+async fn broken_connection_is_not_retried() {
     let fleet = hosts(2, &[], document(1)).await;
-    let fakes = [
-        Fake::start(&fleet.hosts[0], Manner::CloseAfterReading).await,
-        Fake::start(&fleet.hosts[1], Manner::CloseAfterReading).await,
+    let targets = [
+        Target::start(&fleet.hosts[0], Behaviour::CloseAfterReading).await,
+        Target::start(&fleet.hosts[1], Behaviour::CloseAfterReading).await,
     ];
-    sees(&fleet, 0, 2).await;
-    let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
+    wait_for_upstreams(&fleet, 0, 2).await;
+    let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
-        .expect("whole");
-    assert_eq!(told(&answer), ("unknown", "broken"));
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-    assert_eq!(fakes[0].count() + fakes[1].count(), 1);
-    let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t")
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("unknown", "broken"));
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+    assert_eq!(targets[0].count() + targets[1].count(), 1);
+    let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t")
         .await
-        .expect("whole");
+        .expect("a complete response");
     assert_eq!(
-        told(&answer),
+        outcome_and_reason(&response),
         ("unknown", "broken"),
-        "a read is tried elsewhere, in vain here"
+        "a read is retried at the other target, which fails as well"
     );
-    assert_eq!(fakes[0].count() + fakes[1].count(), 3);
+    assert_eq!(targets[0].count() + targets[1].count(), 3);
 }
 
-/// A target refuses before it runs anything and says so: the rental goes to another one.
+/// Guards against failing a request that a target refused before running it: even a non-repeatable
+/// request is retried at another target.
 #[tokio::test(flavor = "multi_thread")]
-async fn proved_refusal_is_tried_elsewhere() {
+async fn refused_request_is_retried() {
     let fleet = hosts(2, &[1], document(1)).await;
-    let fake = Fake::start(&fleet.hosts[0], Manner::Refuse).await;
-    sees(&fleet, 0, 2).await;
-    let all = until(PATIENCE, || async {
-        let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g").await;
-        assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
-        fake.count() > 0
+    let target = Target::start(&fleet.hosts[0], Behaviour::Refuse).await;
+    wait_for_upstreams(&fleet, 0, 2).await;
+    let all = wait_until(TIMEOUT, || async {
+        let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g").await;
+        assert_eq!(
+            response.expect("a complete response").header(OUTCOME),
+            "answered"
+        );
+        target.count() > 0
     });
-    assert!(all.await, "the refusing target was tried as well");
+    assert!(all.await, "the refusing target received a request");
 }
 
-/// Nothing listens where the target announced itself: nothing can have run, and the caller is told
-/// at once, with the time to come back.
+/// Guards against an unknown outcome, or a wait until the deadline, when nothing listens at the
+/// announced address: the request can't have run, and the caller gets a `retry-after` at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn unreachable_target_is_not_run() {
+async fn unreachable_target_fails_fast() {
     let fleet = hosts(1, &[], document(1)).await;
     announce(&fleet.hosts[0], SocketAddr::new(fleet.hosts[0].ip, 7_199)).await;
-    sees(&fleet, 0, 1).await;
+    wait_for_upstreams(&fleet, 0, 1).await;
     let began = Instant::now();
-    let answer = call(fleet.hosts[0].calls(), Method::POST, "/grants", "g")
+    let response = call(fleet.hosts[0].call_address(), Method::POST, "/grants", "g")
         .await
-        .expect("whole");
-    assert_eq!(told(&answer), ("not-run", "unreachable"));
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("not-run", "unreachable"));
     assert!(
         began.elapsed() < Duration::from_millis(500),
-        "at once, not at the deadline"
+        "the refusal comes before the deadline"
     );
-    assert!(!answer.header("retry-after").is_empty());
+    assert!(!response.header("retry-after").is_empty());
 }
 
-/// An answer breaks off in the middle. A caller that got it as a whole answer would show half a
-/// roster. A short answer is not passed on before it is whole, so the caller is told plainly that
-/// its request may have run.
+/// Guards against passing on a truncated response as a complete one. A short response is buffered
+/// before it is passed on, so that the caller gets an error with an unknown outcome instead.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_cut_short_is_told() {
-    for door in [0, 1] {
+async fn truncated_response_is_an_error() {
+    for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
-        Fake::start(&fleet.hosts[0], Manner::CutShort).await;
-        sees(&fleet, door, 1).await;
-        let answer = call(fleet.hosts[door].calls(), Method::GET, "/titles", "t").await;
-        let answer = answer.expect("a whole answer of the daemon's own");
-        assert_eq!(told(&answer), ("unknown", "broken"), "through host {door}");
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+        Target::start(&fleet.hosts[0], Behaviour::CutShort).await;
+        wait_for_upstreams(&fleet, ingress, 1).await;
+        let response = call(
+            fleet.hosts[ingress].call_address(),
+            Method::GET,
+            "/titles",
+            "t",
+        )
+        .await;
+        let response = response.expect("a complete response from the daemon");
+        assert_eq!(
+            outcome_and_reason(&response),
+            ("unknown", "broken"),
+            "through host {ingress}"
+        );
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     }
 }
 
-/// An answer that is too long to be taken in whole breaks off in the middle: the caller's part of
-/// it must end in a break as well, never in a clean end.
+/// Guards against a clean end of a truncated response that is too long to be buffered: the
+/// caller's connection must break as well.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_answer_cut_short_is_a_cut() {
-    for door in [0, 1] {
+async fn truncated_long_response_breaks_connection() {
+    for ingress in [0, 1] {
         let fleet = hosts(2, &[], document(1)).await;
-        Fake::start(&fleet.hosts[0], Manner::CutLong).await;
-        sees(&fleet, door, 1).await;
-        let result = call(fleet.hosts[door].calls(), Method::GET, "/titles", "t").await;
+        Target::start(&fleet.hosts[0], Behaviour::CutLong).await;
+        wait_for_upstreams(&fleet, ingress, 1).await;
+        let result = call(
+            fleet.hosts[ingress].call_address(),
+            Method::GET,
+            "/titles",
+            "t",
+        )
+        .await;
         assert!(
             matches!(result, Err(Failure::Cut(_))),
-            "through host {door}: {result:?}"
+            "through host {ingress}: {result:?}"
         );
     }
 }
 
-/// The daemon beside one of three targets is frozen: its host still takes connections, and nothing
-/// is ever answered on them. Reads that are sent there wait for half of their time each, again and
-/// again until the membership has dropped it. The silence has to be noticed on the link itself.
+/// Guards against forwarding reads to a frozen sidecar, one of three, until the membership drops it. Its host
+/// still accepts connections, so each read would wait there for half of its time-out; the ingress
+/// has to detect the silence on the link itself.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_gate_is_noticed_by_silence() {
+async fn frozen_sidecar_is_detected() {
     let slow_to_suspect = ["--probe-period-ms", "3000", "--suspicion-ms", "60000"];
     let mut fleet = fleet(&slow_to_suspect).await;
-    fleet.add(&places(3, 1)).await;
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, PATIENCE).await);
-    // News of the targets travel with the slow probes.
-    assert!(fleet.offers(3, Duration::from_secs(30)).await);
+    fleet.add_hosts(&places(3, 1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
+    // Gossip about the targets is piggybacked on the probes, which are slow here.
+    assert!(fleet.wait_for_upstreams(3, Duration::from_secs(30)).await);
     for _ in 0..12 {
-        let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t").await;
-        assert_eq!(answer.expect("whole").status, StatusCode::OK);
+        let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
+        assert_eq!(
+            response.expect("a complete response").status,
+            StatusCode::OK
+        );
     }
     fleet.hosts[2]
         .daemon
@@ -178,8 +207,11 @@
     let mut slow = 0;
     for _ in 0..40 {
         let began = Instant::now();
-        let answer = call(fleet.hosts[0].calls(), Method::GET, "/titles", "t").await;
-        assert_eq!(answer.expect("whole").status, StatusCode::OK);
+        let response = call(fleet.hosts[0].call_address(), Method::GET, "/titles", "t").await;
+        assert_eq!(
+            response.expect("a complete response").status,
+            StatusCode::OK
+        );
         slow += u32::from(began.elapsed() > Duration::from_millis(500));
     }
     fleet.hosts[2]
@@ -187,48 +219,51 @@
         .as_ref()
         .expect("it runs")
         .signal(Signal::CONT);
-    assert!(slow <= 2, "{slow} of 40 reads waited for a frozen gate");
+    assert!(
+        slow <= 2,
+        "{slow} of 40 reads waited for the frozen sidecar"
+    );
 }
 
-/// A target answers after the time-out of its request, while the next request is on its way. The
-/// late answer must not be taken for the next one's.
+/// Guards against matching a late response to the wrong request: the target responds after the
+/// time-out of one request, while the next one is on its way.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answer_meets_nobody() {
+async fn late_response_is_discarded() {
     let mut short = document(1);
     for route in &mut short.routes {
         route.timeout_ms = Millis(200);
     }
     let fleet = hosts(1, &[], short).await;
-    Fake::start(&fleet.hosts[0], Manner::Late).await;
-    sees(&fleet, 0, 1).await;
-    let door = fleet.hosts[0].calls();
+    Target::start(&fleet.hosts[0], Behaviour::Late).await;
+    wait_for_upstreams(&fleet, 0, 1).await;
+    let ingress = fleet.hosts[0].call_address();
     for round in 0..5 {
-        let slow = call(door, Method::POST, "/grants", "slow")
+        let slow = call(ingress, Method::POST, "/grants", "slow")
             .await
-            .expect("whole");
-        assert_eq!(told(&slow), ("unknown", "timed-out"));
+            .expect("a complete response");
+        assert_eq!(outcome_and_reason(&slow), ("unknown", "timed-out"));
         for next in 0..10 {
             let name = format!("{round}-{next}");
-            let answer = call(door, Method::POST, "/grants", &name)
+            let response = call(ingress, Method::POST, "/grants", &name)
                 .await
-                .expect("whole");
-            assert_eq!(answer.body, name.as_bytes());
+                .expect("a complete response");
+            assert_eq!(response.body, name.as_bytes());
         }
     }
 }
 
-/// A gate is frozen with a rental waiting for a slot, and continued after the rental's deadline.
-/// Its caller has been told long ago; the rental must not run now.
+/// Guards against running a request after its deadline: the sidecar is frozen while the request
+/// waits for a slot, and continues when its caller has already got a time-out.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_gate_does_not_run_late() {
+async fn expired_request_does_not_run() {
     let mut narrow = document(1);
     narrow
         .groups
         .iter_mut()
         .for_each(|group| group.slots = Some(jackdawpulley::units::Slots(1)));
     let fleet = hosts(2, &[0], narrow).await;
-    sees(&fleet, 1, 1).await;
-    let door = fleet.hosts[1].calls();
+    wait_for_upstreams(&fleet, 1, 1).await;
+    let ingress = fleet.hosts[1].call_address();
     let request = |name: &'static str, work: &'static str, timeout: &'static str| {
         let headers = [
             ("x-request", name),
@@ -236,144 +271,164 @@
             ("x-jackdaw-timeout-ms", timeout),
         ];
         let request = Session::request(Method::POST, "/grants", &headers, "");
-        tokio::spawn(async move { Session::new(door).send(request, PATIENCE).await })
+        tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
     };
     let first = request("first", "700", "1900");
-    let running = until(PATIENCE, || std::future::ready(fleet.runs().len() == 1)).await;
-    assert!(running, "the first request holds the slot");
+    let running = wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == 1)).await;
+    assert!(running, "the first request occupies the slot");
     let second = request("second", "0", "1500");
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.signal_daemon(0, Signal::STOP);
-    let answer = second.await.expect("it ends").expect("whole");
-    assert_eq!(told(&answer), ("unknown", "timed-out"));
+    let response = second.await.expect("it ends").expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("unknown", "timed-out"));
     fleet.signal_daemon(0, Signal::CONT);
     let _ = first.await;
-    let answer = call(door, Method::POST, "/grants", "third")
+    let response = call(ingress, Method::POST, "/grants", "third")
         .await
-        .expect("whole");
-    assert_eq!(answer.header(OUTCOME), "answered", "the gate works again");
+        .expect("a complete response");
+    assert_eq!(
+        response.header(OUTCOME),
+        "answered",
+        "the sidecar works again"
+    );
     let runs = fleet.runs();
     assert!(runs.iter().all(|run| run.request != "second"), "{runs:?}");
 }
 
-/// A daemon is told to stop while a long request is in flight through it.
+/// Guards against a graceful shutdown that aborts requests in flight.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop_waits_for_what_is_in_flight() {
+async fn graceful_shutdown_waits_for_calls() {
     let mut fleet = hosts(2, &[0, 1], document(1)).await;
-    sees(&fleet, 0, 2).await;
-    let door = fleet.hosts[0].calls();
+    wait_for_upstreams(&fleet, 0, 2).await;
+    let ingress = fleet.hosts[0].call_address();
     let calls: Vec<_> = (0..12)
         .map(|number| {
             let name = format!("long-{number}");
             let headers = [("x-request", name.as_str()), ("x-work-ms", "1500")];
             let request = Session::request(Method::POST, "/grants", &headers, "");
-            tokio::spawn(async move { Session::new(door).send(request, PATIENCE).await })
+            tokio::spawn(async move { Session::new(ingress).send(request, TIMEOUT).await })
         })
         .collect();
-    let running = until(PATIENCE, || std::future::ready(fleet.runs().len() == 12)).await;
+    let running = wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == 12)).await;
     assert!(running);
     fleet.signal_daemon(0, Signal::TERM);
     for call in calls {
-        let answer = call.await.expect("it ends").expect("whole");
-        assert_eq!(answer.header(OUTCOME), "answered");
+        let response = call.await.expect("it ends").expect("a complete response");
+        assert_eq!(response.header(OUTCOME), "answered");
     }
     let daemon = fleet.hosts[0].daemon.as_mut().expect("it was started");
-    let ended = until(PATIENCE, || std::future::ready(daemon.ended().is_some())).await;
+    let ended = wait_until(TIMEOUT, || {
+        std::future::ready(daemon.exit_status().is_some())
+    })
+    .await;
     assert!(ended);
 }
 
-/// A target says good-bye: from that moment its gate lets nothing through.
+/// Guards against forwarding requests to a target after it has sent `/leave` to its sidecar.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaver_gets_nothing_more() {
+async fn leaving_target_gets_no_requests() {
     let fleet = hosts(2, &[0, 1], document(1)).await;
-    sees(&fleet, 1, 2).await;
+    wait_for_upstreams(&fleet, 1, 2).await;
     let leaving = SocketAddr::new(fleet.hosts[0].ip, 7_003);
-    // Its renewals would announce it again.
+    // Stops the lease renewals, which would announce the target again.
     fleet.hosts[0]
         .target
         .as_ref()
         .expect("it runs")
         .signal(Signal::STOP);
-    let left = jackdaw_trial::rig::session::once(leaving, Method::POST, "/leave", "").await;
-    assert!(left.is_ok_and(|answer| answer.status.is_success()));
+    let left = jackdaw_trial::rig::session::send_once(leaving, Method::POST, "/leave", "").await;
+    assert!(left.is_ok_and(|response| response.status.is_success()));
     let before = fleet
         .runs()
         .iter()
-        .filter(|run| run.target == fleet.hosts[0].work())
+        .filter(|run| run.target == fleet.hosts[0].target_address())
         .count();
     for number in 0..40 {
-        let answer = call(
-            fleet.hosts[1].calls(),
+        let response = call(
+            fleet.hosts[1].call_address(),
             Method::POST,
             "/grants",
             &format!("{number}"),
         )
         .await;
-        assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
+        assert_eq!(
+            response.expect("a complete response").header(OUTCOME),
+            "answered"
+        );
     }
     let after = fleet
         .runs()
         .iter()
-        .filter(|run| run.target == fleet.hosts[0].work())
+        .filter(|run| run.target == fleet.hosts[0].target_address())
         .count();
     assert_eq!(before, after);
 }
 
-/// A large body goes up and a large one comes down, through two daemons, unharmed.
+/// Guards against damage to large request and response bodies, directly and through two daemons.
 #[tokio::test(flavor = "multi_thread")]
-async fn large_bodies_pass_whole() {
+async fn large_bodies_arrive_complete() {
     let fleet = hosts(2, &[0], document(1)).await;
-    sees(&fleet, 1, 1).await;
+    wait_for_upstreams(&fleet, 1, 1).await;
     let body = "y".repeat(3 << 20);
     let headers = [("x-request", "large"), ("x-size", "3000000")];
-    for door in [0, 1] {
+    for ingress in [0, 1] {
         let request = Session::request(Method::POST, "/grants", &headers, &body);
-        let mut session = Session::new(fleet.hosts[door].calls());
-        let answer = session.send(request, PATIENCE).await.expect("whole");
-        let echo: Echo = serde_json::from_slice(&answer.body).expect("the target's answer");
+        let mut session = Session::new(fleet.hosts[ingress].call_address());
+        let response = session
+            .send(request, TIMEOUT)
+            .await
+            .expect("a complete response");
+        let echo: Echo = serde_json::from_slice(&response.body).expect("the target's response");
         assert_eq!((echo.received, echo.padding.len()), (3 << 20, 3_000_000));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_path_is_not_run() {
+async fn unknown_path_is_rejected() {
     let fleet = hosts(1, &[0], document(1)).await;
-    let answer = call(fleet.hosts[0].calls(), Method::GET, "/nowhere", "n")
+    let response = call(fleet.hosts[0].call_address(), Method::GET, "/nowhere", "n")
         .await
-        .expect("whole");
-    assert_eq!(told(&answer), ("not-run", "no-route"));
-    assert_eq!(answer.status, StatusCode::NOT_FOUND);
-    let report: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("not-run", "no-route"));
+    assert_eq!(response.status, StatusCode::NOT_FOUND);
+    let report: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     assert_eq!(report["outcome"], "not-run");
 }
 
-/// Guards against an entry that goes on asking a gate which has just refused for lack of room.
+/// Guards against an ingress that ignores the load which a sidecar reports with a refusal, and
+/// keeps forwarding requests to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn refusal_tells_load() {
+async fn refusal_reports_load() {
     let mut document = document(1);
     for group in &mut document.groups {
         (group.slots, group.queue) = (Some(Slots(1)), 0);
     }
     let fleet = hosts(2, &[1], document).await;
-    sees(&fleet, 0, 1).await;
-    let (door, operator) = (fleet.hosts[0].calls(), fleet.hosts[0].operator());
+    wait_for_upstreams(&fleet, 0, 1).await;
+    let (ingress, operator) = (
+        fleet.hosts[0].call_address(),
+        fleet.hosts[0].operator_address(),
+    );
     let long = tokio::spawn(async move {
         let headers = [("x-request", "long"), ("x-work-ms", "1500")];
         let request = Session::request(Method::POST, "/grants", &headers, "");
-        Session::new(door).send(request, PATIENCE).await
+        Session::new(ingress).send(request, TIMEOUT).await
     });
-    assert!(until(PATIENCE, || std::future::ready(!fleet.runs().is_empty())).await);
-    let refused = call(door, Method::POST, "/grants", "refused").await;
-    assert_eq!(told(&refused.expect("whole")), ("not-run", "overloaded"));
-    let state: Option<serde_json::Value> = get(operator, "/state").await;
+    assert!(wait_until(TIMEOUT, || std::future::ready(!fleet.runs().is_empty())).await);
+    let refused = call(ingress, Method::POST, "/grants", "refused").await;
+    assert_eq!(
+        outcome_and_reason(&refused.expect("a complete response")),
+        ("not-run", "overloaded")
+    );
+    let state: Option<serde_json::Value> = get_json(operator, "/state").await;
     let state = state.expect("the daemon is there");
     assert_eq!(state["upstreams"][0]["reported"], 1);
     assert!(long.await.expect("it ends").is_ok());
 }
 
-/// Guards against callers that are refused nearby while another data centre has room.
+/// Guards against refusing callers for lack of local slots while another data centre has some free.
 #[tokio::test(flavor = "multi_thread")]
-async fn room_far_away() {
+async fn remote_slots_are_used() {
     let mut document = document(1);
     for group in &mut document.groups {
         (group.slots, group.queue) = (Some(Slots(1)), 0);
@@ -382,28 +437,28 @@
         route.timeout_ms = Millis(20_000);
     }
     let mut fleet = fleet(&["--pick", "expected", "--far-ms-per-kb", "100000"]).await;
-    fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, PATIENCE).await);
-    let version = fleet.put(0, document).await;
-    assert!(fleet.converges(version, PATIENCE).await);
-    sees(&fleet, 0, 4).await;
-    let door = fleet.hosts[0].calls();
+    fleet.add_hosts(&places(4, 1)).await;
+    assert!(fleet.wait_for_members(4, TIMEOUT).await);
+    let version = fleet.publish_document(0, document).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
+    wait_for_upstreams(&fleet, 0, 4).await;
+    let ingress = fleet.hosts[0].call_address();
     let mut near = tokio::task::JoinSet::new();
     for busy in 1..=4 {
         near.spawn(async move {
             let headers = [("x-request", "near"), ("x-work-ms", "6000")];
             let request = Session::request(Method::POST, "/grants", &headers, "");
-            Session::new(door).send(request, 2 * PATIENCE).await
+            Session::new(ingress).send(request, 2 * TIMEOUT).await
         });
-        assert!(until(PATIENCE, || std::future::ready(fleet.runs().len() == busy)).await);
+        assert!(wait_until(TIMEOUT, || std::future::ready(fleet.runs().len() == busy)).await);
     }
     let mut far = places(1, 1);
     far[0].data_centre = DataCentre::from("far");
-    fleet.add(&far).await;
-    sees(&fleet, 0, 5).await;
-    let answer = call(door, Method::POST, "/grants", "far")
+    fleet.add_hosts(&far).await;
+    wait_for_upstreams(&fleet, 0, 5).await;
+    let response = call(ingress, Method::POST, "/grants", "far")
         .await
-        .expect("whole");
-    assert_eq!(told(&answer), ("answered", ""));
+        .expect("a complete response");
+    assert_eq!(outcome_and_reason(&response), ("answered", ""));
     near.shutdown().await;
 }
--- a/trial/tests/common/fake.rs
+++ b/trial/tests/common/faulty_target.rs
@@ -1,4 +1,4 @@
-//! A target that misbehaves on purpose, byte by byte.
+//! A target that violates HTTP or its time-outs on purpose, written on raw sockets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,57 +13,61 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the target does with a request that it has read.
+/// What the target does with a request after reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// Closes the connection.
     CloseAfterReading,
-    /// Promises a thousand bytes and closes after a hundred.
+    /// Announces a body of 1,000 bytes and closes the connection after 100.
     CutShort,
-    /// Promises more than a gate takes in at once and closes in the middle.
+    /// Announces a body larger than the sidecar buffers and closes the connection in the middle.
     CutLong,
-    /// Proves that it refuses.
+    /// Refuses with a header that proves that the request did not run.
     Refuse,
-    /// Answers with the name of the request, late enough for its time-out to have passed.
+    /// Responds with the request's name; to the request named `slow`, only after its time-out.
     Late,
 }
 
 /// A misbehaving target.
 #[derive(Debug, Clone)]
-pub struct Fake {
-    /// Requests that it has read.
+pub struct Target {
+    /// Number of requests read.
     pub read: Arc<AtomicUsize>,
 }
 
-impl Fake {
-    /// Listens in the place of a host's target and announces itself.
-    pub async fn start(host: &Host, manner: Manner) -> Self {
+impl Target {
+    /// Listens on the host's address and announces itself to the host's daemon.
+    pub async fn start(host: &Host, behaviour: Behaviour) -> Self {
         let address = SocketAddr::new(host.ip, 7_105);
         let listener = TcpListener::bind(address).await.expect("the port is free");
-        let fake = Self {
+        let target = Self {
             read: Arc::default(),
         };
-        let counter = Arc::clone(&fake.read);
+        let counter = Arc::clone(&target.read);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let counter = Arc::clone(&counter);
-                tokio::spawn(async move { serve(stream, manner, &counter).await });
+                tokio::spawn(async move { serve(stream, behaviour, &counter).await });
             }
         });
         announce(host, address).await;
-        fake
+        target
     }
 
-    /// Requests that it has read so far.
+    /// Number of requests read so far.
     pub fn count(&self) -> usize {
         self.read.load(Ordering::Acquire)
     }
 }
 
-/// Announces a target at `address`.
+/// Announces a target at `address` to the host's daemon.
 pub async fn announce(host: &Host, address: SocketAddr) {
     let announcement = Announcement {
-        service: host.place.service.clone().expect("the host has a service"),
+        service: host
+            .placement
+            .service
+            .clone()
+            .expect("the host has a service"),
         address,
         slots: Slots(20),
         lease_ms: Millis(60_000),
@@ -73,31 +77,31 @@
     };
     let body = serde_json::to_string(&announcement).expect("plain data is JSON");
     let daemon = SocketAddr::new(host.ip, 7_003);
-    let answer = session::once(daemon, Method::POST, "/announce", &body).await;
+    let response = session::send_once(daemon, Method::POST, "/announce", &body).await;
     assert!(
-        answer.is_ok_and(|answer| answer.status.is_success()),
-        "the daemon takes it"
+        response.is_ok_and(|response| response.status.is_success()),
+        "the daemon accepts the announcement"
     );
 }
 
-async fn serve(mut stream: TcpStream, manner: Manner, counter: &AtomicUsize) {
+async fn serve(mut stream: TcpStream, behaviour: Behaviour, counter: &AtomicUsize) {
     while let Some(name) = read_request(&mut stream).await {
         counter.fetch_add(1, Ordering::AcqRel);
-        let answer = match manner {
-            Manner::CloseAfterReading => return,
-            Manner::CutShort => {
+        let response = match behaviour {
+            Behaviour::CloseAfterReading => return,
+            Behaviour::CutShort => {
                 let _ = stream.write_all(part(1_000, 100).as_bytes()).await;
                 return;
             }
-            Manner::CutLong => {
+            Behaviour::CutLong => {
                 let _ = stream.write_all(part(1_000_000, 500_000).as_bytes()).await;
                 return;
             }
-            Manner::Refuse => {
+            Behaviour::Refuse => {
                 "HTTP/1.1 503 Busy\r\nx-jackdaw-refused: busy\r\ncontent-length: 0\r\n\r\n"
                     .to_owned()
             }
-            Manner::Late => {
+            Behaviour::Late => {
                 tokio::time::sleep(Duration::from_millis(if name == "slow" { 600 } else { 0 }))
                     .await;
                 format!(
@@ -106,19 +110,19 @@
                 )
             }
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// An answer that ends after `sent` of `promised` bytes.
+/// Response whose body ends after `sent` of `promised` bytes.
 fn part(promised: usize, sent: usize) -> String {
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {promised}\r\n\r\n");
     head + &"x".repeat(sent)
 }
 
-/// Reads the head of a request without a body; its `x-request` header.
+/// Reads the head of a request without a body and returns its `x-request` header.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/trial/tests/config_faults.rs
+++ b/trial/tests/config_faults.rs
@@ -1,39 +1,40 @@
-//! The configuration under failure, with real processes.
+//! Configuration updates during failures of the log, the network and daemons, with real processes.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{document, fleet, places};
-use jackdaw_trial::rig::fleet::{get, until};
-use jackdaw_trial::rig::watch::Watch;
+use jackdaw_trial::rig::fleet::{get_json, wait_until};
+use jackdaw_trial::rig::monitor::Monitor;
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
 use rustix::process::Signal;
 use serde_json::Value;
 
-/// Time within which an accepted version has to be in force everywhere.
-const SECONDS: Duration = Duration::from_secs(9);
-/// Time for a daemon that comes back.
-const RETURN: Duration = Duration::from_secs(20);
+/// Time within which an accepted version has to be active on all daemons.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(9);
+/// Time within which a restarted or reconnected daemon has to serve again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Half of the daemons are killed at once while versions go out, and all come back in the same
-/// moment. A daemon that served the first thing it heard would serve an older version than before.
+/// Guards against a restarted daemon that serves an older version than before: half of the daemons
+/// are killed at once during updates and restarted together, so that the first version which one
+/// receives may be outdated.
 #[tokio::test(flavor = "multi_thread")]
-async fn herd_dies_and_returns() {
+async fn mass_restart_keeps_versions() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(12, 3)).await;
-    let watch = Watch::start(&fleet);
+    fleet.add_hosts(&places(12, 3)).await;
+    let monitor = Monitor::start(&fleet);
     for round in 0..3 {
-        fleet.put(11, document(round * 10)).await;
+        fleet.publish_document(11, document(round * 10)).await;
         for index in 0..6 {
             fleet.kill_daemon(index);
         }
-        let version = fleet.put(10, document(round * 10 + 1)).await;
-        // The log is slow just then, so that it can't hide a daemon that serves too early.
+        let version = fleet.publish_document(10, document(round * 10 + 1)).await;
+        // A fast log would hide a daemon that serves too early.
         fleet
-            .fail_log(Faults {
+            .set_log_faults(Faults {
                 slow_ms: 400,
                 ..Faults::default()
             })
@@ -42,80 +43,91 @@
             fleet.start_daemon(index);
         }
         for index in 0..6 {
-            assert!(fleet.serves(index, RETURN).await, "{index} serves again");
+            assert!(
+                fleet.wait_for_ready(index, RECOVERY_TIMEOUT).await,
+                "host {index} serves again"
+            );
         }
-        fleet.fail_log(Faults::default()).await;
-        assert!(fleet.converges(version, SECONDS).await, "round {round}");
+        fleet.set_log_faults(Faults::default()).await;
+        assert!(
+            fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await,
+            "round {round}"
+        );
     }
-    let verdict = watch.finish().await;
-    assert_eq!(verdict.faults, Vec::<String>::new());
-    assert!(verdict.samples > 100, "{verdict:?}");
+    let report = monitor.finish().await;
+    assert_eq!(report.faults, Vec::<String>::new());
+    assert!(report.samples > 100, "{report:?}");
 }
 
-/// The readers of a data centre are frozen while an edit is accepted, and continued afterwards
-/// with updates of that time still in their sockets. Nobody may wait for them, and they may not
-/// go back.
+/// Guards against waiting for frozen daemons, and against their return to an older version: two
+/// daemons are frozen while an edit is accepted, and continue with outdated updates in their
+/// sockets.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_daemons_hold_nobody_up() {
+async fn frozen_daemons_delay_nobody() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(9, 3)).await;
-    let first = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(first, SECONDS).await);
-    let watch = Watch::start(&fleet);
+    fleet.add_hosts(&places(9, 3)).await;
+    let first = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(first, CONVERGENCE_TIMEOUT).await);
+    let monitor = Monitor::start(&fleet);
     let frozen = [1, 4];
     for index in frozen {
         fleet.signal_daemon(index, Signal::STOP);
     }
-    let version = fleet.put(0, document(2)).await;
+    let version = fleet.publish_document(0, document(2)).await;
     for index in [0, 2, 3, 5, 6, 7, 8] {
-        let there = until(SECONDS, || async {
+        let there = wait_until(CONVERGENCE_TIMEOUT, || async {
             fleet
                 .version(index)
                 .await
                 .is_some_and(|have| have >= version)
         });
-        assert!(there.await, "{index} runs it");
+        assert!(there.await, "host {index} runs it");
     }
     for index in frozen {
         fleet.signal_daemon(index, Signal::CONT);
     }
-    assert!(fleet.converges(version, SECONDS).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
-/// The log goes away in the moment in which an edit has been accepted. Daemons that have not read
-/// it yet must get it from the others, and one that restarts meanwhile must not serve less.
+/// Guards against depending on the log for an accepted edit: the log fails right after accepting
+/// it. Daemons that have not read the edit must get it from peers, and a daemon that restarts
+/// meanwhile must not serve an older version.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_vanishes_after_acceptance() {
+async fn accepted_edit_survives_log_outage() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(9, 3)).await;
-    let watch = Watch::start(&fleet);
-    let version = fleet.put(3, document(1)).await;
+    fleet.add_hosts(&places(9, 3)).await;
+    let monitor = Monitor::start(&fleet);
+    let version = fleet.publish_document(3, document(1)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Refuse,
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, SECONDS).await);
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
     fleet.kill_daemon(2);
     fleet.start_daemon(2);
-    assert!(fleet.serves(2, RETURN).await, "peers give it a floor");
+    assert!(
+        fleet.wait_for_ready(2, RECOVERY_TIMEOUT).await,
+        "peers tell it which version it needs to become ready"
+    );
     assert_eq!(fleet.version(2).await, Some(version));
-    fleet.fail_log(Faults::default()).await;
-    let version = fleet.put(2, document(2)).await;
-    assert!(fleet.converges(version, SECONDS).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    fleet.set_log_faults(Faults::default()).await;
+    let version = fleet.publish_document(2, document(2)).await;
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
-/// The log takes appends and loses its answers. The publisher must find its edit again instead of
-/// guessing, and publishing once more under the same identifier must not make a second version.
+/// Guards against a wrong or duplicate result when the log appends an edit and its response is
+/// lost. The publisher must find the edit on the log; publishing it again under the same identifier
+/// must not create a second version.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answer_is_found_again() {
+async fn lost_log_response_is_recovered() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(3, 3)).await;
+    fleet.add_hosts(&places(3, 3)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::LoseAnswers,
             ..Faults::default()
         })
@@ -126,33 +138,33 @@
         base,
         document: document(1),
     };
-    let (status, first) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, first) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!((status, first["outcome"].as_str()), (200, Some("accepted")));
-    let (status, again) = fleet.publish(1, &edit).await.expect("an answer");
+    let (status, again) = fleet.publish(1, &edit).await.expect("a response");
     assert_eq!(status, 200);
     assert_eq!(first["version"], again["version"]);
-    fleet.fail_log(Faults::default()).await;
-    let next = fleet.put(2, document(2)).await;
+    fleet.set_log_faults(Faults::default()).await;
+    let next = fleet.publish_document(2, document(2)).await;
     assert!(next.0 > first["version"].as_u64().expect("a version"));
 }
 
-/// The log is slow, so that an accepted edit often reaches its own publisher by a peer before the
-/// log's answer does. The publisher took that for somebody else's edit and told its operator of a
-/// conflict, with an edit that was in force everywhere.
+/// Guards against reporting a conflict for an edit that is active on all daemons: with a slow log,
+/// an accepted edit often reaches its publisher through a peer before the log's response does, and
+/// the publisher took it for an edit of another operator.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_edit_is_no_conflict() {
     let mut fleet = fleet(&["--readers", "1"]).await;
-    fleet.add(&places(4, 1)).await;
-    assert!(fleet.meets(4, RETURN).await);
+    fleet.add_hosts(&places(4, 1)).await;
+    assert!(fleet.wait_for_members(4, RECOVERY_TIMEOUT).await);
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 50,
             ..Faults::default()
         })
         .await;
     let mut base = fleet.version(0).await.expect("it serves");
     for number in 0..12 {
-        assert!(fleet.converges(base, SECONDS).await);
+        assert!(fleet.wait_for_version(base, CONVERGENCE_TIMEOUT).await);
         let id = EditId(format!("edit-{number}"));
         let edit = Proposal {
             id,
@@ -160,20 +172,20 @@
             document: document(number),
         };
         let index = usize::try_from(number % 4).expect("small");
-        let (status, answer) = fleet.publish(index, &edit).await.expect("an answer");
-        assert_eq!(status, 200, "{answer}");
-        base = Version(answer["version"].as_u64().expect("a version"));
+        let (status, response) = fleet.publish(index, &edit).await.expect("a response");
+        assert_eq!(status, 200, "{response}");
+        base = Version(response["version"].as_u64().expect("a version"));
     }
 }
 
-/// The log hangs: an operator is told that the fate is unknown and what to do, not that the edit
-/// failed. When the log is back, the same edit can be published again.
+/// Guards against reporting an edit as failed when the log does not respond: its outcome is unknown,
+/// and the same edit can be published again when the log is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_log_means_unknown() {
+async fn hanging_log_means_unknown() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(3, 3)).await;
+    fleet.add_hosts(&places(3, 3)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Hang,
             ..Faults::default()
         })
@@ -184,51 +196,51 @@
         base,
         document: document(1),
     };
-    let (status, answer) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, response) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!(
-        (status, answer["outcome"].as_str()),
+        (status, response["outcome"].as_str()),
         (503, Some("unknown")),
-        "{answer}"
+        "{response}"
     );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 300,
             ..Faults::default()
         })
         .await;
-    let (status, answer) = fleet.publish(0, &edit).await.expect("an answer");
+    let (status, response) = fleet.publish(0, &edit).await.expect("a response");
     assert_eq!(
-        (status, answer["outcome"].as_str()),
+        (status, response["outcome"].as_str()),
         (200, Some("accepted")),
-        "{answer}"
+        "{response}"
     );
 }
 
-/// The log forgets almost everything, after an outage as well. Checkpoints keep the accepted
-/// state inside its retention, so that a newcomer and a whole new fleet still find it.
+/// Guards against losing the accepted configuration to the log's retention: checkpoints have to
+/// keep it readable for daemons that all start anew.
 #[tokio::test(flavor = "multi_thread")]
-async fn records_expire() {
+async fn checkpoints_survive_retention() {
     let mut fleet = fleet(&["--checkpoint-ms", "300"]).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             retain: 6,
             ..Faults::default()
         })
         .await;
-    fleet.add(&places(4, 2)).await;
-    let mut version = fleet.put(0, document(0)).await;
+    fleet.add_hosts(&places(4, 2)).await;
+    let mut version = fleet.publish_document(0, document(0)).await;
     for number in 1..12 {
         version = fleet
-            .put(
+            .publish_document(
                 usize::try_from(number % 4).expect("small"),
                 document(number),
             )
             .await;
     }
-    assert!(fleet.converges(version, SECONDS).await);
-    // Checkpoints alone push the edits out of the retention.
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
+    // More than eight further checkpoints push all edits out of the retention of 6 records.
     let appends = fleet.log_stats().await.appends;
-    let pushed = until(RETURN, || async {
+    let pushed = wait_until(RECOVERY_TIMEOUT, || async {
         fleet.log_stats().await.appends > appends + 8
     });
     assert!(pushed.await, "checkpoints are written");
@@ -239,74 +251,83 @@
         fleet.start_daemon(index);
     }
     for index in 0..4 {
-        assert!(fleet.serves(index, RETURN).await);
+        assert!(fleet.wait_for_ready(index, RECOVERY_TIMEOUT).await);
         assert_eq!(
             fleet.version(index).await,
             Some(version),
-            "{index} found the checkpoint"
+            "host {index} found the checkpoint"
         );
     }
-    let next = fleet.put(3, document(99)).await;
-    assert!(fleet.converges(next, SECONDS).await);
+    let next = fleet.publish_document(3, document(99)).await;
+    assert!(fleet.wait_for_version(next, CONVERGENCE_TIMEOUT).await);
 }
 
-/// Two data centres part while an edit is accepted and the log is slow as well. Both sides have
-/// their own readers, and one view after the cut.
+/// Guards against an edit that does not reach both sides of a network partition between data
+/// centres while the log is slow, and against separate views after the partition heals.
 #[tokio::test(flavor = "multi_thread")]
-async fn data_centres_part() {
-    let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_net();
-    fleet.add(&places(6, 2)).await;
-    assert!(fleet.meets(6, RETURN).await);
-    let watch = Watch::start(&fleet);
+async fn partition_heals() {
+    let mut fleet = fleet(&["--suspicion-ms", "1500"]).await.with_network();
+    fleet.add_hosts(&places(6, 2)).await;
+    assert!(fleet.wait_for_members(6, RECOVERY_TIMEOUT).await);
+    let monitor = Monitor::start(&fleet);
     let net = fleet.net.clone().expect("it has one");
-    net.cut("dc-0", "dc-1");
-    assert!(fleet.meets(3, RETURN).await, "each side sees itself alone");
+    net.partition("dc-0", "dc-1");
+    assert!(
+        fleet.wait_for_members(3, RECOVERY_TIMEOUT).await,
+        "each side sees itself alone"
+    );
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             slow_ms: 200,
             ..Faults::default()
         })
         .await;
-    let version = fleet.put(0, document(1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
     assert!(
-        fleet.converges(version, SECONDS).await,
-        "on both sides of the cut"
+        fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await,
+        "on both sides of the partition"
     );
     net.heal();
-    assert!(fleet.meets(6, RETURN).await, "one view again");
-    let version = fleet.put(5, document(2)).await;
-    assert!(fleet.converges(version, SECONDS).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert!(
+        fleet.wait_for_members(6, RECOVERY_TIMEOUT).await,
+        "one view again"
+    );
+    let version = fleet.publish_document(5, document(2)).await;
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
 
-/// The one reader of a data centre is killed and the log goes away before another has stepped in.
-/// The data centre hears of the version only from the digests on probes of the others.
+/// Guards against a data centre that misses a version when its only reader is killed and the log
+/// fails before another daemon takes over: only the digests on the probes from other data centres
+/// announce the version.
 #[tokio::test(flavor = "multi_thread")]
-async fn reader_dies_with_the_log() {
+async fn reader_and_log_fail() {
     let mut fleet = fleet(&["--readers", "1"]).await;
-    fleet.add(&places(8, 2)).await;
-    assert!(fleet.meets(8, RETURN).await);
-    let watch = Watch::start(&fleet);
-    let settled = until(RETURN, || async { fleet.log_stats().await.waiting == 2 });
+    fleet.add_hosts(&places(8, 2)).await;
+    assert!(fleet.wait_for_members(8, RECOVERY_TIMEOUT).await);
+    let monitor = Monitor::start(&fleet);
+    let settled = wait_until(RECOVERY_TIMEOUT, || async {
+        fleet.log_stats().await.waiting == 2
+    });
     assert!(
         settled.await,
-        "one daemon of each data centre waits at the log"
+        "one daemon of each data centre reads the log"
     );
     let mut reader = None;
     for index in [1, 3, 5, 7] {
-        let state: Option<Value> = get(fleet.hosts[index].operator(), "/state").await;
+        let state: Option<Value> = get_json(fleet.hosts[index].operator_address(), "/state").await;
         if state.is_some_and(|state| state["reads_log"] == true) {
             reader = Some(index);
         }
     }
     fleet.kill_daemon(reader.expect("one of the data centre reads"));
-    let version = fleet.put(0, document(1)).await;
+    let version = fleet.publish_document(0, document(1)).await;
     fleet
-        .fail_log(Faults {
+        .set_log_faults(Faults {
             mode: Mode::Hang,
             ..Faults::default()
         })
         .await;
-    assert!(fleet.converges(version, SECONDS).await);
-    assert_eq!(watch.finish().await.faults, Vec::<String>::new());
+    assert!(fleet.wait_for_version(version, CONVERGENCE_TIMEOUT).await);
+    assert_eq!(monitor.finish().await.faults, Vec::<String>::new());
 }
--- a/trial/tests/hostile.rs
+++ b/trial/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Bad input on every port: a typed refusal, and nothing else disturbed.
+//! Invalid input on every port: it is rejected, and the daemon keeps working.
 
 mod common;
 
@@ -8,59 +8,66 @@
 use common::{document, fleet, places};
 use http::{Method, StatusCode};
 use jackdaw_trial::rig::fleet::Fleet;
-use jackdaw_trial::rig::session::{Session, once};
+use jackdaw_trial::rig::session::{Session, send_once};
 use jackdawpulley::calls::outcome::OUTCOME;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn start() -> Fleet {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(2, 1)).await;
-    assert!(fleet.meets(2, PATIENCE).await);
-    // A target is a process of its own and may be up later than its daemon.
-    assert!(fleet.offers(2, PATIENCE).await);
-    let version = fleet.put(0, document(1)).await;
-    assert!(fleet.converges(version, PATIENCE).await);
+    fleet.add_hosts(&places(2, 1)).await;
+    assert!(fleet.wait_for_members(2, TIMEOUT).await);
+    // A target is a separate process that may start later than its daemon.
+    assert!(fleet.wait_for_upstreams(2, TIMEOUT).await);
+    let version = fleet.publish_document(0, document(1)).await;
+    assert!(fleet.wait_for_version(version, TIMEOUT).await);
     fleet
 }
 
-/// The daemon still answers a call and still probes its peer.
-async fn is_well(fleet: &Fleet) {
+/// Checks that the daemon still serves a call and still sees its peer.
+async fn assert_healthy(fleet: &Fleet) {
     let request = Session::request(Method::GET, "/titles", &[("x-request", "r")], "");
-    let answer = Session::new(fleet.hosts[0].calls())
-        .send(request, PATIENCE)
+    let response = Session::new(fleet.hosts[0].call_address())
+        .send(request, TIMEOUT)
         .await;
-    assert_eq!(answer.expect("whole").header(OUTCOME), "answered");
-    assert!(fleet.meets(2, PATIENCE).await);
+    assert_eq!(
+        response.expect("a complete response").header(OUTCOME),
+        "answered"
+    );
+    assert!(fleet.wait_for_members(2, TIMEOUT).await);
 }
 
-/// Sends bytes and reads until the other side closes or falls silent.
-async fn say(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+/// Sends bytes and reads until the daemon closes the connection or 500 ms have passed.
+async fn exchange(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
-    stream.write_all(bytes).await.expect("it takes them");
-    let mut answer = Vec::new();
-    let _ = tokio::time::timeout(Duration::from_millis(500), stream.read_to_end(&mut answer)).await;
-    answer
+    stream.write_all(bytes).await.expect("the bytes are sent");
+    let mut response = Vec::new();
+    let _ = tokio::time::timeout(
+        Duration::from_millis(500),
+        stream.read_to_end(&mut response),
+    )
+    .await;
+    response
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_on_sockets_is_survived() {
+async fn garbage_is_tolerated() {
     let fleet = start().await;
     let host = &fleet.hosts[0];
     let garbage: Vec<u8> = (0..5_000_u32)
         .map(|i| (i * 7 % 251).to_le_bytes()[0])
         .collect();
     for address in [
-        host.peer(),
-        host.calls(),
-        host.operator(),
+        host.peer_address(),
+        host.call_address(),
+        host.operator_address(),
         SocketAddr::new(host.ip, 7_003),
     ] {
-        say(address, &garbage).await;
-        say(address, b"GET / HTTP/1.1\r\nbroken header\r\n\r\n").await;
-        say(
+        exchange(address, &garbage).await;
+        exchange(address, b"GET / HTTP/1.1\r\nbroken header\r\n\r\n").await;
+        exchange(
             address,
             b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\x00\x00",
         )
@@ -68,15 +75,17 @@
     }
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
     for length in [0, 1, 20, 300, 1_400] {
-        let _ = socket.send_to(&garbage[..length], host.peer()).await;
+        let _ = socket
+            .send_to(&garbage[..length], host.peer_address())
+            .await;
     }
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_frames_are_refused_one_by_one() {
+async fn invalid_frames_are_rejected() {
     let fleet = start().await;
-    let peer = fleet.hosts[0].peer();
+    let peer = fleet.hosts[0].peer_address();
     let stream = TcpStream::connect(peer).await.expect("it listens");
     let (mut sender, connection) = h2::client::handshake(stream).await.expect("it speaks h2");
     tokio::spawn(connection);
@@ -106,11 +115,11 @@
     let (response, _) = sender.send_request(request, true).expect("it is sent");
     let error = response.await.expect_err("it is refused");
     assert_eq!(error.reason(), Some(h2::Reason::REFUSED_STREAM));
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_name_the_remedy() {
+async fn invalid_requests_are_explained() {
     let fleet = start().await;
     let host = &fleet.hosts[0];
     let target = SocketAddr::new(host.ip, 7_003);
@@ -119,9 +128,14 @@
         "y".repeat(5 << 20)
     );
     let cases = [
-        (host.operator(), "/config", "{", StatusCode::BAD_REQUEST),
         (
-            host.operator(),
+            host.operator_address(),
+            "/config",
+            "{",
+            StatusCode::BAD_REQUEST,
+        ),
+        (
+            host.operator_address(),
             "/config",
             long.as_str(),
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -141,11 +155,11 @@
         ),
     ];
     for (address, path, body, status) in cases {
-        let answer = once(address, Method::POST, path, body)
+        let response = send_once(address, Method::POST, path, body)
             .await
-            .expect("whole");
-        assert_eq!(answer.status, status, "{path}");
-        assert!(!answer.body.is_empty(), "{path} says why");
+            .expect("a complete response");
+        assert_eq!(response.status, status, "{path}");
+        assert!(!response.body.is_empty(), "{path} explains the rejection");
     }
-    is_well(&fleet).await;
+    assert_healthy(&fleet).await;
 }
--- a/trial/tests/loopback.rs
+++ b/trial/tests/loopback.rs
@@ -1,20 +1,20 @@
-//! Parts of the loopback network, one for each trial.
+//! Allocation of loopback networks to trials.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-use jackdaw_trial::rig::loopback::free_network;
+use jackdaw_trial::rig::loopback::allocate_network;
 
-/// Port of a target of a small platform.
-const WORK: u16 = 8_147;
-/// Networks that are claimed.
-const NETWORKS: usize = 40;
+/// Port of a target of the simulated platform.
+const TARGET_PORT: u16 = 8_147;
+/// Number of networks to allocate.
+const NETWORK_COUNT: usize = 40;
 
-/// Guards against an address that a process which is just being started still holds.
+/// Guards against handing out an address that a process holds while it is being started.
 #[test]
-fn free_is_free() {
+fn allocated_networks_are_free() {
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
         for _ in 0..4 {
@@ -24,15 +24,15 @@
                 }
             });
         }
-        let taken = (0..NETWORKS).filter(|_| {
-            let network = free_network();
+        let taken = (0..NETWORK_COUNT).filter(|_| {
+            let network = allocate_network();
             let mut hosts = 1..=3;
             hosts.any(|host| {
-                TcpListener::bind((Ipv4Addr::new(127, network, 9, host), WORK)).is_err()
+                TcpListener::bind((Ipv4Addr::new(127, network, 9, host), TARGET_PORT)).is_err()
             })
         });
         let taken = taken.count();
         done.store(true, Ordering::Relaxed);
-        assert_eq!(taken, 0, "of {NETWORKS}");
+        assert_eq!(taken, 0, "of {NETWORK_COUNT}");
     });
 }
--- a/trial/tests/races.rs
+++ b/trial/tests/races.rs
@@ -1,4 +1,4 @@
-//! Racing operators: their history is that of a compare-and-set register.
+//! Concurrent operators, whose history has to be that of a compare-and-set register.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{document, fleet, places};
-use jackdaw_trial::rig::fleet::{Fleet, get};
+use jackdaw_trial::rig::fleet::{Fleet, get_json};
 use jackdaw_trial::stand_in::log::{Faults, Mode};
 use jackdawpulley::configuration::replica::{Base, Proposal};
 use jackdawpulley::units::{EditId, Version};
@@ -14,14 +14,14 @@
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::{Action, History, Specification};
 
-const OPERATORS: usize = 4;
-const EDITS: usize = 8;
+const OPERATOR_COUNT: usize = 4;
+const EDITS_PER_OPERATOR: usize = 8;
 
-/// An edit and what its operator was told.
+/// Edit of an operator and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Operation {
-    /// Asked, not answered yet.
-    Asked,
+    /// No result yet, or an unknown one.
+    Pending,
     Accepted {
         base: u64,
         version: u64,
@@ -32,7 +32,7 @@
     },
 }
 
-/// The register: the version in force.
+/// Register whose state is the active version.
 struct Register;
 
 impl Specification for Register {
@@ -45,7 +45,7 @@
 
     fn apply(operation: &Operation, state: &u64) -> (bool, u64) {
         match *operation {
-            Operation::Asked => (false, *state),
+            Operation::Pending => (false, *state),
             Operation::Accepted { base, version } => (base == *state && version > base, version),
             Operation::Conflict { base, current } => (current == *state && base != current, *state),
         }
@@ -54,41 +54,46 @@
 
 type Actions = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
-/// One operator: reads what is in force at some daemon, and publishes on it, again and again.
-async fn operate(fleet: &Fleet, me: usize, actions: &Actions) -> Vec<(EditId, u64)> {
+/// Runs one operator that repeatedly reads the active version from a daemon and publishes an edit
+/// based on it. Returns the edits with an unknown outcome.
+async fn run_operator(
+    fleet: &Fleet,
+    operator_index: usize,
+    actions: &Actions,
+) -> Vec<(EditId, u64)> {
     let mut undecided = Vec::new();
-    let note = |action| {
+    let record = |action| {
         actions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push((me, action));
+            .push((operator_index, action));
     };
-    for round in 0..EDITS {
-        let daemon = (me + round) % fleet.hosts.len();
+    for round in 0..EDITS_PER_OPERATOR {
+        let daemon = (operator_index + round) % fleet.hosts.len();
         let base = fleet.version(daemon).await.unwrap_or_default().0;
-        let id = EditId(format!("operator-{me}-edit-{round}"));
-        let number = u64::try_from(me * 100 + round).expect("small");
+        let id = EditId(format!("operator-{operator_index}-edit-{round}"));
+        let number = u64::try_from(operator_index * 100 + round).expect("small");
         let edit = Proposal {
             id: id.clone(),
             base: Base::Version(Version(base)),
             document: document(number),
         };
-        note(Action::Call(Operation::Asked));
-        let answer = fleet.publish((daemon + 1) % fleet.hosts.len(), &edit).await;
-        let (status, answer) = answer.unwrap_or((0, Value::Null));
-        let told = |name: &str| answer[name].as_u64().unwrap_or_default();
+        record(Action::Call(Operation::Pending));
+        let response = fleet.publish((daemon + 1) % fleet.hosts.len(), &edit).await;
+        let (status, response) = response.unwrap_or((0, Value::Null));
+        let field = |name: &str| response[name].as_u64().unwrap_or_default();
         match status {
-            200 => note(Action::Response(Operation::Accepted {
+            200 => record(Action::Response(Operation::Accepted {
                 base,
-                version: told("version"),
+                version: field("version"),
             })),
-            409 => note(Action::Response(Operation::Conflict {
+            409 => record(Action::Response(Operation::Conflict {
                 base,
-                current: told("current"),
+                current: field("current"),
             })),
             _ => {
                 undecided.push((id, base));
-                // Its fate is looked up in the end; until then its operator asks nothing more.
+                // The outcome is looked up at the end; a pending operation has to be the operator's last.
                 break;
             }
         }
@@ -96,34 +101,37 @@
     undecided
 }
 
-/// Looks up the fate of an edit whose operator was told that it is unknown.
-async fn settle(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
-    let answer: Option<Value> =
-        get(fleet.hosts[0].operator(), &format!("/config/edits/{id}")).await;
-    let answer = answer.unwrap_or_default();
-    let told = |name: &str| answer[name].as_u64();
-    match (told("version"), told("current")) {
+/// Looks up the result of an edit whose outcome was unknown.
+async fn look_up(fleet: &Fleet, id: &EditId, base: u64) -> Operation {
+    let response: Option<Value> = get_json(
+        fleet.hosts[0].operator_address(),
+        &format!("/config/edits/{id}"),
+    )
+    .await;
+    let response = response.unwrap_or_default();
+    let field = |name: &str| response[name].as_u64();
+    match (field("version"), field("current")) {
         (Some(version), _) => Operation::Accepted { base, version },
         (None, Some(current)) => Operation::Conflict { base, current },
-        (None, None) => Operation::Asked,
+        (None, None) => Operation::Pending,
     }
 }
 
-/// Operators race each other through different daemons while the log loses answers, is slow and is
-/// away. Whatever each was told has to fit one order of compare-and-set operations: no accepted
-/// edit is lost, and none is applied twice.
+/// Guards against lost and doubly applied edits: operators publish concurrently through different
+/// daemons while the log loses responses, is slow and is unavailable. All results have to be
+/// linearizable as operations on a compare-and-set register.
 #[tokio::test(flavor = "multi_thread")]
-async fn history_is_a_register() {
+async fn history_is_linearizable() {
     let mut fleet = fleet(&[]).await;
-    fleet.add(&places(4, 2)).await;
+    fleet.add_hosts(&places(4, 2)).await;
     let fleet = Arc::new(fleet);
     let actions: Actions = Arc::default();
     let mut operators = Vec::new();
-    for me in 0..OPERATORS {
+    for operator_index in 0..OPERATOR_COUNT {
         let (fleet, actions) = (Arc::clone(&fleet), Arc::clone(&actions));
-        operators.push(tokio::spawn(
-            async move { operate(&fleet, me, &actions).await },
-        ));
+        operators.push(tokio::spawn(async move {
+            run_operator(&fleet, operator_index, &actions).await
+        }));
     }
     let modes = [
         Mode::LoseAnswers,
@@ -134,7 +142,7 @@
     ];
     for mode in modes {
         fleet
-            .fail_log(Faults {
+            .set_log_faults(Faults {
                 mode,
                 slow_ms: 5,
                 ..Faults::default()
@@ -143,17 +151,23 @@
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
     let mut undecided = Vec::new();
-    for (me, operator) in operators.into_iter().enumerate() {
+    for (operator_index, operator) in operators.into_iter().enumerate() {
         let left = operator.await.expect("an operator ends");
-        undecided.extend(left.into_iter().map(|(id, base)| (me, id, base)));
+        undecided.extend(
+            left.into_iter()
+                .map(|(id, base)| (operator_index, id, base)),
+        );
     }
-    let last = fleet.put(0, document(9_999)).await;
+    let last = fleet.publish_document(0, document(9_999)).await;
     let mut actions = actions
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
-    for (me, id, base) in undecided {
-        actions.push((me, Action::Response(settle(&fleet, &id, base).await)));
+    for (operator_index, id, base) in undecided {
+        actions.push((
+            operator_index,
+            Action::Response(look_up(&fleet, &id, base).await),
+        ));
     }
     let accepted = actions.iter().filter_map(|(_, action)| match action {
         Action::Response(Operation::Accepted { version, .. }) => Some(*version),
