--- a/src/calls/attempt.rs
+++ b/src/calls/attempt.rs
@@ -40,7 +40,7 @@
     sidecar: Arc<Sidecar>,
     budgets: Budgets,
     /// Chooses the upstream of each attempt.
-    pub chooser: Balancer,
+    pub balancer: Balancer,
 }
 
 impl Sender {
@@ -53,7 +53,7 @@
             ..
         } = board.settings;
         Self {
-            chooser: Balancer::new(Arc::clone(&board)),
+            balancer: Balancer::new(Arc::clone(&board)),
             budgets: Budgets::new(retry_reserve, shared_reserve),
             board,
             sidecar,
@@ -80,15 +80,18 @@
     /// A frozen sidecar or target accepts a request and never responds. Waiting for the deadline
     /// would fail a read that another target could have served.
     pub async fn attempt_hedged(&self, upstream: &Arc<Upstream>, call: &mut Call) -> Reply {
-        let rule = &Arc::clone(&call.plan).retry;
+        let rule = &Arc::clone(&call.resolved_route).retry;
         let ejection = &Arc::clone(&call.group).ejection;
-        let typical = self.chooser.statistics.baseline(&call.plan.route.name);
-        let expected_time = self.chooser.expected_time(upstream, &typical);
+        let baseline = self
+            .balancer
+            .statistics
+            .baseline(&call.resolved_route.route.name);
+        let expected_time = self.balancer.expected_time(upstream, &baseline);
         let mut first =
             Box::pin(self.attempt(upstream, call.next_attempt(expected_time), ejection));
         let fixed = self.board.settings.retries == Retries::Fixed;
         // The first attempt is counted once it has failed or a second one starts.
-        let alone = fixed || !call.may_hedge() || self.chooser.is_suspect(call);
+        let alone = fixed || !call.may_hedge() || self.balancer.is_suspect(call);
         if alone || call.attempts + 2 > rule.attempts {
             return first.await;
         }
@@ -97,14 +100,14 @@
             return reply;
         }
         call.tried.push(upstream.peer);
-        let second = match self.chooser.choose(call) {
+        let second = match self.balancer.choose(call) {
             Some(second) if self.withdraw_retry(rule, call) => second,
             _ => return first.await,
         };
         metrics::counter!("jackdaw_hedges_total").increment(1);
         call.tried.push(second.peer);
         call.attempts += 1;
-        let expected_time = self.chooser.expected_time(&second, &typical);
+        let expected_time = self.balancer.expected_time(&second, &baseline);
         let second = Box::pin(self.attempt(&second, call.next_attempt(expected_time), ejection));
         let (earlier, other) = match select(first, second).await {
             Either::Left((Reply::Failed(reason), other)) => (reason, Either::Left(other)),
@@ -144,8 +147,8 @@
             Reply::Answered(response) => Ok(response),
             Reply::Failed(reason) => Err(*reason),
         };
-        let experience = &self.chooser.statistics;
-        if experience.record(upstream, seen, load, began, &route) {
+        let statistics = &self.balancer.statistics;
+        if statistics.record(upstream, seen, load, began, &route) {
             let roster = self.board.roster();
             let upstreams = roster.upstreams(&service);
             let now = Instant::now();
--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -65,7 +65,7 @@
             // retries arrive at several daemons: all go to one sidecar, which runs one at a time.
             by_key(&IdempotencyKey(call.metadata.fingerprint.to_string()))
         } else {
-            let baseline = self.statistics.baseline(&call.plan.route.name);
+            let baseline = self.statistics.baseline(&call.resolved_route.route.name);
             self.select(&untried, call, &baseline, Instant::now())
         };
         index.map(|index| Arc::clone(untried[index]))
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -32,7 +32,7 @@
     /// Metadata for the sidecar; each attempt sends its own version.
     pub metadata: Metadata,
     /// Route and retry rule.
-    pub plan: Arc<ResolvedRoute>,
+    pub resolved_route: Arc<ResolvedRoute>,
     /// Upstream group that serves the call.
     pub group: Arc<Group>,
     /// Upstreams that are not tried again.
@@ -96,18 +96,23 @@
         let found = config
             .table
             .find(head.method.as_str(), host.as_deref(), head.uri.path());
-        let plan = Arc::clone(found.ok_or(Reason::NoRoute)?);
+        let resolved_route = Arc::clone(found.ok_or(Reason::NoRoute)?);
         let caller_timeout = head
             .headers
             .get(&dialect.timeout)
             .and_then(text)
             .and_then(|ms| ms.parse().ok());
-        let timeout = caller_timeout.map_or(plan.route.timeout_ms, |ms: Millis| {
-            ms.min(plan.route.timeout_ms)
+        let timeout = caller_timeout.map_or(resolved_route.route.timeout_ms, |ms: Millis| {
+            ms.min(resolved_route.route.timeout_ms)
         });
         let deadline = began + timeout.duration();
-        let soft_deadline = began + plan.route.latency_ms.unwrap_or(timeout).duration();
-        let group = Arc::clone(plan.group(draw));
+        let soft_deadline = began
+            + resolved_route
+                .route
+                .latency_ms
+                .unwrap_or(timeout)
+                .duration();
+        let group = Arc::clone(resolved_route.group(draw));
         // Keys are scoped by service: callers of two services may choose the same one.
         let scoped = |key| IdempotencyKey(format!("{}/{key}", group.service));
         let key = head.headers.get(KEY).and_then(text).map(scoped);
@@ -115,16 +120,16 @@
             id: id.to_owned(),
             service: group.service.clone(),
             group: group.name.clone(),
-            route: plan.route.name.clone(),
+            route: resolved_route.route.name.clone(),
             caller_service: Service::default(),
             fingerprint: Fingerprint(0),
-            priority: plan.route.rank(),
+            priority: resolved_route.route.rank(),
             sent_ms: 0,
             remaining: timeout,
             max_wait: timeout,
-            repeatable: plan.route.repeatable,
-            key: key.filter(|_| !plan.route.repeatable),
-            guard: plan.route.guard,
+            repeatable: resolved_route.route.repeatable,
+            key: key.filter(|_| !resolved_route.route.repeatable),
+            guard: resolved_route.route.guard,
             draining: Vec::new(),
         };
         stream::strip_hop_by_hop(&mut head.headers);
@@ -142,7 +147,7 @@
                 fingerprint,
                 ..metadata
             },
-            plan,
+            resolved_route,
             group,
             caller_timeout,
             soft_deadline,
@@ -201,7 +206,7 @@
     /// Longest wait for a slot with which an attempt that takes `expected_time` is still of use.
     #[must_use]
     pub fn max_wait(&self, expected_time: Duration) -> Duration {
-        let until = if self.plan.route.latency_ms.is_some() {
+        let until = if self.resolved_route.route.latency_ms.is_some() {
             self.soft_deadline.min(self.deadline)
         } else {
             self.deadline
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -15,7 +15,7 @@
 use crate::calls::dialect::Dialect;
 use crate::calls::dispatch::Dispatcher;
 use crate::calls::metadata::Metadata;
-use crate::calls::outcome::{OUTCOME, Outcome as CallOutcome, Reason};
+use crate::calls::outcome::{OUTCOME, Outcome, Reason};
 use crate::calls::stream::{self, Buffered, Continue, Guarded};
 use crate::calls::validator::Validator;
 use crate::calls::wait;
@@ -23,7 +23,7 @@
 use crate::membership::member::Stage;
 use crate::quarantine::detector::Detector;
 use crate::quarantine::running::{Completion, Run};
-use crate::rollout::counters::Outcome;
+use crate::rollout::counters;
 use crate::settings::Limits;
 use crate::units::{Millis, Service};
 
@@ -206,7 +206,7 @@
         if left.is_zero() {
             return Err(Reason::Expired);
         }
-        let mut bid = Options {
+        let mut options = Options {
             priority: self.metadata.priority,
             max_wait: self.metadata.max_wait.duration(),
             timeout: left / QUEUE_WAIT_DIVISOR,
@@ -215,15 +215,15 @@
         let mut waited = Duration::ZERO;
         if let Some(continue_signal) = self.request.extensions_mut().remove::<Continue>() {
             waited = self
-                .receive_body(&continue_signal, executor, queue, bid)
+                .receive_body(&continue_signal, executor, queue, options)
                 .await?;
             // Refusing the request now would waste the transfer of its body.
             let left = self.deadline.saturating_duration_since(Instant::now());
-            bid.max_wait = wait::max_wait(left, Duration::ZERO);
-            bid.timeout = left / QUEUE_WAIT_DIVISOR;
+            options.max_wait = wait::max_wait(left, Duration::ZERO);
+            options.timeout = left / QUEUE_WAIT_DIVISOR;
         }
         let began = Instant::now();
-        let permit = executor.queue.acquire(slots, queue, bid).await?;
+        let permit = executor.queue.acquire(slots, queue, options).await?;
         // If the daemon was suspended while the request waited, the caller may have timed out and
         // been told so, or the target may have left. Hence deadline and target are checked again
         // with the slot held, right before the request is dispatched.
@@ -251,12 +251,12 @@
         continue_signal: &Continue,
         executor: &Executor,
         queue: u32,
-        bid: Options,
+        options: Options,
     ) -> Result<Duration, Reason> {
         let began = Instant::now();
         let _permit = executor
             .body_queue
-            .acquire(MAX_BODY_TRANSFERS, queue, bid)
+            .acquire(MAX_BODY_TRANSFERS, queue, options)
             .await?;
         let waited = began.elapsed();
         continue_signal.send();
@@ -329,7 +329,7 @@
         // The ingress writes the call's identifier itself.
         headers.remove(&dialect.call_id);
         let outcome_value = HeaderValue::from_static("answered");
-        debug_assert_eq!(CallOutcome::Answered.to_string(), "answered");
+        debug_assert_eq!(Outcome::Answered.to_string(), "answered");
         headers.insert(OUTCOME, outcome_value);
         response.extensions_mut().insert(QueueTime(self.waited));
         let (parts, body) = response.into_parts();
@@ -399,9 +399,9 @@
         self.is_finished = true;
         let outcome = match result {
             Ok(response) if !response.status().is_server_error() => {
-                Outcome::Answered(self.began.elapsed())
+                counters::Outcome::Answered(self.began.elapsed())
             }
-            Ok(_) | Err(Reason::Broken | Reason::TimedOut) => Outcome::Failed,
+            Ok(_) | Err(Reason::Broken | Reason::TimedOut) => counters::Outcome::Failed,
             // The request has not run.
             Err(_) => return,
         };
@@ -416,7 +416,7 @@
         if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
             self.board
                 .rollouts
-                .count_answer(self.route, Outcome::Failed);
+                .count_answer(self.route, counters::Outcome::Failed);
         }
     }
 }
--- a/src/calls/ingress.rs
+++ b/src/calls/ingress.rs
@@ -164,7 +164,7 @@
         if self.board.lines.admit(Instant::now()) {
             let (own, reported) = upstream.load();
             info!(self.board.logger, "attempt failed"; "call" => &call.metadata.id,
-                "route" => &call.plan.route.name, "upstream" => %upstream.peer,
+                "route" => &call.resolved_route.route.name, "upstream" => %upstream.peer,
                 "reason" => %reason, "fate" => %reason.outcome(), "made" => call.attempts,
                 "tried" => call.tried.len(), "left_ms" => Millis::from(call.left()).0,
                 "own" => own, "reported" => reported, "goes_on" => will_retry);
@@ -222,11 +222,14 @@
         );
         let mut call = preparing.await?;
         call.metadata.caller_service = settings.service.clone().unwrap_or_default();
-        let (experience, route) = (&self.sender.chooser.statistics, &call.plan.route.name);
-        if experience.is_nested(route) {
+        let (statistics, route) = (
+            &self.sender.balancer.statistics,
+            &call.resolved_route.route.name,
+        );
+        if statistics.is_nested(route) {
             call.extend_soft_deadline();
         } else if let Some(given) = call.caller_timeout {
-            let earlier_wait = experience.caller_wait(route, given);
+            let earlier_wait = statistics.caller_wait(route, given);
             call.deduct_earlier_wait(earlier_wait);
         }
         Ok(call)
@@ -252,11 +255,11 @@
 
     /// Makes attempts until one is answered or no further one is allowed.
     async fn run_attempts(&self, call: &mut Call) -> Option<Response<Body>> {
-        let rule = &Arc::clone(&call.plan).retry;
+        let rule = &Arc::clone(&call.resolved_route).retry;
         self.sender.budget(call).deposit_share(rule.budget);
         let mut refusals = 0;
         loop {
-            let Some(upstream) = self.sender.chooser.choose(call) else {
+            let Some(upstream) = self.sender.balancer.choose(call) else {
                 break;
             };
             let reason = match self.sender.attempt_hedged(&upstream, call).await {
@@ -282,7 +285,7 @@
             call.overloaded |= overloaded;
             // A request that must run in isolation is refused while another such request runs at
             // the target. It is not sent to the next target, which might crash as well.
-            let isolated = reason == Reason::Overloaded && self.sender.chooser.is_suspect(call);
+            let isolated = reason == Reason::Overloaded && self.sender.balancer.is_suspect(call);
             let will_retry = if isolated || reason == Reason::Quarantined {
                 false
             } else if unprocessed {
@@ -332,8 +335,8 @@
 
     /// When the quarantine of a call ends, if targets have crashed while running the same request.
     fn quarantine_end(&self, call: &Call) -> Option<QuarantineEnd> {
-        let standing = self.board.quarantine.assessment(call.metadata.fingerprint);
-        let until = standing
+        let assessment = self.board.quarantine.assessment(call.metadata.fingerprint);
+        let until = assessment
             .quarantined_until
             .filter(|until| Instant::now() < *until);
         until.map(QuarantineEnd)
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -179,18 +179,18 @@
 
 /// Whether a request may be retried after `attempts` attempts, with `left` until its deadline.
 ///
-/// `fate` is the outcome of the last attempt.
+/// `outcome` is the outcome of the last attempt.
 #[must_use]
 pub fn is_allowed(
     rule: &Retry,
     attempts: u32,
     repeatable: bool,
-    fate: Outcome,
+    outcome: Outcome,
     left: Duration,
 ) -> bool {
     // At-most-once: a request whose outcome is unknown may have run, and only a repeatable one may
     // run again.
-    let safe = match fate {
+    let safe = match outcome {
         Outcome::NotRun => true,
         Outcome::Unknown => repeatable,
         Outcome::Answered => false,
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -31,7 +31,7 @@
     executor: Arc<Executor>,
     keys: Arc<Deduplicator>,
     /// Locked only briefly, and never across an await.
-    origins: Mutex<Detector>,
+    nesting_detector: Mutex<Detector>,
 }
 
 /// Load that a sidecar reports with each response, written as numbers separated by commas.
@@ -83,7 +83,7 @@
             board,
             executor,
             keys,
-            origins: Mutex::default(),
+            nesting_detector: Mutex::default(),
         }
     }
 
@@ -131,8 +131,11 @@
             return false;
         }
         let roster = self.board.roster();
-        let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.record(
+        let mut nesting_detector = self
+            .nesting_detector
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        nesting_detector.record(
             &metadata.route,
             &metadata.caller_service,
             &roster.host_counts,
