--- a/src/calls/balancer.rs
+++ b/src/calls/balancer.rs
@@ -45,8 +45,8 @@
     /// waits only for the time that its transfer cost leaves.
     pub fn expected_time(&self, upstream: &Upstream, baseline: &Baseline) -> Duration {
         let settings = &self.board.settings;
-        let far_ms = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
-        baseline.processing() + upstream.transfer_cost(baseline, far_ms)
+        let remote_ms_per_kb = settings.far_ms_per_kb * f64::from(settings.far_wait.0) / 100.0;
+        baseline.processing() + upstream.transfer_cost(baseline, remote_ms_per_kb)
     }
 
     /// Chooses the upstream for the next attempt, if any is left: by idempotency key if the call
@@ -124,12 +124,13 @@
             // Once a sidecar has refused the call for lack of capacity, transfers cost nothing.
             // Guards against a data centre that refuses its callers while others have free slots:
             // sidecars refuse a request before the wait there costs as much as the transfer.
-            let far_ms = if call.overloaded {
+            let remote_ms_per_kb = if call.overloaded {
                 0.0
             } else {
                 settings.far_ms_per_kb
             };
-            let costs = all.map(|upstream| upstream.cost(&call.group, baseline, far_ms, now));
+            let costs =
+                all.map(|upstream| upstream.cost(&call.group, baseline, remote_ms_per_kb, now));
             return pick::cheapest(&costs.collect::<Vec<Cost>>(), &mut rng);
         }
         let candidates = all.map(|upstream| upstream.candidate(&call.group, now));
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -405,7 +405,7 @@
             // The request has not run.
             Err(_) => return,
         };
-        self.board.rollouts.count_answer(self.route, outcome);
+        self.board.rollouts.count_response(self.route, outcome);
     }
 }
 
@@ -416,7 +416,7 @@
         if !self.is_finished && Instant::now() + DEADLINE_MARGIN >= self.deadline {
             self.board
                 .rollouts
-                .count_answer(self.route, counters::Outcome::Failed);
+                .count_response(self.route, counters::Outcome::Failed);
         }
     }
 }
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -29,7 +29,7 @@
 pub struct Sidecar {
     board: Arc<Board>,
     executor: Arc<Executor>,
-    keys: Arc<Deduplicator>,
+    deduplicator: Arc<Deduplicator>,
     /// Locked only briefly, and never across an await.
     nesting_detector: Mutex<Detector>,
 }
@@ -77,12 +77,12 @@
 impl Sidecar {
     /// A sidecar for the target that the board currently names.
     #[must_use]
-    pub fn new(board: Arc<Board>, keys: Arc<Deduplicator>) -> Self {
+    pub fn new(board: Arc<Board>, deduplicator: Arc<Deduplicator>) -> Self {
         let executor = Arc::new(Executor::new(Arc::clone(&board)));
         Self {
             board,
             executor,
-            keys,
+            deduplicator,
             nesting_detector: Mutex::default(),
         }
     }
@@ -99,7 +99,11 @@
         let nested = self.record_origin(&metadata);
         let received = Received::new(metadata, request, self.board.begin());
         let result = match key {
-            Some(key) => self.keys.run_once(key, received, &self.executor).await,
+            Some(key) => {
+                self.deduplicator
+                    .run_once(key, received, &self.executor)
+                    .await
+            }
             None => self.executor.run(received).await,
         };
         let mut response = match result {
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -195,8 +195,8 @@
         };
         self.log_unreadable(&changes.faults);
         self.accept_newest(changes.releases);
-        for notice in &changes.orders {
-            self.apply_order(notice);
+        for change in &changes.orders {
+            self.apply_order(change);
         }
         let has_waited = from == Some(changes.next) && began.elapsed() >= wait.duration();
         // A wait without a result shows that there was no record until the wait ended.
@@ -241,17 +241,17 @@
         }
     }
 
-    fn apply_order(&self, notice: &Change) {
-        if !self.board.rollouts.apply_change(notice) {
+    fn apply_order(&self, change: &Change) {
+        if !self.board.rollouts.apply_change(change) {
             return;
         }
-        let Some(order) = &notice.order else {
-            info!(self.board.logger, "roll-out order withdrawn"; "service" => %notice.service);
+        let Some(order) = &change.order else {
+            info!(self.board.logger, "roll-out order withdrawn"; "service" => %change.service);
             return;
         };
         info!(self.board.logger, "roll-out order received"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
-            "era" => notice.position.generation.0, "offset" => notice.position.offset.0);
+            "era" => change.position.generation.0, "offset" => change.position.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -97,7 +97,7 @@
     /// Restores the stored quarantine notes. If the log is unavailable, peers have already sent them.
     async fn restore_quarantine(&self) {
         match self.archive.load().await {
-            Ok(notes) => self.board.quarantine.restore(&notes, clock::unix_ms()),
+            Ok(records) => self.board.quarantine.restore(&records, clock::unix_ms()),
             Err(error) => {
                 warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
             }
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -19,7 +19,7 @@
 
 /// Quarantine periods after which a quarantine note is deleted from the control plane. One would do if all hosts'
 /// clocks were right.
-const NOTE_EXPIRY_SPANS: u64 = 2;
+const RECORD_EXPIRY_PERIODS: u64 = 2;
 
 /// Registration of one daemon.
 #[derive(Debug, Clone)]
@@ -108,10 +108,10 @@
             contacts,
             quarantine_records,
         } = self.control_plane.directory(enough).await?;
-        let (now, span) = (clock::unix_ms(), self.board.settings.quarantine_ms);
+        let (now, period) = (clock::unix_ms(), self.board.settings.quarantine_ms);
         self.board.quarantine.restore(&quarantine_records, now);
-        for (cause, note) in quarantine_records {
-            if note.age(now) >= Millis(NOTE_EXPIRY_SPANS * span.0) {
+        for (cause, record) in quarantine_records {
+            if record.age(now) >= Millis(RECORD_EXPIRY_PERIODS * period.0) {
                 // A note that cannot be deleted is read again and has no effect.
                 let _ = self.control_plane.set_quarantine_record(cause, None).await;
             }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -264,26 +264,32 @@
     /// Expected cost of a request of a route at `now`; `far_ms` is the cost of each kilobyte from another data
     /// centre, in milliseconds.
     #[must_use]
-    pub fn cost(&self, group: &Group, typical: &Baseline, far_ms: f64, now: Instant) -> Cost {
+    pub fn cost(
+        &self,
+        group: &Group,
+        baseline: &Baseline,
+        remote_ms_per_kb: f64,
+        now: Instant,
+    ) -> Cost {
         let candidate = self.candidate(group, now);
         let outstanding = self.outstanding();
         let expected = self
             .latency()
-            .expected_ms(now, outstanding, candidate.slots, typical);
-        let way_ms = self.transfer_cost(typical, far_ms).as_secs_f64() * 1_000.0;
+            .expected_ms(now, outstanding, candidate.slots, baseline);
+        let transfer_ms = self.transfer_cost(baseline, remote_ms_per_kb).as_secs_f64() * 1_000.0;
         Cost {
-            ms: expected / candidate.share + way_ms,
+            ms: expected / candidate.share + transfer_ms,
             ejected: candidate.ejected,
         }
     }
 
     /// Cost of the transfer there and back, as a time that a request of a route could wait instead.
     #[must_use]
-    pub fn transfer_cost(&self, typical: &Baseline, far_ms: f64) -> Duration {
+    pub fn transfer_cost(&self, baseline: &Baseline, remote_ms_per_kb: f64) -> Duration {
         if self.local {
             return Duration::ZERO;
         }
-        let ms = far_ms * (HEADERS_KB + typical.response_bytes / BYTES_PER_KB);
+        let ms = remote_ms_per_kb * (HEADERS_KB + baseline.response_bytes / BYTES_PER_KB);
         Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or_default()
     }
 
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -41,7 +41,9 @@
     /// As [`Origin::note`] and [`Log::append`].
     pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.set_quarantine_record(cause, record).await,
+            Self::Platform(control_plane) => {
+                control_plane.set_quarantine_record(cause, record).await
+            }
             Self::Log(log) => {
                 let record = record.cloned();
                 let entry = Entry { cause, record };
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -166,7 +166,7 @@
             self.detector
                 .board
                 .quarantine
-                .record_answer(self.fingerprint);
+                .record_answered(self.fingerprint);
         }
     }
 }
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -41,13 +41,13 @@
     /// Replicates changes for as long as the daemon runs.
     pub async fn run(self) {
         let mut changes = self.board.quarantine.changes();
-        let mut eras = self.board.eras();
+        let mut generations = self.board.eras();
         let mut assessments: Arc<Assessments> = Arc::default();
         loop {
             // All but the expiry of crashes is signalled as a change.
             tokio::select! {
                 _ = changes.changed() => {}
-                _ = eras.changed() => self.store_all_again(&assessments),
+                _ = generations.changed() => self.store_all_again(&assessments),
                 () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
             self.board.quarantine.expire();
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct State {
-    evidence: CrashSet,
+    crash_set: CrashSet,
     /// Crashes of this daemon's own target. Expired ones are removed when the next one is added.
     local_crashes: Vec<CrashId>,
     /// Requests that were answered here after the only crash that implicates them, the oldest first.
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         let state = State {
-            evidence: CrashSet::new(retention),
+            crash_set: CrashSet::new(retention),
             local_crashes: Vec::new(),
             answered: VecDeque::new(),
             updates: Vec::new(),
@@ -73,10 +73,10 @@
         let mut state = self.state();
         let State {
             local_crashes,
-            evidence,
+            crash_set,
             ..
         } = &mut *state;
-        local_crashes.retain(|id| evidence.contains(*id));
+        local_crashes.retain(|id| crash_set.contains(*id));
         local_crashes.push(crash.id);
         drop(state);
         self.merge(std::slice::from_ref(crash));
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn has_local_crash(&self, cause: Fingerprint) -> bool {
         let state = self.state();
-        let crashes = state.evidence.crashes_of(cause, Instant::now());
+        let crashes = state.crash_set.crashes_of(cause, Instant::now());
         crashes
             .iter()
             .any(|(id, _)| state.local_crashes.contains(id))
@@ -95,7 +95,7 @@
     /// Crashes that implicate a request, with their ages.
     #[must_use]
     pub fn crashes_of(&self, cause: Fingerprint) -> Vec<(CrashId, Millis)> {
-        self.state().evidence.crashes_of(cause, Instant::now())
+        self.state().crash_set.crashes_of(cause, Instant::now())
     }
 
     /// Merges crash reports.
@@ -104,7 +104,7 @@
         let mut state = self.state();
         let before = state.updates.len();
         for crash in crashes {
-            if state.evidence.merge(now, crash) {
+            if state.crash_set.merge(now, crash) {
                 state.updates.push(crash.id);
             }
         }
@@ -126,7 +126,7 @@
     /// Guards against quarantining a request that many callers send and that was running at three crashes by
     /// chance. While only one crash implicates the request, the answer is kept locally until another does:
     /// sending all answers after many crashes would flood the fleet.
-    pub fn record_answer(&self, fingerprint: Fingerprint) {
+    pub fn record_answered(&self, fingerprint: Fingerprint) {
         let assessment = self.assessment(fingerprint);
         if assessment.crashes == 0 {
             return;
@@ -136,7 +136,7 @@
             self.clear(&mut state, fingerprint, None);
             return;
         }
-        let crashes = state.evidence.crashes_of(fingerprint, Instant::now());
+        let crashes = state.crash_set.crashes_of(fingerprint, Instant::now());
         for (id, _) in crashes {
             if state.answered.len() == MAX_ANSWERED {
                 state.answered.pop_front();
@@ -148,7 +148,7 @@
     /// Removes expired crashes.
     pub fn expire(&self) {
         let mut state = self.state();
-        if state.evidence.expire(Instant::now()) {
+        if state.crash_set.expire(Instant::now()) {
             self.reassess(&mut state);
         }
     }
@@ -162,7 +162,7 @@
     /// Reports of all known crashes, for sending.
     #[must_use]
     pub fn snapshot(&self) -> Vec<Crash> {
-        self.state().evidence.snapshot(Instant::now(), None)
+        self.state().crash_set.snapshot(Instant::now(), None)
     }
 
     /// Returns the changes that have not been sent to peers and marks them as sent.
@@ -170,7 +170,7 @@
     pub fn take_updates(&self) -> Vec<Crash> {
         let mut state = self.state();
         let updates = std::mem::take(&mut state.updates);
-        state.evidence.snapshot(Instant::now(), Some(&updates))
+        state.crash_set.snapshot(Instant::now(), Some(&updates))
     }
 
     /// Subscribes to changes.
@@ -195,7 +195,7 @@
 
     /// Marks a request as not the cause of one crash or of all that are known.
     fn clear(&self, state: &mut State, fingerprint: Fingerprint, id: Option<CrashId>) {
-        let cleared = state.evidence.clear(fingerprint, id);
+        let cleared = state.crash_set.clear(fingerprint, id);
         if !cleared.is_empty() {
             state.updates.extend(cleared);
             self.reassess(state);
@@ -203,8 +203,8 @@
     }
 
     fn reassess(&self, state: &mut State) {
-        state.hash = state.evidence.hash();
-        self.assessments.store(Arc::new(state.evidence.assess()));
+        state.hash = state.crash_set.hash();
+        self.assessments.store(Arc::new(state.crash_set.assess()));
         self.changes.send_modify(|count| *count += 1);
     }
 
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -18,9 +18,9 @@
 /// the median.
 const SLOW_BUCKET_OFFSET: usize = 3;
 /// Least number of answers of the old revision for a comparison, if there are as many.
-const MIN_BASE_ANSWERS: u32 = 300;
+const MIN_BASE_RESPONSES: u32 = 300;
 /// Answers of the old revision in a second, longer sample, which evens out chance in the recent one.
-const LONG_BASE_ANSWERS: u32 = 2_000;
+const LONG_BASE_RESPONSES: u32 = 2_000;
 /// Last ticks in which a doubt is looked for, beside all ticks: those of a promotion.
 const RECENT_TICKS: usize = 8;
 /// Age from which a sidecar's last report is ignored.
@@ -260,8 +260,10 @@
 
     /// Answers of both revisions on one route over the last `span` ticks.
     fn compare(&self, route: RouteId, span: usize) -> Comparison {
-        let min_answers = self.count_new_answers(route, span).max(MIN_BASE_ANSWERS);
-        let recent = self.old_counters(route, span, min_answers);
+        let min_responses = self
+            .count_new_responses(route, span)
+            .max(MIN_BASE_RESPONSES);
+        let recent = self.old_counters(route, span, min_responses);
         let slow_bucket = recent
             .median()
             .map_or(usize::MAX, |median| median + SLOW_BUCKET_OFFSET);
@@ -271,7 +273,7 @@
         };
         // The worse of a recent and a longer sample counts: a downstream fault that has just begun shows only
         // in the recent one, and a few good answers by chance do not affect the longer one.
-        let long_term = self.old_counters(route, span, LONG_BASE_ANSWERS);
+        let long_term = self.old_counters(route, span, LONG_BASE_RESPONSES);
         Comparison {
             old: sample(&recent).with_higher_bad_rate(sample(&long_term)),
             new: self.new_samples(route, span, slow_bucket),
@@ -279,7 +281,7 @@
     }
 
     /// Number of answers of the new revision over the last `span` ticks.
-    fn count_new_answers(&self, route: RouteId, span: usize) -> u32 {
+    fn count_new_responses(&self, route: RouteId, span: usize) -> u32 {
         let ticks = self.ticks.iter().rev().take(span);
         let new = ticks.flat_map(|tick| &tick.new);
         let here = new.filter(|(_, known, _)| *known == route);
@@ -291,10 +293,10 @@
     ///
     /// Once the new revision receives all requests, the last answers of the old one are compared with all
     /// that follow. If these were few and good by chance, a good revision would be rolled back.
-    fn old_counters(&self, route: RouteId, span: usize, min_answers: u32) -> RouteCounters {
+    fn old_counters(&self, route: RouteId, span: usize, min_responses: u32) -> RouteCounters {
         let mut base = RouteCounters::default();
         for (age, tick) in self.ticks.iter().rev().enumerate() {
-            if age >= span && base.total() >= min_answers {
+            if age >= span && base.total() >= min_responses {
                 break;
             }
             let found = tick.old.binary_search_by_key(&route, |(known, _)| *known);
--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -54,7 +54,7 @@
 pub struct Controller {
     board: Arc<Board>,
     membership: Arc<Membership>,
-    origin: Option<Arc<dyn ControlPlane>>,
+    control_plane: Option<Arc<dyn ControlPlane>>,
     limits: ExposureLimits,
     /// Sorted by service.
     trackers: Vec<Tracker>,
@@ -67,13 +67,13 @@
     pub fn new(
         board: &Arc<Board>,
         membership: &Arc<Membership>,
-        origin: Option<Arc<dyn ControlPlane>>,
+        control_plane: Option<Arc<dyn ControlPlane>>,
     ) -> Self {
         Self {
             limits: board.settings.exposure(),
             board: Arc::clone(board),
             membership: Arc::clone(membership),
-            origin,
+            control_plane,
             trackers: Vec::new(),
             ticks: 0,
         }
@@ -262,7 +262,7 @@
     /// Decides on the next plan and writes a verdict.
     fn advance(&mut self, index: usize, known: &LocalProgress, sidecars: &Sidecars) {
         let now = Instant::now();
-        let era = self.board.era();
+        let generation = self.board.era();
         let progress = known.progress();
         if progress.verdict.is_some() {
             self.check_status(index, known, Status::from(progress.verdict));
@@ -300,7 +300,7 @@
                 "complete" => decision.complete, "cause" => %decision.cause,
                 "permille" => decision.permille, "targets" => decision.targets,
                 "observed" => ?observed, "finding" => ?finding,
-                "compared" => ?tracker.analysis.compared(), "era" => era.0);
+                "compared" => ?tracker.analysis.compared(), "era" => generation.0);
         }
         match final_status(&decision) {
             Some(status) => self.sync_status(index, status),
@@ -312,11 +312,11 @@
     fn check_status(&mut self, index: usize, known: &LocalProgress, status: Status) {
         let now = Instant::now();
         let tracker = &self.trackers[index];
-        let era = self.board.era();
+        let generation = self.board.era();
         let due = tracker.last_checked.is_none_or(|(checked, then)| {
             let late = known.age(now) > tracker.order.duration.duration() + CHECK_TIME_AFTER_ORDER;
             let waited = now.saturating_duration_since(checked) >= STATUS_CHECK_INTERVAL;
-            then != era || waited && !late
+            then != generation || waited && !late
         });
         if due || !tracker.sync.confirmed.load(Ordering::Acquire) {
             self.sync_status(index, status);
@@ -325,19 +325,19 @@
 
     /// Synchronizes the status with the platform in the background, unless that is in progress.
     fn sync_status(&mut self, index: usize, status: Status) {
-        let Some(origin) = self.origin.clone() else {
+        let Some(control_plane) = self.control_plane.clone() else {
             return;
         };
-        let era = self.board.era();
+        let generation = self.board.era();
         let tracker = &mut self.trackers[index];
         if tracker.sync.in_progress.swap(true, Ordering::AcqRel) {
             return;
         }
-        tracker.last_checked = Some((Instant::now(), era));
+        tracker.last_checked = Some((Instant::now(), generation));
         let (order, sync) = (tracker.order.clone(), Arc::clone(&tracker.sync));
         let board = Arc::clone(&self.board);
         tokio::spawn(async move {
-            let outcome = sync_with_platform(&board, origin.as_ref(), &order, status).await;
+            let outcome = sync_with_platform(&board, control_plane.as_ref(), &order, status).await;
             if outcome.is_err() {
                 let mut backoff = RETRY_BACKOFF;
                 tokio::time::sleep(backoff.next_delay()).await;
@@ -368,11 +368,11 @@
 /// Writes the status of a rollout to the platform and applies the stored verdict, if there is one.
 async fn sync_with_platform(
     board: &Board,
-    origin: &dyn ControlPlane,
+    control_plane: &dyn ControlPlane,
     order: &Order,
     status: Status,
 ) -> crate::Result<()> {
-    let stored = origin.report_rollout_status(order, status).await?;
+    let stored = control_plane.report_rollout_status(order, status).await?;
     if let Some(verdict) = stored.verdict() {
         if board.rollouts.set_verdict(order, verdict) {
             metrics::counter!("jackdaw_rollouts_total", "verdict" => verdict.to_string())
@@ -390,7 +390,7 @@
     let age = known.age(Instant::now());
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let now_ms = clock::unix_ms();
-    let ordered_at_ms = origin
+    let ordered_at_ms = control_plane
         .record_rollout_start(order, now_ms.saturating_sub(age_ms))
         .await?;
     let age = Duration::from_millis(now_ms.saturating_sub(ordered_at_ms));
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -45,11 +45,11 @@
 /// Time before the end of an order at which the rollout completes even if old targets are not drained.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(400);
 /// Answers of the new revision that the promotion waits for; half of the expected ones if these are fewer.
-const ENOUGH_ANSWERS: f64 = 40.0;
+const ENOUGH_RESPONSES: f64 = 40.0;
 /// Remaining part of the promotion time at which it begins with fewer answers.
 const LATE_PROMOTION_PART: f64 = 0.65;
 /// Fewest answers by which a revision is judged.
-const MIN_ANSWERS: u64 = 4;
+const MIN_RESPONSES: u64 = 4;
 
 /// A decision on the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -179,11 +179,11 @@
         return trying;
     }
     let expected = expected_answers(permille, observed);
-    let enough = ENOUGH_ANSWERS.min(expected / 2.0);
+    let enough = ENOUGH_RESPONSES.min(expected / 2.0);
     // Guards against rolling back a good revision that has few answers because nobody coordinated for a
     // while: the promotion compares the revisions as well.
     let is_late = remaining < promotion.mul_f64(LATE_PROMOTION_PART);
-    if observed.answers >= MIN_ANSWERS && (is_late || to_f64(observed.answers) >= enough) {
+    if observed.answers >= MIN_RESPONSES && (is_late || to_f64(observed.answers) >= enough) {
         let (permille, targets) = ramp(observed);
         return Decision {
             step: Step::Ramp,
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -170,7 +170,7 @@
     }
 
     /// Counts the outcome of a request at the co-located target, if counting is on.
-    pub fn count_answer(&self, route: &str, outcome: Outcome) {
+    pub fn count_response(&self, route: &str, outcome: Outcome) {
         if self.counting.load(Ordering::Acquire) {
             self.lock_counters().add(RouteId::of(route), outcome);
         }
--- a/src/rollout/significance.rs
+++ b/src/rollout/significance.rs
@@ -21,16 +21,16 @@
 /// revision shows at other targets too; if those do well, their answers count in its favour.
 const MAX_TARGET_PART: f64 = 0.6;
 /// Answers that are added to those of the old revision as a prior.
-const PRIOR_ANSWERS: f64 = 20.0;
+const PRIOR_RESPONSES: f64 = 20.0;
 /// Bad answers among the added ones.
 ///
 /// Guards against a share that was measured on few answers: an old revision without a bad one in a hundred
 /// may have a share of one in fifty, and the new one would be rolled back for the same share.
-const PRIOR_BAD_ANSWERS: f64 = 1.0;
+const PRIOR_BAD_RESPONSES: f64 = 1.0;
 /// Upper bound of the assumed share of bad answers.
 const MAX_BAD_RATE: f64 = 0.98;
 /// Answers that the threshold test waits for.
-const THRESHOLD_MIN_ANSWERS: u32 = 50;
+const THRESHOLD_MIN_RESPONSES: u32 = 50;
 /// Increase of the share of bad answers at which the threshold test decides.
 const THRESHOLD_RISE: f64 = 0.05;
 
@@ -68,7 +68,7 @@
     /// Share of bad answers to expect, with a prior for small samples.
     fn expected_bad_rate(self) -> f64 {
         let share =
-            (f64::from(self.bad) + PRIOR_BAD_ANSWERS) / (f64::from(self.total) + PRIOR_ANSWERS);
+            (f64::from(self.bad) + PRIOR_BAD_RESPONSES) / (f64::from(self.total) + PRIOR_RESPONSES);
         share.min(MAX_BAD_RATE)
     }
 
@@ -168,7 +168,7 @@
             total: all.total - worst.total,
         });
     let share = |s: Sample| f64::from(s.bad) / f64::from(s.total.max(1));
-    rest.total >= THRESHOLD_MIN_ANSWERS && share(rest) - share(old) >= THRESHOLD_RISE
+    rest.total >= THRESHOLD_MIN_RESPONSES && share(rest) - share(old) >= THRESHOLD_RISE
 }
 
 /// Log-likelihood ratio of each target over all routes. Answers are compared with those of the old revision
--- a/tests/quarantine_state.rs
+++ b/tests/quarantine_state.rs
@@ -37,7 +37,7 @@
     assert_eq!(quarantine.take_updates().len(), 1);
     let hash = quarantine.hash();
     for fingerprint in &running {
-        quarantine.record_answer(*fingerprint);
+        quarantine.record_answered(*fingerprint);
     }
     assert!(quarantine.take_updates().is_empty());
     assert_eq!(quarantine.hash(), hash);
@@ -49,7 +49,7 @@
 fn local_answer_counts_after_second_crash() {
     let quarantine = quarantine();
     quarantine.merge(&[crash(1, 9, &[UNRELATED])]);
-    quarantine.record_answer(UNRELATED);
+    quarantine.record_answered(UNRELATED);
     quarantine.merge(&[crash(2, 6, &[UNRELATED])]);
     quarantine.merge(&[crash(3, 3, &[UNRELATED])]);
     assert!(!is_quarantined(&quarantine, UNRELATED));
@@ -67,7 +67,7 @@
     let quarantine = quarantine();
     quarantine.merge(&[crash(1, 9, &[UNRELATED]), crash(2, 6, &[UNRELATED])]);
     assert_eq!(quarantine.take_updates().len(), 2);
-    quarantine.record_answer(UNRELATED);
+    quarantine.record_answered(UNRELATED);
     assert_eq!(quarantine.take_updates().len(), 2);
     assert_eq!(quarantine.assessment(UNRELATED).crashes, 0);
 }
