--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -26,7 +26,7 @@
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
 
-/// A request matched to a route of the configuration that was in force when it arrived.
+/// A request matched to a route of the configuration that was active when it arrived.
 #[derive(Debug)]
 pub struct Call {
     /// Metadata for the sidecar; each attempt sends its own version.
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -78,7 +78,7 @@
 }
 
 impl Executor {
-    /// An executor for the target that the board currently names.
+    /// Creates an executor for the current target.
     #[must_use]
     pub fn new(board: Arc<Board>) -> Self {
         let dispatcher = Dispatcher::new(board.settings.target_idle_ms.duration());
@@ -340,7 +340,7 @@
     }
 }
 
-/// How a request at the target ended.
+/// How a request at the target finished.
 ///
 /// A server error does not clear the request of suspicion: it may have occurred before the part of
 /// the work that would crash the target.
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -52,7 +52,7 @@
 pub enum BoundsSource {
     /// Constant bounds.
     Fixed(Bounds),
-    /// Bounds of the configuration in force.
+    /// Bounds of the active configuration.
     InForce(Arc<Board>),
 }
 
@@ -67,7 +67,7 @@
     /// Waits until heads larger than `largest` are allowed.
     ///
     /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
-    /// earlier version would refuse with 431 a request that the version in force allows.
+    /// earlier version would refuse with 431 a request that the active version allows.
     async fn wait_for_larger_head(&self, largest: u32) {
         if let Self::InForce(board) = self {
             let mut versions = board.versions();
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,11 +1,11 @@
 //! Calls: the path of a request from its caller to a target and back.
 //!
 //! The ingress is the daemon that receives a caller's request. It finds the request's [`route`],
-//! [`pick`]s an upstream by its [`pace`] and forwards the request with its [`metadata`] to the
-//! sidecar, the daemon beside the target. The sidecar's concurrency [`limit`] bounds the work;
-//! [`patience`] bounds how long a request may wait for a slot there. Only the ingress may
-//! [`retry`]. The caller is told the [`outcome`]. Header names and conventions are those of a
-//! [`dialect`]. Which [`connections`] of callers are kept is decided where they are accepted.
+//! [`pick`]s an upstream by its [`latency`] and forwards the request with its [`metadata`] to the
+//! sidecar, the daemon beside the target. The sidecar's concurrency [`limit`] bounds the requests
+//! at the target; [`wait`] bounds how long a request may wait for a slot there. Only the ingress
+//! may [`retry`]. The response names the [`outcome`]. Header names and conventions are those of a
+//! [`dialect`]. The number of callers' [`connections`] is limited where they are accepted.
 
 pub(crate) mod admission;
 pub(crate) mod attempt;
--- a/src/calls/retry.rs
+++ b/src/calls/retry.rs
@@ -179,7 +179,7 @@
 
 /// Whether a request may be retried after `attempts` attempts, with `left` until its deadline.
 ///
-/// `outcome` is the outcome of the last attempt.
+/// `outcome` is that of the last attempt.
 #[must_use]
 pub fn is_allowed(
     rule: &Retry,
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -1,8 +1,8 @@
 //! The sidecar: the daemon beside a target, through which all requests to that target pass.
 //!
 //! One process thus sees all requests in flight at the target, bounds them, and can prove that a
-//! refused request did not run. A request with an idempotency key is guarded by [`Keys`], which
-//! pass it on to the [`Executor`]; any other goes there directly.
+//! refused request did not run. A request with an idempotency key passes the [`Deduplicator`] on
+//! its way to the [`Executor`]; any other goes there directly.
 
 use std::fmt;
 use std::str::FromStr;
@@ -75,7 +75,7 @@
 }
 
 impl Sidecar {
-    /// A sidecar for the target that the board currently names.
+    /// Creates a sidecar for the current target.
     #[must_use]
     pub fn new(board: Arc<Board>, deduplicator: Arc<Deduplicator>) -> Self {
         let executor = Arc::new(Executor::new(Arc::clone(&board)));
--- a/src/configuration/control_plane.rs
+++ b/src/configuration/control_plane.rs
@@ -84,7 +84,7 @@
     /// Subscribes to the generation of the platform's store, as reported by its responses.
     fn generations(&self) -> watch::Receiver<Generation>;
 
-    /// Lists a daemon; replaces an earlier entry for its address.
+    /// Adds a daemon to the list, in place of an earlier entry for its address.
     fn register<'a>(&'a self, contact: &'a Contact) -> BoxFuture<'a, Result<()>>;
 
     /// Removes a daemon from the list.
@@ -94,7 +94,7 @@
     /// quarantined requests, so that a starting daemon needs no further request for them.
     fn directory(&self, enough: usize) -> BoxFuture<'_, Result<Directory>>;
 
-    /// Reports the status of a roll-out to the operator, unless there is a verdict already; returns the
+    /// Reports the status of a rollout to the operator, unless there is a verdict already; returns the
     /// status that is recorded now.
     ///
     /// The first verdict on an order is final, whichever daemon reports it and however often.
@@ -104,7 +104,7 @@
         status: Status,
     ) -> BoxFuture<'a, Result<Status>>;
 
-    /// Records when a roll-out began, in Unix milliseconds, unless that is recorded already; returns the
+    /// Records when a rollout began, in Unix milliseconds, unless that is recorded already; returns the
     /// time that is recorded now.
     fn record_rollout_start<'a>(
         &'a self,
--- a/src/configuration/freshness.rs
+++ b/src/configuration/freshness.rs
@@ -139,7 +139,7 @@
     /// Merges the watermark of a daemon that holds no newer version.
     ///
     /// The reported position is used only if this daemon knows all that its sender has read before it
-    /// (`complete`). Otherwise a roll-out order that only the sender has read would be skipped and never found.
+    /// (`complete`). Otherwise a rollout order that only the sender has read would be skipped and never found.
     pub fn merge_report(&self, report: &Report, complete: bool, now: Instant) {
         let as_of = now.checked_sub(report.age.duration());
         self.watermark.send_if_modified(|latest| {
--- a/src/configuration/log.rs
+++ b/src/configuration/log.rs
@@ -32,7 +32,7 @@
     Config,
     /// Daemons through which others can join.
     Contacts,
-    /// Notes of quarantined requests.
+    /// Records of quarantined requests.
     Quarantine,
     /// Claims of idempotency keys of one service.
     Claims(Service),
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -246,16 +246,16 @@
             return;
         }
         let Some(order) = &change.order else {
-            info!(self.board.logger, "roll-out order withdrawn"; "service" => %change.service);
+            info!(self.board.logger, "rollout order withdrawn"; "service" => %change.service);
             return;
         };
-        info!(self.board.logger, "roll-out order received"; "service" => %order.service,
+        info!(self.board.logger, "rollout order received"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
             "era" => change.position.generation.0, "offset" => change.position.offset.0);
         let config = self.board.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
-            warn!(self.board.logger, "no group has the service of the roll-out order; publish one, or correct the order";
+            warn!(self.board.logger, "no group has the service of the rollout order; publish one, or correct the order";
                 "service" => %order.service);
         }
     }
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -21,7 +21,7 @@
 const RECENT_RECORDS: u64 = 32;
 /// Daemons of a data centre that keep themselves listed.
 const LISTED_PER_DATA_CENTRE: usize = 2;
-/// Time between two checks of a daemon's listing, on average.
+/// Time between two checks of a daemon's registration, on average.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_mins(2);
 
 /// One record of the `contacts` stream.
--- a/src/membership/join.rs
+++ b/src/membership/join.rs
@@ -62,7 +62,7 @@
     pub contacts: Contacts,
     /// Control plane, if one keeps the configuration and lists daemons.
     pub control_plane: Option<Arc<dyn ControlPlane>>,
-    /// Stored quarantine notes.
+    /// Stored quarantine records.
     pub archive: Archive,
     /// Endpoint that finds the target of a daemon that was killed.
     pub endpoint: Arc<Endpoint>,
@@ -94,17 +94,17 @@
         self.maintain_registration(&registration).await;
     }
 
-    /// Restores the stored quarantine notes. If the log is unavailable, peers have already sent them.
+    /// Restores the stored quarantine records. If the log is unavailable, peers have already sent them.
     async fn restore_quarantine(&self) {
         match self.archive.load().await {
             Ok(records) => self.board.quarantine.restore(&records, clock::unix_ms()),
             Err(error) => {
-                warn!(self.board.logger, "the quarantine notes cannot be read"; "error" => %error);
+                warn!(self.board.logger, "cannot read quarantine records"; "error" => %error);
             }
         }
     }
 
-    /// Starts to serve, unless a stop has been requested meanwhile.
+    /// Starts to serve, unless a shutdown has been requested meanwhile.
     async fn serve(&self) {
         if self.board.stage() == Stage::Starting {
             self.board.advance(Stage::Serving);
--- a/src/membership/registration.rs
+++ b/src/membership/registration.rs
@@ -17,8 +17,8 @@
 /// fail together are not all of them.
 const MIN_CONTACTS: usize = 16;
 
-/// Quarantine periods after which a quarantine note is deleted from the control plane. One would do if all hosts'
-/// clocks were right.
+/// Quarantine periods after which a quarantine record is deleted from the control plane. One would do if all
+/// hosts' clocks were right.
 const RECORD_EXPIRY_PERIODS: u64 = 2;
 
 /// Registration of one daemon.
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::directory`] and [`Origin::list`].
+    /// As [`ControlPlane::directory`] and [`ControlPlane::register`].
     pub async fn discover(&self) -> Result<Peers> {
         let contacts = self.read(MIN_CONTACTS).await?;
         if contacts.len() >= MIN_CONTACTS {
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::unlist`].
+    /// As [`ControlPlane::deregister`].
     pub async fn deregister(&self) -> Result<()> {
         if self.board.is_listed() {
             self.control_plane.deregister(&self.contact()).await?;
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Reads the list, and restores the quarantine notes that come with it; deletes those that are outdated.
+    /// Reads the list, and restores the quarantine records that come with it; deletes outdated ones.
     async fn read(&self, enough: usize) -> Result<Vec<Contact>> {
         let Directory {
             contacts,
@@ -112,7 +112,7 @@
         self.board.quarantine.restore(&quarantine_records, now);
         for (cause, record) in quarantine_records {
             if record.age(now) >= Millis(RECORD_EXPIRY_PERIODS * period.0) {
-                // A note that cannot be deleted is read again and has no effect.
+                // A record that cannot be deleted is read again and has no effect.
                 let _ = self.control_plane.set_quarantine_record(cause, None).await;
             }
         }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Expected cost of a request of a route at `now`; `far_ms` is the cost of each kilobyte from another data
-    /// centre, in milliseconds.
+    /// Expected cost of a request of a route at `now`; `remote_ms_per_kb` is the cost of each kilobyte from
+    /// another data centre, in milliseconds.
     #[must_use]
     pub fn cost(
         &self,
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::note`] and [`Log::append`].
+    /// As [`ControlPlane::set_quarantine_record`] and [`Log::append`].
     pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
             Self::Platform(control_plane) => {
--- a/src/quarantine/running.rs
+++ b/src/quarantine/running.rs
@@ -17,7 +17,7 @@
 const RESTART_WINDOW: Duration = Duration::from_secs(5);
 /// Most unresolved requests that are kept: as many as a target with many slots may have in flight.
 const MAX_UNRESOLVED: usize = 256;
-/// Answered requests remembered for one target process, 8 KB in all. At a hundred answers per second they
+/// Answered requests remembered for one target process, 8 KB in all. At a hundred responses per second they
 /// cover ten seconds, many times what a request takes.
 const MAX_ANSWERED: usize = 1_024;
 
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -124,8 +124,8 @@
     /// Records that a target has answered a request, which therefore did not cause any crash known so far.
     ///
     /// Guards against quarantining a request that many callers send and that was running at three crashes by
-    /// chance. While only one crash implicates the request, the answer is kept locally until another does:
-    /// sending all answers after many crashes would flood the fleet.
+    /// chance. While only one crash implicates the request, this is kept locally until another does:
+    /// sending it for all requests after many crashes would flood the fleet.
     pub fn record_answered(&self, fingerprint: Fingerprint) {
         let assessment = self.assessment(fingerprint);
         if assessment.crashes == 0 {
@@ -179,7 +179,7 @@
         self.changes.subscribe()
     }
 
-    /// Applies answers that were kept locally to requests that another crash implicates by now.
+    /// Clears the requests answered here that another crash implicates by now.
     fn clear_answered(&self, state: &mut State) {
         let assessments = self.assessments();
         let is_relevant = |known: &(Fingerprint, CrashId)| assessments.of(known.0).must_isolate();
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -2,7 +2,7 @@
 //!
 //! Counts are kept by tick, so that both revisions are compared over the same time: a failing downstream
 //! service or a slow period affects the old revision as well. The last ticks are also compared by themselves,
-//! so that a late fault is not outweighed by earlier good answers.
+//! so that a late fault is not outweighed by earlier good responses.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 
 /// Ticks that are kept: one minute at four ticks per second.
 const MAX_TICKS: usize = 240;
-/// Histogram buckets above the old revision's median from which an answer counts as slow: about three times
+/// Histogram buckets above the old revision's median from which a response counts as slow: about three times
 /// the median.
 const SLOW_BUCKET_OFFSET: usize = 3;
-/// Least number of answers of the old revision for a comparison, if there are as many.
+/// Least number of responses of the old revision for a comparison, if there are as many.
 const MIN_BASE_RESPONSES: u32 = 300;
-/// Answers of the old revision in a second, longer sample, which evens out chance in the recent one.
+/// Responses of the old revision in a second, longer sample, which evens out chance in the recent one.
 const LONG_BASE_RESPONSES: u32 = 2_000;
 /// Last ticks in which a doubt is looked for, beside all ticks: those of a promotion.
 const RECENT_TICKS: usize = 8;
@@ -44,13 +44,13 @@
 /// Comparison of the new revision with the old one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finding {
-    /// Route of the answers; 0 for several routes together.
+    /// Route of the responses; 0 for several routes together.
     pub route: RouteId,
-    /// Answers of the old revision.
+    /// Responses of the old revision.
     pub old: Sample,
-    /// Answers of the new revision.
+    /// Responses of the new revision.
     pub new: Sample,
-    /// Ticks over which the answers were counted.
+    /// Ticks over which the responses were counted.
     pub ticks: usize,
 }
 
@@ -82,7 +82,7 @@
     exposed: u64,
     /// Reported requests to the old revision.
     others: u64,
-    /// Reported answers and failures of the new revision.
+    /// Reported responses and failures of the new revision.
     answers: u64,
 }
 
@@ -176,7 +176,7 @@
         self.others
     }
 
-    /// Reported answers and failures of the new revision.
+    /// Reported responses and failures of the new revision.
     #[must_use]
     pub const fn answers(&self) -> u64 {
         self.answers
@@ -193,7 +193,7 @@
     /// The first significant finding against the new revision, which has `targets` targets.
     ///
     /// Each route is tested by itself, so that a fault on one is not outweighed by the others, and all routes
-    /// together, since a fault on all of them then needs fewer answers on each.
+    /// together, since a fault on all of them then needs fewer responses on each.
     #[must_use]
     pub fn find_regression(&self, test: Test, targets: usize) -> Option<Finding> {
         let routes = self.routes();
@@ -252,13 +252,13 @@
         })
     }
 
-    /// Answers of both revisions on each route over the last `span` ticks.
+    /// Responses of both revisions on each route over the last `span` ticks.
     fn compare_all(&self, routes: &[RouteId], span: usize) -> Vec<Comparison> {
         let routes = routes.iter();
         routes.map(|route| self.compare(*route, span)).collect()
     }
 
-    /// Answers of both revisions on one route over the last `span` ticks.
+    /// Responses of both revisions on one route over the last `span` ticks.
     fn compare(&self, route: RouteId, span: usize) -> Comparison {
         let min_responses = self
             .count_new_responses(route, span)
@@ -272,7 +272,7 @@
             total: counts.total(),
         };
         // The worse of a recent and a longer sample counts: a downstream fault that has just begun shows only
-        // in the recent one, and a few good answers by chance do not affect the longer one.
+        // in the recent one, and a few good responses by chance do not affect the longer one.
         let long_term = self.old_counters(route, span, LONG_BASE_RESPONSES);
         Comparison {
             old: sample(&recent).with_higher_bad_rate(sample(&long_term)),
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Number of answers of the new revision over the last `span` ticks.
+    /// Number of responses of the new revision over the last `span` ticks.
     fn count_new_responses(&self, route: RouteId, span: usize) -> u32 {
         let ticks = self.ticks.iter().rev().take(span);
         let new = ticks.flat_map(|tick| &tick.new);
@@ -289,9 +289,9 @@
     }
 
     /// Counts of the old revision over the last `span` ticks, and over earlier ones until there are
-    /// `min_answers`.
+    /// `min_responses`.
     ///
-    /// Once the new revision receives all requests, the last answers of the old one are compared with all
+    /// Once the new revision receives all requests, the last responses of the old one are compared with all
     /// that follow. If these were few and good by chance, a good revision would be rolled back.
     fn old_counters(&self, route: RouteId, span: usize, min_responses: u32) -> RouteCounters {
         let mut base = RouteCounters::default();
@@ -311,7 +311,7 @@
         sidecar.report.revision == self.revision
     }
 
-    /// Answers of each target of the new revision over the last `span` ticks, sorted by sidecar.
+    /// Responses of each target of the new revision over the last `span` ticks, sorted by sidecar.
     fn new_samples(
         &self,
         route: RouteId,
@@ -329,7 +329,7 @@
                 add_sample(&mut samples, *peer, counted);
             }
         }
-        // Requests in flight for longer than the limit for a slow answer count as bad. The answers of a slow
+        // Requests in flight for longer than the limit for a slow response count as bad. The responses of a slow
         // revision would otherwise arrive only after it has received all requests.
         for sidecar in self.sidecars.iter().filter(|sidecar| self.is_new(sidecar)) {
             let here = sidecar.report.in_flight_ages.iter();
--- a/src/rollout/counters.rs
+++ b/src/rollout/counters.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// How a request at the target ended.
+/// How a request at the target finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered by the target after this time.
--- a/src/rollout/decision.rs
+++ b/src/rollout/decision.rs
@@ -6,7 +6,7 @@
 //! exposed. The rest of the time is for the promotion: a part of the requests, then all of them, until the
 //! old targets are drained. The exposure that the promotion needs is reserved for it, so that a revision
 //! whose fault shows only then stays within the limits. While the evidence is in doubt, the promotion waits
-//! for more answers as far as the limits allow, and is rolled back beyond them.
+//! for more responses as far as the limits allow, and is rolled back beyond them.
 //!
 //! ```
 //! use std::time::Duration;
@@ -44,11 +44,11 @@
 const REPORT_DELAY: Duration = Duration::from_millis(300);
 /// Time before the end of an order at which the rollout completes even if old targets are not drained.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(400);
-/// Answers of the new revision that the promotion waits for; half of the expected ones if these are fewer.
+/// Responses of the new revision that the promotion waits for; half of the expected ones if these are fewer.
 const ENOUGH_RESPONSES: f64 = 40.0;
-/// Remaining part of the promotion time at which it begins with fewer answers.
+/// Remaining part of the promotion time at which it begins with fewer responses.
 const LATE_PROMOTION_PART: f64 = 0.65;
-/// Fewest answers by which a revision is judged.
+/// Fewest responses by which a revision is judged.
 const MIN_RESPONSES: u64 = 4;
 
 /// A decision on the next step.
@@ -91,7 +91,7 @@
     NotConfirmed,
     /// The new revision is significantly worse than the old one.
     Worse,
-    /// The new revision is doubtful, and more answers may decide.
+    /// The new revision is doubtful, and more responses may decide.
     InDoubt,
     /// The new revision is doubtful, and neither the exposure limits nor the time allow more requests.
     Doubtful,
@@ -180,7 +180,7 @@
     }
     let expected = expected_answers(permille, observed);
     let enough = ENOUGH_RESPONSES.min(expected / 2.0);
-    // Guards against rolling back a good revision that has few answers because nobody coordinated for a
+    // Guards against rolling back a good revision that has few responses because nobody coordinated for a
     // while: the promotion compares the revisions as well.
     let is_late = remaining < promotion.mul_f64(LATE_PROMOTION_PART);
     if observed.answers >= MIN_RESPONSES && (is_late || to_f64(observed.answers) >= enough) {
@@ -206,7 +206,7 @@
     trying
 }
 
-/// Answers to expect from the canary step before the promotion starts.
+/// Responses to expect from the canary step before the promotion starts.
 fn expected_answers(permille: u16, observed: &Observed) -> f64 {
     let time = observed
         .duration
--- a/src/rollout/exposure.rs
+++ b/src/rollout/exposure.rs
@@ -48,7 +48,7 @@
 /// Share in permille and number of targets of the canary step.
 ///
 /// With few requests, most of the exposure comes from the fixed number: the share may then be large, which
-/// still yields enough answers for a comparison.
+/// still yields enough responses for a comparison.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/src/rollout/significance.rs
+++ b/src/rollout/significance.rs
@@ -1,15 +1,15 @@
 //! Statistical tests of whether the new revision is worse than the old one.
 //!
 //! There are two tests. The sequential one is a likelihood-ratio test: it adds up the log-likelihood ratio of
-//! each answer and decides as soon as the sum is large enough. The threshold test waits for a number of
-//! answers and compares the shares of bad ones.
+//! each response and decides as soon as the sum is large enough. The threshold test waits for a number of
+//! responses and compares the shares of bad ones.
 
 use std::net::SocketAddr;
 
 use strum::{Display, EnumString, VariantNames};
 
-/// Increases of the share of bad answers that make a revision bad. The small one detects rare faults with
-/// many answers, the large one frequent faults with few.
+/// Increases of the share of bad responses that make a revision bad. The small one detects rare faults with
+/// many responses, the large one frequent faults with few.
 const EFFECT_SIZES: [f64; 2] = [0.05, 0.15];
 /// Natural logarithm of the odds that decides against a revision: one in 10,000 by chance.
 const DECISIVE_LOG_ODDS: f64 = 9.2;
@@ -18,20 +18,20 @@
 /// Largest part of the decisive log odds that a single target of several can contribute.
 ///
 /// Guards against rolling back a revision because of one bad target, for example on a broken host. A bad
-/// revision shows at other targets too; if those do well, their answers count in its favour.
+/// revision shows at other targets too; if those do well, their responses count in its favour.
 const MAX_TARGET_PART: f64 = 0.6;
-/// Answers that are added to those of the old revision as a prior.
+/// Responses that are added to those of the old revision as a prior.
 const PRIOR_RESPONSES: f64 = 20.0;
-/// Bad answers among the added ones.
+/// Bad responses among the added ones.
 ///
-/// Guards against a share that was measured on few answers: an old revision without a bad one in a hundred
-/// may have a share of one in fifty, and the new one would be rolled back for the same share.
+/// Guards against a share that was measured on few responses: an old revision without a bad one in a
+/// hundred may have a share of one in fifty, and the new one would be rolled back for the same share.
 const PRIOR_BAD_RESPONSES: f64 = 1.0;
-/// Upper bound of the assumed share of bad answers.
+/// Upper bound of the assumed share of bad responses.
 const MAX_BAD_RATE: f64 = 0.98;
-/// Answers that the threshold test waits for.
+/// Responses that the threshold test waits for.
 const THRESHOLD_MIN_RESPONSES: u32 = 50;
-/// Increase of the share of bad answers at which the threshold test decides.
+/// Increase of the share of bad responses at which the threshold test decides.
 const THRESHOLD_RISE: f64 = 0.05;
 
 /// Method of comparison.
@@ -41,21 +41,21 @@
     /// Sequential likelihood-ratio test.
     #[default]
     Sequential,
-    /// Comparison of shares after a fixed number of answers.
+    /// Comparison of shares after a fixed number of responses.
     Threshold,
 }
 
-/// Number of bad answers among all answers.
+/// Numbers of bad and of all responses; a request that failed counts as a bad response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// Failures and slow answers.
+    /// Failures and slow responses.
     pub bad: u32,
-    /// All answers, including failures.
+    /// All requests that were answered or failed.
     pub total: u32,
 }
 
 impl Sample {
-    /// The sample with the larger share of bad answers.
+    /// The sample with the larger share of bad responses.
     #[must_use]
     pub fn with_higher_bad_rate(self, other: Self) -> Self {
         if other.expected_bad_rate() > self.expected_bad_rate() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Share of bad answers to expect, with a prior for small samples.
+    /// Share of bad responses to expect, with a prior for small samples.
     fn expected_bad_rate(self) -> f64 {
         let share =
             (f64::from(self.bad) + PRIOR_BAD_RESPONSES) / (f64::from(self.total) + PRIOR_RESPONSES);
@@ -82,17 +82,17 @@
     }
 }
 
-/// Answers of both revisions on one route during the same time.
+/// Responses of both revisions on one route during the same time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Answers of the old revision.
+    /// Responses of the old revision.
     pub old: Sample,
-    /// Answers by target of the new revision, sorted by the address of its sidecar.
+    /// Responses by target of the new revision, sorted by the address of its sidecar.
     pub new: Vec<(SocketAddr, Sample)>,
 }
 
 impl Comparison {
-    /// Answers of all targets of the new revision.
+    /// Responses of all targets of the new revision.
     #[must_use]
     pub fn total(&self) -> Sample {
         let new = self.new.iter().map(|(_, sample)| *sample);
@@ -113,7 +113,7 @@
 }
 
 impl Test {
-    /// Tests the answers on some routes together; `single_target` if the new revision has only one target.
+    /// Tests the responses on some routes together; `single_target` if the new revision has only one target.
     #[must_use]
     pub fn compare(self, routes: &[Comparison], single_target: bool) -> Conclusion {
         match self {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Log odds that the new revision is worse, for the increase that explains the answers best.
+/// Log odds that the new revision is worse, for the increase that explains the responses best.
 fn log_odds(routes: &[Comparison], single_target: bool) -> f64 {
     let most = if single_target {
         f64::INFINITY
@@ -154,7 +154,7 @@
         .fold(f64::MIN, f64::max)
 }
 
-/// Whether the share of bad answers has increased by the threshold.
+/// Whether the share of bad responses has increased by the threshold.
 fn exceeds(routes: &[Comparison], single_target: bool) -> bool {
     let old = routes.iter().map(|route| route.old);
     let old = old.fold(Sample::default(), Sample::plus);
@@ -171,7 +171,7 @@
     rest.total >= THRESHOLD_MIN_RESPONSES && share(rest) - share(old) >= THRESHOLD_RISE
 }
 
-/// Log-likelihood ratio of each target over all routes. Answers are compared with those of the old revision
+/// Log-likelihood ratio of each target over all routes. Responses are compared with those of the old revision
 /// on the same route, since the revisions may receive different mixes of routes.
 fn weights(routes: &[Comparison], rise: f64) -> Vec<(SocketAddr, f64)> {
     let mut all: Vec<(SocketAddr, f64)> = Vec::new();
@@ -187,7 +187,7 @@
     all
 }
 
-/// Answers of each target of the new revision over all routes.
+/// Responses of each target of the new revision over all routes.
 fn by_target(routes: &[Comparison]) -> Vec<Sample> {
     let mut all: Vec<(SocketAddr, Sample)> = Vec::new();
     for (peer, sample) in routes.iter().flat_map(|route| &route.new) {
@@ -199,7 +199,7 @@
     all.into_iter().map(|(_, sample)| sample).collect()
 }
 
-/// Log-likelihood ratio of a share of bad answers increased by `rise` to that of the old revision.
+/// Log-likelihood ratio of a share of bad responses increased by `rise` to that of the old revision.
 fn weight(old: Sample, new: Sample, rise: f64) -> f64 {
     let expected_bad_rate = old.expected_bad_rate();
     let risen = (expected_bad_rate + rise).min(f64::midpoint(1.0, MAX_BAD_RATE));
--- a/src/rollout/tracker.rs
+++ b/src/rollout/tracker.rs
@@ -38,7 +38,7 @@
     pub analysis: Analysis,
     /// Synchronization of the status with the platform.
     pub sync: Arc<PlatformSync>,
-    /// Time and era of the last call to the platform.
+    /// Time and store generation of the last call to the platform.
     pub last_checked: Option<(Instant, Generation)>,
     step: Step,
     step_since: Instant,
