--- a/src/calls/admission.rs
+++ b/src/calls/admission.rs
@@ -105,8 +105,8 @@
                 }
                 Decision::Shed => return Err(Reason::Overloaded),
                 Decision::Wait { shed } => {
-                    if let Some(displaced) = shed {
-                        state.wake(displaced, Signal::Shed);
+                    if let Some(shed) = shed {
+                        state.wake(shed, Signal::Shed);
                     }
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.push((ticket, sender));
--- a/src/calls/call.rs
+++ b/src/calls/call.rs
@@ -24,7 +24,7 @@
 use crate::units::{IdempotencyKey, Millis, Service};
 
 /// Header with the caller's idempotency key.
-const KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// A request matched to a route of the configuration that was active when it arrived.
 #[derive(Debug)]
@@ -115,7 +115,7 @@
         let group = Arc::clone(resolved_route.group(draw));
         // Keys are scoped by service: callers of two services may choose the same one.
         let scoped = |key| IdempotencyKey(format!("{}/{key}", group.service));
-        let key = head.headers.get(KEY).and_then(text).map(scoped);
+        let key = head.headers.get(IDEMPOTENCY_KEY).and_then(text).map(scoped);
         let metadata = Metadata {
             id: id.to_owned(),
             service: group.service.clone(),
--- a/src/calls/executor.rs
+++ b/src/calls/executor.rs
@@ -116,10 +116,10 @@
         }
         let target = self.board.target().ok_or(Reason::NoTarget)?;
         let now = Instant::now();
-        let offered = target.service == metadata.service && now < target.lease_until;
+        let is_eligible = target.service == metadata.service && now < target.lease_until;
         // An ingress that has not heard of a rollout, or of its end, would keep sending a bad
         // revision its share. So each sidecar also bounds what its target may receive.
-        if offered && self.board.admits(&target, now) {
+        if is_eligible && self.board.admits(&target, now) {
             Ok(target)
         } else {
             Err(Reason::NoTarget)
@@ -151,7 +151,9 @@
             Some(group) => {
                 let bound = group.slots.map_or(slots, |bound| slots.min(bound.0));
                 // Each running request uses one connection.
-                let bound = group.connections.map_or(bound, |most| bound.min(most));
+                let bound = group
+                    .connections
+                    .map_or(bound, |connections| bound.min(connections));
                 (bound, group.queue)
             }
             None => (slots, slots),
--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -53,14 +53,14 @@
     /// Constant bounds.
     Fixed(Bounds),
     /// Bounds of the active configuration.
-    InForce(Arc<Board>),
+    Active(Arc<Board>),
 }
 
 impl BoundsSource {
     fn current(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
-            Self::InForce(board) => board.config().document.bounds,
+            Self::Active(board) => board.config().document.bounds,
         }
     }
 
@@ -69,7 +69,7 @@
     /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
     /// earlier version would refuse with 431 a request that the active version allows.
     async fn wait_for_larger_head(&self, largest: u32) {
-        if let Self::InForce(board) = self {
+        if let Self::Active(board) = self {
             let mut versions = board.versions();
             let allows = |_: &Version| self.current().max_head > largest;
             if versions.wait_for(allows).await.is_ok() {
--- a/src/calls/limit.rs
+++ b/src/calls/limit.rs
@@ -94,11 +94,11 @@
             return Decision::Wait { shed: None };
         }
         match self.waiting.last() {
-            Some(&(lowest, displaced)) if priority < lowest => {
+            Some(&(lowest, lowest_ticket)) if priority < lowest => {
                 self.waiting.pop();
                 self.insert(priority, ticket);
                 Decision::Wait {
-                    shed: Some(displaced),
+                    shed: Some(lowest_ticket),
                 }
             }
             _ => Decision::Shed,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -353,7 +353,7 @@
         }
     };
     let callers = Callers::new(board.settings.callers);
-    let limits = http_server::BoundsSource::InForce(board);
+    let limits = http_server::BoundsSource::Active(board);
     let handler = move |request| {
         let entry = Arc::clone(&entry);
         async move { entry.serve(request).await }
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -12,8 +12,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Enter(Class),
-    Leave,
+    Acquire(Class),
+    Release,
     Cancel(usize),
 }
 
@@ -24,8 +24,8 @@
         Just(Class::Background),
     ];
     prop_oneof![
-        4 => class.prop_map(Step::Enter),
-        3 => Just(Step::Leave),
+        4 => class.prop_map(Step::Acquire),
+        3 => Just(Step::Release),
         1 => (0_usize..8).prop_map(Step::Cancel),
     ]
 }
@@ -38,7 +38,7 @@
 }
 
 impl Model {
-    fn enter(&mut self, ticket: Ticket, class: Class) -> Decision {
+    fn acquire(&mut self, ticket: Ticket, class: Class) -> Decision {
         if self.running < SLOTS && self.waiting.is_empty() {
             self.running += 1;
             return Decision::Run;
@@ -48,17 +48,15 @@
         if self.waiting.len() <= QUEUE as usize {
             return Decision::Wait { shed: None };
         }
-        let (_, displaced) = self.waiting.pop().expect("the list is not empty");
-        if displaced == ticket {
+        let (_, shed) = self.waiting.pop().expect("the list is not empty");
+        if shed == ticket {
             Decision::Shed
         } else {
-            Decision::Wait {
-                shed: Some(displaced),
-            }
+            Decision::Wait { shed: Some(shed) }
         }
     }
 
-    fn leave(&mut self) -> Option<Ticket> {
+    fn release(&mut self) -> Option<Ticket> {
         self.running = self.running.saturating_sub(1);
         if self.running >= SLOTS || self.waiting.is_empty() {
             return None;
@@ -77,10 +75,10 @@
         let mut model = Model::default();
         for (ticket, step) in (1..).zip(steps) {
             match step {
-                Step::Enter(class) => {
-                    prop_assert_eq!(limit.acquire(ticket, class), model.enter(ticket, class));
+                Step::Acquire(class) => {
+                    prop_assert_eq!(limit.acquire(ticket, class), model.acquire(ticket, class));
                 }
-                Step::Leave => prop_assert_eq!(limit.release(), model.leave()),
+                Step::Release => prop_assert_eq!(limit.release(), model.release()),
                 Step::Cancel(place) => {
                     let waiting = model.waiting.get(place).copied();
                     let ticket = waiting.map_or(0, |waiting| waiting.1);
