--- a/src/calls/http_server.rs
+++ b/src/calls/http_server.rs
@@ -52,24 +52,24 @@
 pub enum BoundsSource {
     /// Constant bounds.
     Fixed(Bounds),
-    /// Bounds of the configuration in force.
-    InForce(Arc<SharedState>),
+    /// Bounds of the active configuration.
+    Active(Arc<SharedState>),
 }
 
 impl BoundsSource {
     fn current(&self) -> Bounds {
         match self {
             Self::Fixed(bounds) => *bounds,
-            Self::InForce(shared) => shared.config().document.bounds,
+            Self::Active(shared) => shared.config().document.bounds,
         }
     }
 
     /// Waits until heads larger than `largest` are allowed.
     ///
     /// A connection's buffer is fixed when it is opened. Without this, a connection opened under an
-    /// earlier version would refuse with 431 a request that the version in force allows.
+    /// earlier version would refuse with 431 a request that the active version allows.
     async fn wait_for_larger_head(&self, largest: u32) {
-        if let Self::InForce(shared) = self {
+        if let Self::Active(shared) = self {
             let mut versions = shared.versions();
             let allows = |_: &Version| self.current().max_head > largest;
             if versions.wait_for(allows).await.is_ok() {
--- a/src/calls/sidecar.rs
+++ b/src/calls/sidecar.rs
@@ -1,8 +1,8 @@
 //! The sidecar: the daemon beside a target, through which all requests to that target pass.
 //!
 //! One process thus sees all requests in flight at the target, bounds them, and can prove that a
-//! refused request did not run. A request with an idempotency key is guarded by [`Keys`], which
-//! pass it on to the [`Executor`]; any other goes there directly.
+//! refused request did not run. A request with an idempotency key passes the [`Deduplicator`] on
+//! its way to the [`Executor`]; any other goes there directly.
 
 use std::fmt;
 use std::str::FromStr;
@@ -29,9 +29,9 @@
 pub struct Sidecar {
     shared: Arc<SharedState>,
     executor: Arc<Executor>,
-    keys: Arc<Deduplicator>,
+    deduplicator: Arc<Deduplicator>,
     /// Locked only briefly, and never across an await.
-    origins: Mutex<Detector>,
+    nesting_detector: Mutex<Detector>,
 }
 
 /// Load that a sidecar reports with each response, written as numbers separated by commas.
@@ -75,15 +75,15 @@
 }
 
 impl Sidecar {
-    /// A sidecar for the target that the shared state currently names.
+    /// Creates a sidecar for the current target.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, keys: Arc<Deduplicator>) -> Self {
+    pub fn new(shared: Arc<SharedState>, deduplicator: Arc<Deduplicator>) -> Self {
         let executor = Arc::new(Executor::new(Arc::clone(&shared)));
         Self {
             shared,
             executor,
-            keys,
-            origins: Mutex::default(),
+            deduplicator,
+            nesting_detector: Mutex::default(),
         }
     }
 
@@ -99,7 +99,11 @@
         let nested = self.record_origin(&metadata);
         let received = Received::new(metadata, request, self.shared.track_call());
         let result = match key {
-            Some(key) => self.keys.run_once(key, received, &self.executor).await,
+            Some(key) => {
+                self.deduplicator
+                    .run_once(key, received, &self.executor)
+                    .await
+            }
             None => self.executor.run(received).await,
         };
         let mut response = match result {
@@ -131,8 +135,11 @@
             return false;
         }
         let roster = self.shared.roster();
-        let mut origins = self.origins.lock().unwrap_or_else(PoisonError::into_inner);
-        origins.record(
+        let mut nesting_detector = self
+            .nesting_detector
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        nesting_detector.record(
             &metadata.route,
             &metadata.caller_service,
             &roster.host_counts,
--- a/src/configuration/reader.rs
+++ b/src/configuration/reader.rs
@@ -195,8 +195,8 @@
         };
         self.log_unreadable(&changes.faults);
         self.accept_newest(changes.releases);
-        for notice in &changes.orders {
-            self.apply_order(notice);
+        for change in &changes.orders {
+            self.apply_order(change);
         }
         let has_waited = from == Some(changes.next) && began.elapsed() >= wait.duration();
         // A wait without a result shows that there was no record until the wait ended.
@@ -241,21 +241,21 @@
         }
     }
 
-    fn apply_order(&self, notice: &Change) {
-        if !self.shared.rollouts.apply_change(notice) {
+    fn apply_order(&self, change: &Change) {
+        if !self.shared.rollouts.apply_change(change) {
             return;
         }
-        let Some(order) = &notice.order else {
-            info!(self.shared.logger, "roll-out order withdrawn"; "service" => %notice.service);
+        let Some(order) = &change.order else {
+            info!(self.shared.logger, "rollout order withdrawn"; "service" => %change.service);
             return;
         };
-        info!(self.shared.logger, "roll-out order received"; "service" => %order.service,
+        info!(self.shared.logger, "rollout order received"; "service" => %order.service,
             "revision" => %order.revision, "duration_ms" => order.duration.0,
-            "era" => notice.position.generation.0, "offset" => notice.position.offset.0);
+            "era" => change.position.generation.0, "offset" => change.position.offset.0);
         let config = self.shared.config();
         let mut groups = config.document.groups.iter();
         if !groups.any(|group| group.service == order.service) {
-            warn!(self.shared.logger, "no group has the service of the roll-out order; publish one, or correct the order";
+            warn!(self.shared.logger, "no group has the service of the rollout order; publish one, or correct the order";
                 "service" => %order.service);
         }
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -366,7 +366,7 @@
         }
     };
     let callers = Callers::new(shared.settings.callers);
-    let bounds = http_server::BoundsSource::InForce(shared);
+    let bounds = http_server::BoundsSource::Active(shared);
     let handler = move |request| {
         let ingress = Arc::clone(&ingress);
         async move { ingress.serve(request).await }
--- a/src/quarantine/archive.rs
+++ b/src/quarantine/archive.rs
@@ -38,10 +38,12 @@
     ///
     /// # Errors
     ///
-    /// As [`Origin::note`] and [`Log::append`].
+    /// As [`ControlPlane::set_quarantine_record`] and [`Log::append`].
     pub async fn store(&self, cause: Fingerprint, record: Option<&Record>) -> Result<()> {
         match self {
-            Self::Platform(origin) => origin.set_quarantine_record(cause, record).await,
+            Self::Platform(control_plane) => {
+                control_plane.set_quarantine_record(cause, record).await
+            }
             Self::Log(log) => {
                 let record = record.cloned();
                 let entry = Entry { cause, record };
--- a/src/quarantine/replicator.rs
+++ b/src/quarantine/replicator.rs
@@ -41,13 +41,13 @@
     /// Replicates changes for as long as the daemon runs.
     pub async fn run(self) {
         let mut changes = self.shared.quarantine.changes();
-        let mut eras = self.shared.generations();
+        let mut generations = self.shared.generations();
         let mut assessments: Arc<Assessments> = Arc::default();
         loop {
             // All but the expiry of crashes is signalled as a change.
             tokio::select! {
                 _ = changes.changed() => {}
-                _ = eras.changed() => self.store_all_again(&assessments),
+                _ = generations.changed() => self.store_all_again(&assessments),
                 () = tokio::time::sleep(EXPIRY_INTERVAL) => {}
             }
             self.shared.quarantine.expire();
