--- a/trial/tests/operators.rs
+++ b/trial/tests/operators.rs
@@ -127,7 +127,7 @@
     assert!(
         parse_json(&out)["error"]
             .as_str()
-            .is_some_and(|text| text.contains("can't be reached"))
+            .is_some_and(|text| text.contains("cannot reach"))
     );
 }
 
